--- a/millfront/benchlink.py
+++ b/millfront/benchlink.py
@@ -20,7 +20,7 @@
     307: api.Outcome.MOOT,
 }
 ROW = struct.Struct("<IHBHBfQ")
-EVERY_PEER = 0xFFFFFFFF
+ALL_PEERS = 0xFFFFFFFF
 T = TypeVar("T")
 
 
@@ -50,32 +50,32 @@
         return self.data[self.at - size : self.at]
 
 
-def named(values: Callable[[Any], T], value: object, what: str) -> T:
+def lookup(values: Callable[[Any], T], value: object, what: str) -> T:
     try:
         return values(value)
     except (ValueError, KeyError):
         raise Malformed(f"unknown {what}: {value!r}") from None
 
 
-def catalog_rows(reader: Reader, count: int) -> tuple[api.BackendEntry, ...]:
+def backend_entries(reader: Reader, count: int) -> tuple[api.BackendEntry, ...]:
     rows = []
     for _ in range(count):
-        backend, zone, kind, cell, health, weight, started = ROW.unpack(reader.raw(ROW.size))
-        state = named(api.BackendState, health, "backend state")
+        backend, zone, kind, cell, state_code, weight, started = ROW.unpack(reader.raw(ROW.size))
+        state = lookup(api.BackendState, state_code, "backend state")
         rows.append(api.BackendEntry(backend, zone, kind, cell, state, weight, started))
     return tuple(rows)
 
 
-def resolved(reader: Reader) -> api.AttemptEnded:
-    request, status, closed, units, backend, _use, spent, copy, columns = reader.take("QHBHIHIHB")
+def attempt_ended(reader: Reader) -> api.AttemptEnded:
+    request, status, closed, units, backend, _use, latency_us, attempt, columns = reader.take("QHBHIHIHB")
     reader.raw(4 * columns)
-    outcome = named(OUTCOMES.__getitem__, status, "outcome")
-    return api.AttemptEnded(request, copy, backend, outcome, bool(closed), spent, units)
+    outcome = lookup(OUTCOMES.__getitem__, status, "outcome")
+    return api.AttemptEnded(request, attempt, backend, outcome, bool(closed), latency_us, units)
 
 
-def added(reader: Reader) -> api.CounterAnswered:
-    total, _spent, name, status = reader.take("fIQH")
-    return api.CounterAnswered(name, named(OUTCOMES.__getitem__, status, "outcome"), total)
+def counter_answered(reader: Reader) -> api.CounterAnswered:
+    total, _latency_us, name, status = reader.take("fIQH")
+    return api.CounterAnswered(name, lookup(OUTCOMES.__getitem__, status, "outcome"), total)
 
 
 def peer_message(reader: Reader) -> api.PeerMessage:
@@ -83,30 +83,30 @@
     return api.PeerMessage(sender, reader.raw(size))
 
 
-def new_request(reader: Reader) -> api.RequestArrived:
-    request, grade, plan, customer, patience, units, spread, first, _bits = reader.take("QBHQIfffH")
-    return api.RequestArrived(request, grade, plan, customer, patience, units, int(spread), int(first))
+def request_arrived(reader: Reader) -> api.RequestArrived:
+    request, cls, plan, customer, patience_us, units, spread, first, _flags = reader.take("QBHQIfffH")
+    return api.RequestArrived(request, cls, plan, customer, patience_us, units, int(spread), int(first))
 
 
-def checked(reader: Reader) -> api.ProbeEnded:
-    backend, spent, status, columns = reader.take("IIHB")
+def probe_ended(reader: Reader) -> api.ProbeEnded:
+    backend, latency_us, status, columns = reader.take("IIHB")
     reader.raw(4 * columns)
-    return api.ProbeEnded(backend, named(OUTCOMES.__getitem__, status, "outcome"), spent)
+    return api.ProbeEnded(backend, lookup(OUTCOMES.__getitem__, status, "outcome"), latency_us)
 
 
-def started(reader: Reader) -> api.StreamStarted:
-    request, _backend, copy, _spent = reader.take("QIHI")
-    return api.StreamStarted(request, copy)
+def stream_started(reader: Reader) -> api.StreamStarted:
+    request, _backend, attempt, _latency_us = reader.take("QIHI")
+    return api.StreamStarted(request, attempt)
 
 
 EVENTS: dict[int, Callable[[Reader], api.Event]] = {
-    1: resolved,
-    2: added,
+    1: attempt_ended,
+    2: counter_answered,
     3: peer_message,
-    5: new_request,
-    6: checked,
+    5: request_arrived,
+    6: probe_ended,
     8: lambda reader: api.RequestGone(*reader.take("Q")),
-    10: started,
+    10: stream_started,
     11: lambda reader: api.TimerFired(*reader.take("I")),
 }
 CONFIGURE, VIEW, DOWN, CATALOG = 0, 4, 7, 9
@@ -114,18 +114,18 @@
 
 def encode(instance: int, action: api.Action) -> bytes:
     match action:
-        case api.Send(request, backend, timeout):
-            return struct.pack("<BIQII", 11, instance, request, backend, timeout)
-        case api.Refuse(request, retry_after):
-            return struct.pack("<BIQI", 3, instance, request, retry_after)
+        case api.Send(request, backend, timeout_us):
+            return struct.pack("<BIQII", 11, instance, request, backend, timeout_us)
+        case api.Refuse(request, retry_after_us):
+            return struct.pack("<BIQI", 3, instance, request, retry_after_us)
         case api.Fail(request):
             return struct.pack("<BIQ", 9, instance, request)
         case api.Cancel(request, attempt):
             return struct.pack("<BIQH", 12, instance, request, attempt)
-        case api.SetTimer(delay, token):
-            return struct.pack("<BIII", 10, instance, delay, token)
-        case api.Count(name, amount, ttl):
-            return struct.pack("<BIQfI", 8, instance, name, amount, ttl)
+        case api.SetTimer(delay_us, token):
+            return struct.pack("<BIII", 10, instance, delay_us, token)
+        case api.Count(name, amount, ttl_us):
+            return struct.pack("<BIQfI", 8, instance, name, amount, ttl_us)
         case api.Probe(backend):
             return struct.pack("<BII", 0, instance, backend)
         case api.Watch(on):
@@ -133,7 +133,7 @@
         case api.FetchList():
             return struct.pack("<BI", 4, instance)
         case api.Tell(peer, payload):
-            to = EVERY_PEER if peer is None else peer
+            to = ALL_PEERS if peer is None else peer
             return struct.pack("<BIIH", 5, instance, to, len(payload)) + payload
         case api.Short():
             return b""  # the simulator has no reservations
@@ -151,37 +151,37 @@
         self.gateways: dict[int, Gateway] = {}
         self.lists: dict[int, tuple[api.BackendEntry, ...]] = {}
 
-    def batch(self, data: bytes, count: int) -> bytes:
+    def handle_batch(self, data: bytes, count: int) -> bytes:
         reader = Reader(data)
         (now,) = reader.take("Q")
         reply = bytearray()
         for _ in range(count):
-            instance, actions = self.record(reader, now)
+            instance, actions = self.handle_record(reader, now)
             for action in actions:
                 reply += encode(instance, action)
         if reader.at != len(data):
             raise Malformed(f"{len(data) - reader.at} bytes after the last record")
         return bytes(reply)
 
-    def record(self, reader: Reader, now: int) -> tuple[int, list[api.Action]]:
+    def handle_record(self, reader: Reader, now: int) -> tuple[int, list[api.Action]]:
         (code,) = reader.take("B")
         if code == CATALOG:
             slot, count = reader.take("BI")
-            self.lists[slot] = catalog_rows(reader, count)
+            self.lists[slot] = backend_entries(reader, count)
             return 0, []
         (instance,) = reader.take("I")
         if code == CONFIGURE:
             seed, size = reader.take("QI")
             try:
                 self.gateways[instance] = Gateway(settings_from(reader.raw(size)), seed)
-            except (SettingsError, ValueError) as wrong:
-                raise Malformed(str(wrong)) from None
+            except (SettingsError, ValueError) as error:
+                raise Malformed(str(error)) from None
             return instance, self.gateways[instance].handle(now, api.Started())
         if code == DOWN:
             self.gateways.pop(instance, None)
             return instance, []
         if code == VIEW:
-            event: api.Event = self.view(reader)
+            event: api.Event = self.backend_list(reader)
         elif code in EVENTS:
             event = EVENTS[code](reader)
         else:
@@ -190,9 +190,9 @@
             raise Malformed(f"event for instance {instance}, which is not running")
         return instance, self.gateways[instance].handle(now, event)
 
-    def view(self, reader: Reader) -> api.BackendList:
+    def backend_list(self, reader: Reader) -> api.BackendList:
         mode, _version, slot = reader.take("BQB")
-        kind = named(api.ListKind, mode, "list kind")
+        kind = lookup(api.ListKind, mode, "list kind")
         if kind is api.ListKind.FAILED:
             return api.BackendList(kind, ())
         if slot not in self.lists:
@@ -215,7 +215,7 @@
             raise Malformed("input ended inside a frame header")
         (count,) = struct.unpack("<I", head)
         (size,) = struct.unpack("<I", read_exactly(source, 4))
-        reply = host.batch(read_exactly(source, size), count)
+        reply = host.handle_batch(read_exactly(source, size), count)
         sink.write(struct.pack("<I", len(reply)) + reply)
         sink.flush()
 
@@ -223,8 +223,8 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as fault:
-        print(f"millfront: malformed input: {fault}", file=sys.stderr)
+    except Malformed as error:
+        print(f"millfront: malformed input: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -135,7 +135,7 @@
 def test_outcome_record_is_read_field_by_field() -> None:
     body = struct.pack("<QHBHIHIHB", 41, 303, 1, 4, 77, 0, 1234, 2, 1) + struct.pack("<f", 0.5)
     reader = benchlink.Reader(body)
-    event = benchlink.resolved(reader)
+    event = benchlink.attempt_ended(reader)
     assert event == api.AttemptEnded(41, 2, 77, api.Outcome.TIMEOUT, True, 1234, 4)
     assert reader.at == len(body)
 
