--- a/millfront/node/service.py
+++ b/millfront/node/service.py
@@ -45,11 +45,11 @@
         self.pool = Pool(self.host, self.members, node, config.discovery)
         self.counter: Counter | None = None
         self.tuning = Tuning(settings, node)
-        self.book = Book(self.host, node.most_units)
+        self.book = Book(self.host, node.max_units)
         self.ways = Ways(max(1, config.memory_mb * 1024 * 1024 // PART // EACH))
         self.send = Send(self.clock, self.members, Route(self.members), self.book, self.ways, self._begin)
         self.admit = Admit(self.host, min(node.max_open, config.most_clients))
-        self.take_in = TakeIn(self.tuning, node.most_units)
+        self.take_in = TakeIn(self.tuning, node.max_units)
         self.server = VirtualServer(
             self.clock, self.host, self.take_in, self.admit, self.ready, config.most_clients
         )
@@ -195,8 +195,8 @@
         if self.interim is not None:
             retuned = replace(retuned, settings=self.interim(retuned.settings))
         told, node = self.config, self.config.node
-        self.take_in.take(self.tuning, node.most_units)
-        self.book.most_units = node.most_units
+        self.take_in.take(self.tuning, node.max_units)
+        self.book.most_units = node.max_units
         self.admit.most_open = min(node.max_open, told.most_clients)
         self.members.retune(node.connect_timeout_us, node.keepalive_us)
         if self.counter is not None:
--- a/millfront/settings.py
+++ b/millfront/settings.py
@@ -7,7 +7,7 @@
 
 from millfront import interface as api
 
-LARGEST_UNITS = 1e4  # where the settings name no largest request
+DEFAULT_MAX_UNITS = 1e4  # where the settings name no largest request
 
 
 class SettingsError(Exception):
@@ -25,17 +25,17 @@
     keepalive_us: int
     connect_timeout_us: int
     max_open: int
-    most_units: float  # of one request
+    max_units: float  # of one request
 
 
 def settings_from(text: bytes) -> api.Settings:
     """The decisions' settings; unknown keys are ignored, a missing or mistyped one is refused by name."""
     try:
         settings = _settings(json.loads(text))
-    except KeyError as missing:
-        raise SettingsError(f"settings lack {missing.args[0]}") from None
-    except (TypeError, ValueError, AttributeError) as wrong:
-        raise SettingsError(f"settings unreadable: {wrong}") from None
+    except KeyError as error:
+        raise SettingsError(f"settings lack {error.args[0]}") from None
+    except (TypeError, ValueError, AttributeError) as error:
+        raise SettingsError(f"settings unreadable: {error}") from None
     check(settings)
     return settings
 
@@ -45,7 +45,7 @@
 
     :raises SettingsError: with the name of the first such field
     """
-    wrong = {
+    invalid = {
         "peers": settings.peers < 1,
         "me": not 0 <= settings.me < max(1, settings.peers),
         "classes": not settings.classes,
@@ -59,20 +59,20 @@
         "plans.ceiling_rate": any(p.ceiling_rate < 0 for p in settings.plans),
         "rules.cold_from": not 0 < settings.rules.cold_from <= 1,
     }
-    for name, bad in wrong.items():
-        if bad:
+    for name, is_invalid in invalid.items():
+        if is_invalid:
             raise SettingsError(f"{name} is missing or out of range")
 
 
-def _number(entry: dict[str, Any], key: str, otherwise: float | None = None) -> float:
+def _number(entry: dict[str, Any], key: str, default: float | None = None) -> float:
     """:raises SettingsError: it is no number, and which one; a text that reads as one is a slip too"""
-    value = entry[key] if otherwise is None else entry.get(key) or otherwise
+    value = entry[key] if default is None else entry.get(key) or default
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise SettingsError(f"{key}: {value!r} is not a number")
     return float(value)
 
 
-def _whole(entry: dict[str, Any], key: str) -> int:
+def _integer(entry: dict[str, Any], key: str) -> int:
     return int(_number(entry, key))
 
 
@@ -82,46 +82,46 @@
     return bool(entry[key])
 
 
-def _settings(info: dict[str, Any]) -> api.Settings:
-    allowed, rules, family = info["Allowed"], info["Rules"], info["FamilyInfo"]
+def _settings(document: dict[str, Any]) -> api.Settings:
+    allowed, rules, family = document["Allowed"], document["Rules"], document["FamilyInfo"]
     return api.Settings(
-        me=_whole(info, "Me"),
-        peers=_whole(info, "PeersTotal"),
-        zone=_whole(info, "MyZone"),
-        classes=tuple(_class(entry) for entry in info["Classes"]),
-        plans=tuple(_plan(entry) for entry in info["Packages"]),
+        me=_integer(document, "Me"),
+        peers=_integer(document, "PeersTotal"),
+        zone=_integer(document, "MyZone"),
+        classes=tuple(_class(entry) for entry in document["Classes"]),
+        plans=tuple(_plan(entry) for entry in document["Packages"]),
         allowed=api.Allowed(
             probes=_flag(allowed, "Probes"),
             cancel=_flag(allowed, "Cancel"),
             second_copies=_flag(allowed, "SecondCopies"),
             retry_after=_flag(allowed, "RetryAfter"),
-            max_attempts=_whole(allowed, "MostTries"),
-            max_retry_after_us=_whole(allowed, "MaxRetryAfterUs"),
+            max_attempts=_integer(allowed, "MostTries"),
+            max_retry_after_us=_integer(allowed, "MaxRetryAfterUs"),
         ),
         rules=api.Rules(
-            drain_grace_us=_whole(rules, "DrainGraceUs"),
+            drain_grace_us=_integer(rules, "DrainGraceUs"),
             cold_from=_number(rules, "ColdFrom"),
-            ramp_us=_whole(rules, "RampTimeUs"),
+            ramp_us=_integer(rules, "RampTimeUs"),
             fall_multiple=_number(rules, "FallMultiple"),
-            fall_us=_whole(rules, "FallUs"),
+            fall_us=_integer(rules, "FallUs"),
         ),
-        weights_known=info["Weights"] != "none",
+        weights_known=document["Weights"] != "none",
         counter=_flag(family, "SharedCounter"),
-        counter_timeout_us=_whole(family, "CountWaitUs"),
+        counter_timeout_us=_integer(family, "CountWaitUs"),
         most_units=_number(family, "UnitsTop", 0.0),
-        handshake_price=_number(info.get("Charges") or {}, "Handshake", 0.0),
+        handshake_price=_number(document.get("Charges") or {}, "Handshake", 0.0),
     )
 
 
 def _class(entry: dict[str, Any]) -> api.RequestClass:
     return api.RequestClass(
-        aim_us=_whole(entry, "AimUs"),
-        deadline_us=_whole(entry, "HardLimitUs"),
+        aim_us=_integer(entry, "AimUs"),
+        deadline_us=_integer(entry, "HardLimitUs"),
         worth=_number(entry, "Worth"),
         late_worth=_number(entry, "LateValue"),
         repeat=api.Repeat(entry["Repeat"]),
         group=api.Group(entry["Group"]),
-        window_us=_whole(entry, "WindowUs"),
+        window_us=_integer(entry, "WindowUs"),
         stream=_flag(entry, "Stream"),
     )
 
@@ -130,7 +130,7 @@
     return api.Plan(
         rate=_number(entry, "Refill"),
         burst=_number(entry, "MostAtOnce"),
-        open_limit=_whole(entry, "Concurrency"),
+        open_limit=_integer(entry, "Concurrency"),
         worth_factor=_number(entry, "WorthFactor"),
         over_worth=_number(entry, "ExtraWorth"),
         over_cost=_number(entry, "OverrunCost"),
@@ -140,24 +140,24 @@
     )
 
 
-def node_settings_from(info: dict[str, Any]) -> NodeSettings:
+def node_settings_from(document: dict[str, Any]) -> NodeSettings:
     """The same object as a node reads it."""
     try:
-        allowed = info["Allowed"]
+        allowed = document["Allowed"]
         return NodeSettings(
-            classes=_positions([entry["Name"] for entry in info["Classes"]]),
-            plans=_positions([entry["Name"] for entry in info["Packages"]]),
-            zones=_positions(info["Zones"]),
-            kinds=_positions(info["Kinds"]),
-            keepalive_us=_whole(allowed, "KeepaliveUs"),
-            connect_timeout_us=_whole(allowed, "ConnectTimeoutUs"),
-            max_open=_whole(allowed, "MaxOpen"),
-            most_units=_number(info["FamilyInfo"], "UnitsTop", LARGEST_UNITS),
+            classes=_positions([entry["Name"] for entry in document["Classes"]]),
+            plans=_positions([entry["Name"] for entry in document["Packages"]]),
+            zones=_positions(document["Zones"]),
+            kinds=_positions(document["Kinds"]),
+            keepalive_us=_integer(allowed, "KeepaliveUs"),
+            connect_timeout_us=_integer(allowed, "ConnectTimeoutUs"),
+            max_open=_integer(allowed, "MaxOpen"),
+            max_units=_number(document["FamilyInfo"], "UnitsTop", DEFAULT_MAX_UNITS),
         )
-    except KeyError as missing:
-        raise SettingsError(f"settings lack {missing.args[0]}") from None
-    except (TypeError, ValueError, AttributeError) as wrong:
-        raise SettingsError(f"settings unreadable: {wrong}") from None
+    except KeyError as error:
+        raise SettingsError(f"settings lack {error.args[0]}") from None
+    except (TypeError, ValueError, AttributeError) as error:
+        raise SettingsError(f"settings unreadable: {error}") from None
 
 
 def _positions(names: list[str]) -> dict[str, int]:
