--- a/millfront/choice.py
+++ b/millfront/choice.py
@@ -1,20 +1,20 @@
 """The gateway: time and events come in, actions go out; a request's way, the beat and the counter."""
 
 from millfront import interface as api
-from millfront.decisions.attempts import MOST_HEDGES, Attempts
-from millfront.decisions.customers import TICK_US
-from millfront.decisions.prices import EPOCH_US, PACK, SECOND, grain_of
+from millfront.decisions.attempts import MAX_HEDGE_TOKENS, Attempts
+from millfront.decisions.customers import COUNTER_PERIOD_US
+from millfront.decisions.prices import EPOCH_US, PACK_BASE, SECOND_US, counter_quantum
 from millfront.decisions.state import Call, Customer, Request
 
-BEAT_US, BEAT = 20_000, 1  # timer of all periodic work: fine beside any aim, coarse beside CPU; its token
-SPARE = 100  # units: sent may fall below nothing, where units are given back under the next epoch's name
+TIMER_PERIOD_US, TIMER_TOKEN = 20_000, 1  # short beside any aim, long beside the CPU time of a run
+SENT_OFFSET = 100  # units; the sent count is negative when units are given back in the next epoch
 NAME_TTL_US = 2 * EPOCH_US  # outlives its epoch whoever called first; under the 60 s a counter grants
-FIRST_MORE, MORE_CALLS = 0.5, 40.0  # a call answered soon adds, before the first cut; a second of them, after
-FEWER_CALLS, CUT_REST, LEAST_CALLS = 0.8, 3.0, 0.5  # a cut; waits till the next, for the line to go; at least
-SLOW_CALL = 0.3  # of the wait for an answer: a line that long grows until no answer comes in time
-IDLE_US = 30 * SECOND  # least idle time before a customer is forgotten
+INITIAL_RATE_STEP, RATE_STEP = 0.5, 40.0  # per fast answer: until the first cut; after it, in all calls' sum
+RATE_CUT, CUT_INTERVAL, MIN_CALL_RATE = 0.8, 3.0, 0.5  # factor; in counter time-outs; calls a second
+SLOW_CALL_SHARE = 0.3  # of the wait for an answer: a line that long grows until no answer comes in time
+IDLE_US = 30 * SECOND_US  # least idle time before a customer is forgotten
 QUIET_SHARE = 0.25  # of a tick's even slice: until so much was asked, no total can change what is let in
-HEDGE_BUDGET = 0.05  # copies per request; each attempt found lost pays for one more
+HEDGE_RATIO = 0.05  # copies per request; each attempt found lost pays for one more
 
 
 class Gateway(Attempts):
@@ -27,7 +27,7 @@
             case api.AttemptEnded():
                 self.on_attempt_ended(now, event)
             case api.TimerFired():
-                self.on_beat(now)
+                self.on_timer(now)
             case api.CounterAnswered():
                 self.on_counter(now, event)
             case api.UnitsLeased(key, units) if key in self.customers:
@@ -43,8 +43,8 @@
             case api.StreamStarted():
                 self.on_stream(now, event)
             case api.Started():
-                self.born_us = self.paced_us = now
-                self.actions.append(api.SetTimer(BEAT_US, BEAT))
+                self.started_us = self.call_tokens_us = now
+                self.actions.append(api.SetTimer(TIMER_PERIOD_US, TIMER_TOKEN))
         return self.actions
 
     def on_retuned(self, event: api.Retuned) -> None:
@@ -53,18 +53,18 @@
         self.settings = event.settings
         for customer in self.customers.values():
             customer.plan = plans.get(id(customer.plan), customer.plan)
-        self.weigh_classes()
+        self.update_classes()
 
     def on_request(self, now: int, event: api.RequestArrived) -> None:
         customer = self.customer_of(now, event)
         self.refill(now, customer)
-        customer.asked += event.units
-        customer.seen_us = now
+        customer.demand += event.units
+        customer.active_us = now
         end, since = now + event.patience_us, now if event.whole else now + event.patience_us
-        kind, tries = self.settings.classes[event.cls], self.settings.allowed.max_attempts
-        tries = tries if event.whole else 1
-        request = Request(event.request, event.cls, kind, tries, customer, since, end, event.units)
-        if not event.reserves and self.asks_first(now, request):
+        kind, max_attempts = self.settings.classes[event.cls], self.settings.allowed.max_attempts
+        max_attempts = max_attempts if event.whole else 1
+        request = Request(event.request, event.cls, kind, max_attempts, customer, since, end, event.units)
+        if not event.reserves and self.awaits_total(now, request):
             self.requests[request.id] = request
             customer.sent += request.units
             self.call_counter(now, customer, request)
@@ -73,16 +73,16 @@
 
     def admit(self, now: int, request: Request, reserves: bool = False) -> None:
         customer, units = request.customer, request.units
-        odds = self.odds_inside(customer, units, request.cls)
-        if reserves and odds < 1.0:
+        probability = self.quota_probability(customer, units, request.cls)
+        if reserves and probability < 1.0:
             self.actions.append(api.Short(customer.key, units, customer.leased, customer.gateways))
-        request.reserved = odds < 1.0 and customer.leased >= units
-        odds = 1.0 if request.reserved else odds
-        request.inside = odds > 0.0
-        net = odds + (1.0 - odds) * (customer.plan.over_worth - customer.plan.over_cost)
+        request.reserved = probability < 1.0 and customer.leased >= units
+        probability = 1.0 if request.reserved else probability
+        request.in_quota = probability > 0.0
+        net = probability + (1.0 - probability) * (customer.plan.over_worth - customer.plan.over_cost)
         backend = None
         if net > 0.0 and (request.reserved or self.ceiling_allows(customer, units)):
-            backend = self.pick(now, request) if self.worth_its_work(now, request, net) else None
+            backend = self.pick(now, request) if self.worth_sending(now, request, net) else None
         if backend is None:
             self.actions.append(self.refusal(request))
             return
@@ -91,78 +91,78 @@
             customer.ceiling -= units
         if request.reserved:
             customer.leased -= units
-        elif request.inside:
+        elif request.in_quota:
             customer.bucket -= units
             customer.sent += units
-        self.hedges = min(self.hedges + HEDGE_BUDGET, MOST_HEDGES)
+        self.hedge_tokens = min(self.hedge_tokens + HEDGE_RATIO, MAX_HEDGE_TOKENS)
         self.send(now, request, backend)
 
-    def asks_first(self, now: int, request: Request) -> bool:
+    def awaits_total(self, now: int, request: Request) -> bool:
         """Whether a thin customer's request, which the slice does not hold, waits for its total."""
         customer, units = request.customer, request.units
-        if not self.thin(customer) or (now < customer.due_us and customer.store < units):
+        if not self.small_share(customer) or (now < customer.next_call_us and customer.global_bucket < units):
             return False
-        holds = customer.bucket >= units and self.odds_inside(customer, units, request.cls) >= 1.0
-        holds = holds and self.ceiling_allows(customer, units)
-        return not holds and self.may_call(now, self.reserve[request.cls])
+        covered = customer.bucket >= units and self.quota_probability(customer, units, request.cls) >= 1.0
+        covered = covered and self.ceiling_allows(customer, units)
+        return not covered and self.take_call_token(now, self.class_reserve[request.cls])
 
-    def on_beat(self, now: int) -> None:
-        self.actions.append(api.SetTimer(BEAT_US, BEAT))
-        for request in [r for r in self.requests.values() if not r.stream]:
+    def on_timer(self, now: int) -> None:
+        self.actions.append(api.SetTimer(TIMER_PERIOD_US, TIMER_TOKEN))
+        for request in [r for r in self.requests.values() if not r.streaming]:
             for number, attempt in enumerate(request.attempts):
                 if not attempt.ended:
-                    self.judge(now, request, number)
+                    self.adjust_window(now, request, number)
             if self.too_late(now, request):
-                request.over = True
+                request.finished = True
                 self.actions.append(self.final_answer(request))
             elif self.wants_hedge(now, request):
                 backend = self.pick(now, request)
                 if backend is not None:
-                    self.hedges -= 1.0
+                    self.hedge_tokens -= 1.0
                     self.send(now, request, backend)
-        due = [customer for customer in self.customers.values() if now >= customer.due_us]
-        for customer in sorted(due, key=lambda one: one.due_us):
-            self.tell_counter(now, customer)
+        due = [customer for customer in self.customers.values() if now >= customer.next_call_us]
+        for customer in sorted(due, key=lambda one: one.next_call_us):
+            self.update_customer(now, customer)
         for backend in self.backends.values():
-            if backend.ejected_until and not backend.stopped and now >= backend.ejected_until:
+            if backend.ejected_until_us and not backend.stopped and now >= backend.ejected_until_us:
                 self.readmit(now, backend)
 
-    def tell_counter(self, now: int, customer: Customer) -> None:
+    def update_customer(self, now: int, customer: Customer) -> None:
         """One call adds this tick's units and reads S: what came since the last one is everybody's tick."""
         plan, n = customer.plan, customer.gateways
-        if now - customer.seen_us > max(IDLE_US, self.full_after_us(plan, n)) and not customer.out:
+        if now - customer.active_us > max(IDLE_US, self.refill_time_us(plan, n)) and not customer.open:
             del self.customers[customer.key]
             return
-        quiet = customer.asked < QUIET_SHARE * plan.rate / n * TICK_US / SECOND
-        quiet = quiet and (not self.thin(customer) or abs(customer.sent) < 1.0)
+        quiet = customer.demand < QUIET_SHARE * plan.rate / n * COUNTER_PERIOD_US / SECOND_US
+        quiet = quiet and (not self.small_share(customer) or abs(customer.sent) < 1.0)
         if quiet or plan.rate <= 0 or n == 1 or not self.settings.counter:
-            customer.due_us = now + TICK_US
-            self.set_level(customer, None, 0.0, 0.0)
-        elif self.may_call(now, 0.5 * self.thin(customer)):
+            customer.next_call_us = now + COUNTER_PERIOD_US
+            self.update_rate(customer, None, 0.0, 0.0)
+        elif self.take_call_token(now, 0.5 * self.small_share(customer)):
             self.call_counter(now, customer, None)
 
-    def may_call(self, now: int, kept: float) -> bool:
+    def take_call_token(self, now: int, reserved: float) -> bool:
         """Calls go at the rate that the counter bears: a line of all gateways' calls answers none in time."""
-        saved = self.calls_left + (now - self.paced_us) / SECOND * self.call_rate
-        most = max(1.0, self.call_rate * TICK_US / SECOND)
-        self.calls_left, self.paced_us = min(saved, most), now
-        if self.calls_left < 1.0 + kept * (most - 1.0):
+        tokens = self.call_tokens + (now - self.call_tokens_us) / SECOND_US * self.call_rate
+        max_tokens = max(1.0, self.call_rate * COUNTER_PERIOD_US / SECOND_US)
+        self.call_tokens, self.call_tokens_us = min(tokens, max_tokens), now
+        if self.call_tokens < 1.0 + reserved * (max_tokens - 1.0):
             return False
-        self.calls_left -= 1.0
+        self.call_tokens -= 1.0
         return True
 
     def call_counter(self, now: int, customer: Customer, request: Request | None) -> None:
-        customer.due_us = now + TICK_US
-        grain, epoch = grain_of(customer.plan), now // EPOCH_US
-        sent = min(round(customer.sent / grain), PACK - 1)  # less than none: units told and then not let in
-        asked = min(round(customer.asked / grain), PACK - 1)
-        customer.sent -= sent * grain
-        customer.asked -= asked * grain
+        customer.next_call_us = now + COUNTER_PERIOD_US
+        quantum, epoch = counter_quantum(customer.plan), now // EPOCH_US
+        sent = min(round(customer.sent / quantum), PACK_BASE - 1)  # below 0: counted, then not let in
+        demand = min(round(customer.demand / quantum), PACK_BASE - 1)
+        customer.sent -= sent * quantum
+        customer.demand -= demand * quantum
         # Gateways that hold another version of a live plan must not read totals of another grain as theirs.
-        grains = () if grain == 1.0 else (int(grain * 1e6),)
-        name = api.mixed(customer.key, epoch, *grains)
-        self.calls.setdefault(name, []).append(Call(customer.key, epoch, sent, asked, now, grain, request))
-        self.actions.append(api.Count(name, float(sent + PACK * asked), NAME_TTL_US))
+        quantum_part = () if quantum == 1.0 else (int(quantum * 1e6),)
+        name = api.stable_hash(customer.key, epoch, *quantum_part)
+        self.calls.setdefault(name, []).append(Call(customer.key, epoch, sent, demand, now, quantum, request))
+        self.actions.append(api.Count(name, float(sent + PACK_BASE * demand), NAME_TTL_US))
 
     def on_counter(self, now: int, event: api.CounterAnswered) -> None:
         waiting = self.calls.get(event.name)
@@ -172,48 +172,48 @@
         if not waiting:
             del self.calls[event.name]
         if event.outcome is not api.Outcome.RESET:  # a lost connection says nothing of the counter's load
-            self.heed(now, call, event.outcome is api.Outcome.OK)
+            self.adjust_call_rate(now, call, event.outcome is api.Outcome.OK)
         if (customer := self.customers.get(call.customer)) is not None:
             self.refill(now, customer)
-            self.take_total(customer, call, event)
+            self.apply_total(customer, call, event)
         if (request := call.request) is not None:
             request.customer.sent -= request.units  # told as let in, before that was known
-            if self.requests.pop(request.id, request) is request and not request.over:
+            if self.requests.pop(request.id, request) is request and not request.finished:
                 self.admit(now, request)
 
-    def take_total(self, customer: Customer, call: Call, event: api.CounterAnswered) -> None:
-        grain = call.grain
+    def apply_total(self, customer: Customer, call: Call, event: api.CounterAnswered) -> None:
+        quantum = call.quantum
         if event.outcome is not api.Outcome.OK:
             if event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.RESET):  # surely not: told again
-                customer.sent += call.sent * grain
-                customer.asked += call.asked * grain
-            self.set_level(customer, None, 0.0, 0.0)
+                customer.sent += call.sent * quantum
+                customer.demand += call.demand * quantum
+            self.update_rate(customer, None, 0.0, 0.0)
             return
-        if grain != grain_of(customer.plan) or customer.plan.rate <= 0:  # the plan before's totals
+        if quantum != counter_quantum(customer.plan) or customer.plan.rate <= 0:  # the plan before's totals
             return
-        asked, sent = divmod(round(event.total) + SPARE, PACK)
-        sent -= SPARE
+        demand, sent = divmod(round(event.total) + SENT_OFFSET, PACK_BASE)
+        sent -= SENT_OFFSET
         known = customer.epoch == call.epoch  # a new name counts from nothing; the old one's last is missed
         new_sent = sent - customer.sent_total if known else sent
-        new_asked = asked - customer.asked_total if known else asked
-        seconds = max(call.made_us - customer.read_us, BEAT_US) / SECOND
-        customer.epoch, customer.sent_total, customer.asked_total = call.epoch, sent, asked
-        customer.read_us = call.made_us
-        own, share = call.sent * grain / seconds, call.asked / max(new_asked, 1)
-        if new_asked < call.asked:  # it forgot
-            self.set_level(customer, None, own, 0.0)
+        new_demand = demand - customer.demand_total if known else demand
+        seconds = max(call.made_us - customer.total_read_us, TIMER_PERIOD_US) / SECOND_US
+        customer.epoch, customer.sent_total, customer.demand_total = call.epoch, sent, demand
+        customer.total_read_us = call.made_us
+        own_rate, share = call.sent * quantum / seconds, call.demand / max(new_demand, 1)
+        if new_demand < call.demand:  # it forgot
+            self.update_rate(customer, None, own_rate, 0.0)
             return
-        customer.others = max(0, new_sent - call.sent) * grain / seconds
-        self.scale(customer, new_sent * grain, share, new_asked * grain, seconds)
+        customer.others_rate = max(0, new_sent - call.sent) * quantum / seconds
+        self.rebalance(customer, new_sent * quantum, share, new_demand * quantum, seconds)
         if call.request is not None:  # its own units are in the total: this bucket is what it found
             customer.bucket += call.request.units * customer.share
-            customer.ceiling = max(customer.ceiling, min(customer.cap, call.request.units))
-        self.set_level(customer, new_sent * grain / seconds if known else None, own, share * known)
+            customer.ceiling = max(customer.ceiling, min(customer.global_ceiling, call.request.units))
+        self.update_rate(customer, new_sent * quantum / seconds if known else None, own_rate, share * known)
 
-    def heed(self, now: int, call: Call, answered: bool) -> None:
+    def adjust_call_rate(self, now: int, call: Call, answered: bool) -> None:
         """Fewer calls when answers come late, one cut for all that were out; more while they come soon."""
-        if answered and now - call.made_us < SLOW_CALL * self.settings.counter_timeout_us:
-            more = MORE_CALLS / self.settings.peers / self.call_rate
-            self.call_rate += more if self.cut_us else FIRST_MORE
-        elif call.made_us >= self.cut_us + CUT_REST * self.settings.counter_timeout_us:
-            self.call_rate, self.cut_us = max(LEAST_CALLS, self.call_rate * FEWER_CALLS), now
+        if answered and now - call.made_us < SLOW_CALL_SHARE * self.settings.counter_timeout_us:
+            step = RATE_STEP / self.settings.peers / self.call_rate
+            self.call_rate += step if self.rate_cut_us else INITIAL_RATE_STEP
+        elif call.made_us >= self.rate_cut_us + CUT_INTERVAL * self.settings.counter_timeout_us:
+            self.call_rate, self.rate_cut_us = max(MIN_CALL_RATE, self.call_rate * RATE_CUT), now
--- a/millfront/dataplane/admission.py
+++ b/millfront/dataplane/admission.py
@@ -15,7 +15,7 @@
 from typing import Any, Protocol
 
 from millfront.control.configuration import Tenant
-from millfront.decisions.prices import level_at, next_price
+from millfront.decisions.prices import next_price, refill_rate
 from millfront.environment import Bounds
 from millfront.quotas.allowance import token_life_s
 from millfront.quotas.requester import ADMITTED, Decision, Outcome, Then
@@ -292,4 +292,6 @@
         account.price = next_price(account.price, total, quota, HIGHEST_PRICE)
         room = max(quota - total, 0.0)
         least = max(LEAST_SHARE * quota * even if total < quota else 0.0, LEAST_LEVEL)
-        account.level = level_at(account.price, quota, self.n, account.own_sent, room, account.share, least)
+        account.level = refill_rate(
+            account.price, quota, self.n, account.own_sent, room, account.share, least
+        )
--- a/millfront/decisions/cold.py
+++ b/millfront/decisions/cold.py
@@ -2,11 +2,11 @@
 
 from millfront.decisions.state import Backend, State
 
-COLD_HEADROOM, COLD_CREDIT = 1.2, 2.0  # of its fair share: lets it catch up; sends it may save up
+COLD_HEADROOM, MAX_COLD_CREDIT = 1.2, 2.0  # of its fair share: lets it catch up; sends it may save up
 
 
-class Cold(State):
-    def cold_share(self, now: int, backend: Backend) -> float:
+class ColdBackends(State):
+    def capacity_share(self, now: int, backend: Backend) -> float:
         """The least capacity the backend may have, as a share of its full one."""
         rules = self.settings.rules
         if not backend.started_us:
@@ -16,13 +16,13 @@
 
     def spend_credit(self, now: int, chosen: Backend) -> None:
         """Rule 4 by this gateway alone: any send earns each cold backend its part by capacity of now."""
-        able = [(b, b.weight * self.cold_share(now, b)) for b in self.backends.values() if not b.stopped]
-        whole = sum(capacity for _, capacity in able) or 1.0
-        for backend, capacity in able:
+        ready = [(b, b.weight * self.capacity_share(now, b)) for b in self.backends.values() if not b.stopped]
+        total = sum(capacity for _, capacity in ready) or 1.0
+        for backend, capacity in ready:
             if capacity < backend.weight:
-                backend.credit = min(COLD_CREDIT, backend.credit + COLD_HEADROOM * capacity / whole)
+                backend.credit = min(MAX_COLD_CREDIT, backend.credit + COLD_HEADROOM * capacity / total)
         chosen.credit -= 1.0
 
-    def restarted(self, backend: Backend, started_us: int) -> None:
+    def mark_restarted(self, backend: Backend, started_us: int) -> None:
         backend.started_us, backend.credit = started_us, self.random.random()
-        backend.slow, backend.errors, backend.rests_until, backend.reset = 1.0, 0.0, 0, False
+        backend.slowness, backend.error_rate, backend.paused_until_us, backend.was_reset = 1.0, 0.0, 0, False
--- a/millfront/decisions/prices.py
+++ b/millfront/decisions/prices.py
@@ -2,27 +2,27 @@
 
 from millfront import interface as api
 
-SECOND = 1_000_000
-STEP = 0.5  # ν, price per tick at zero demand: two idle ticks open a level, two full ones close it
-LEAST_PRICE = 1e-3  # keeps the level finite; the room cap binds long before
-PACK = 2000  # units: asked and sent share one total, which is exact to seven digits
-EPOCH_US = 15 * SECOND  # one name serves so long: short enough for exact totals
-COUNTED_OVER = 3.0  # times the quota asked over an epoch that a total must hold exactly
+SECOND_US = 1_000_000
+PRICE_STEP = 0.5  # ν, price per tick at zero demand: two idle ticks open a level, two full ones close it
+MIN_PRICE = 1e-3  # keeps the level finite; the room cap binds long before
+PACK_BASE = 2000  # units: asked and sent share one total, which is exact to seven digits
+EPOCH_US = 15 * SECOND_US  # one name serves so long: short enough for exact totals
+MAX_DEMAND_RATIO = 3.0  # times the quota asked over an epoch that a total must hold exactly
 
 
-def next_price(price: float, sent_total: float, quota: float, most: float = 1.0) -> float:
+def next_price(price: float, sent_total: float, quota: float, max_price: float = 1.0) -> float:
     """The paper's projected step, φ ← min{max{φ - ν(1 - S/Q), 0}, most}; 1 is the even slice's price."""
-    return min(max(price - STEP * (1.0 - sent_total / quota), 0.0), most)
+    return min(max(price - PRICE_STEP * (1.0 - sent_total / quota), 0.0), max_price)
 
 
-def level_at(
-    price: float, quota: float, n: int, own: float, room: float, share: float, least: float = -1
+def refill_rate(
+    price: float, quota: float, n: int, own_rate: float, unused: float, share: float, floor: float = -1
 ) -> float:
-    """ℓ maximises (Q/n)·log ℓ - φ·ℓ, capped by own use plus its share of room, floored at the even slice."""
+    """ℓ maximises (Q/n)·log ℓ - φ·ℓ, at most own use plus a share of the unused, at least the even part"""
     even = quota / n
-    return max(min(even / max(price, LEAST_PRICE), own + room * share), even if least < 0 else least)
+    return max(min(even / max(price, MIN_PRICE), own_rate + unused * share), even if floor < 0 else floor)
 
 
-def grain_of(plan: api.Plan) -> float:
+def counter_quantum(plan: api.Plan) -> float:
     """Units counted as one, so that an epoch's totals stay exact."""
-    return max(1.0, COUNTED_OVER * plan.rate * EPOCH_US / SECOND / PACK)
+    return max(1.0, MAX_DEMAND_RATIO * plan.rate * EPOCH_US / SECOND_US / PACK_BASE)
--- a/millfront/interface.py
+++ b/millfront/interface.py
@@ -348,7 +348,7 @@
 )
 
 
-def mixed(*parts: int) -> int:
+def stable_hash(*parts: int) -> int:
     """A 64-bit hash (splitmix), the same at every gateway."""
     state = 0
     for part in parts:
--- a/millfront/node/host.py
+++ b/millfront/node/host.py
@@ -245,7 +245,7 @@
 
     def live_plans(self, reserving: Reserving, carry: Callable[[int, Customer, api.Plan], None]) -> None:
         """Switch live plans on: what leases units, and what becomes of an allowance on a change."""
-        self.reserving, self._gateway.carry = reserving, carry
+        self.reserving, self._gateway.on_plan_change = reserving, carry
 
     @property
     def gateway(self) -> Gateway:
--- a/millfront/plans/carry.py
+++ b/millfront/plans/carry.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from millfront.decisions.prices import grain_of
+from millfront.decisions.prices import counter_quantum
 from millfront.interface import Plan
 
 SECOND = 1_000_000
@@ -38,14 +38,14 @@
     plan: Plan
     gateways: int
     bucket: float
-    level: float
+    refill_rate: float
     ceiling: float
     share: float
-    store: float
+    global_bucket: float
     price: float
     epoch: int
     sent_total: int
-    carried: Any
+    live_plan_state: Any
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,32 +59,32 @@
 def carry(now: int, held: Held, new: Plan) -> None:
     """Put the customer on the new plan. The caller has filled its bucket up to the instant of the change."""
     old, n = held.plan, held.gateways
-    if grain_of(old) != grain_of(new):
+    if counter_quantum(old) != counter_quantum(new):
         held.epoch, held.sent_total = -1, NONE_READ
     left = 0.0
     if new.rate > 0:
         left = _carry_store(now, held, old, new)
     held.price = FIRST_PRICE
-    held.level = new.rate / n
+    held.refill_rate = new.rate / n
     held.ceiling = min(held.ceiling, new.ceiling_burst / n) if old.ceiling_rate > 0 else 0.0
     held.plan = new
-    held.carried = Carried(left, now)
+    held.live_plan_state = Carried(left, now)
 
 
 def _carry_store(now: int, held: Held, old: Plan, new: Plan) -> float:
     """The store and this gateway's part of it; returns what is left of the deficit."""
     if old.rate <= 0:  # without a store nothing was counted: begins as a customer never seen does
-        held.store, held.bucket = new.burst, new.burst * held.share
+        held.global_bucket, held.bucket = new.burst, new.burst * held.share
         return 0.0
     # This gateway's bucket over its share tells the store sooner than the last total does.
     store = min(held.bucket / held.share, old.burst)
     deficit = max(0.0, old.burst - store)
-    if isinstance(held.carried, Carried):
-        filled = old.rate * (now - held.carried.since_us) / SECOND
-        full_since = store >= old.burst and filled >= held.carried.deficit
-        deficit += 0.0 if full_since else held.carried.deficit
+    if isinstance(held.live_plan_state, Carried):
+        filled = old.rate * (now - held.live_plan_state.since_us) / SECOND
+        full_since = store >= old.burst and filled >= held.live_plan_state.deficit
+        deficit += 0.0 if full_since else held.live_plan_state.deficit
     # What is in hand is not taken away by a larger plan, whatever deficit is still remembered.
     after = min(max(store if new.burst > old.burst else 0.0, new.burst - deficit), new.burst)
     held.bucket = after * held.share
-    held.store = min(max(held.store + after - store, 0.0), new.burst)
+    held.global_bucket = min(max(held.global_bucket + after - store, 0.0), new.burst)
     return max(0.0, deficit - (new.burst - after))
--- a/millfront/plans/leases.py
+++ b/millfront/plans/leases.py
@@ -169,7 +169,7 @@
 
     def _call(self, pool: _Pool, period: int, introduced: float, chunk: float) -> api.Count:
         windowed = pool.held.rate is not None
-        name = api.mixed(pool.held.key, windowed, period)
+        name = api.stable_hash(pool.held.key, windowed, period)
         pool.calling = pool.calling or chunk > 0.0
         pool.added[period] = pool.added.get(period, 0.0) + introduced + chunk
         pool.own += chunk
--- a/millfront/takeover.py
+++ b/millfront/takeover.py
@@ -11,16 +11,24 @@
 from typing import Any
 
 from millfront.choice import Gateway
-from millfront.decisions.customers import TICK_US
+from millfront.decisions.customers import COUNTER_PERIOD_US
 from millfront.decisions.state import Backend, Customer
-from millfront.interface import mixed
+from millfront.interface import stable_hash
 
 VERSION = 1
 MOST_CUSTOMERS = 20_000  # the last seen: bounds the text to some 5 MB
-HALVED = ("bucket", "ceiling", "share", "mean_out")
-KEPT = ("level", "store", "cap", "price", "others")
-TOLD = ("epoch", "sent_total", "asked_total")  # of the counter's totals
-LEARNED = ("slow", "errors", "ejected_until", "ejections", "rests_until", "started_us", "answered_us")
+HALVED = ("bucket", "ceiling", "share", "mean_open")
+KEPT = ("refill_rate", "global_bucket", "global_ceiling", "price", "others_rate")
+TOLD = ("epoch", "sent_total", "demand_total")  # of the counter's totals
+LEARNED = (
+    "slowness",
+    "error_rate",
+    "ejected_until_us",
+    "ejections",
+    "paused_until_us",
+    "started_us",
+    "answered_us",
+)
 
 
 class Unusable(Exception):
@@ -34,7 +42,7 @@
         customer.gateways *= 2
         for name in HALVED:
             setattr(customer, name, getattr(customer, name) / 2)
-        customer.level /= 2
+        customer.refill_rate /= 2
 
 
 def reunite(gateway: Gateway) -> None:
@@ -53,11 +61,11 @@
     :param plans: names by place
     :param members: names by the module's number
     """
-    known = [c for c in gateway.customers.values() if c.carried is None]
-    known.sort(key=lambda c: -c.seen_us)
+    known = [c for c in gateway.customers.values() if c.live_plan_state is None]
+    known.sort(key=lambda c: -c.active_us)
     places = {id(plan): place for place, plan in enumerate(gateway.settings.plans)}
     customers = [
-        [c.key, plans[places[id(c.plan)]], c.gateways, c.filled_us, c.seen_us, c.read_us]
+        [c.key, plans[places[id(c.plan)]], c.gateways, c.refilled_us, c.active_us, c.total_read_us]
         + [getattr(c, name) for name in (*HALVED, *KEPT, *TOLD)]
         for c in known[:MOST_CUSTOMERS]
         if id(c.plan) in places
@@ -99,14 +107,14 @@
 
 
 def _customer(gateway: Gateway, row: list[Any], plans: Mapping[str, int], now: int) -> Customer | None:
-    names = ("key", "gateways", "filled_us", "seen_us", "read_us", *HALVED, *KEPT, *TOLD)
+    names = ("key", "gateways", "refilled_us", "active_us", "total_read_us", *HALVED, *KEPT, *TOLD)
     values = _numbers([row[0], *row[2:]], names)
     if row[1] not in plans:
         return None
-    for name in ("filled_us", "seen_us", "read_us"):
+    for name in ("refilled_us", "active_us", "total_read_us"):
         values[name] = min(values[name], now)  # clocks differ a little: no time runs back
-    due_us = now + mixed(values["key"], gateway.settings.me) % TICK_US
-    return Customer(plan=gateway.settings.plans[plans[row[1]]], due_us=due_us, **values)
+    next_call_us = now + stable_hash(values["key"], gateway.settings.me) % COUNTER_PERIOD_US
+    return Customer(plan=gateway.settings.plans[plans[row[1]]], next_call_us=next_call_us, **values)
 
 
 def _learn(backend: Backend, values: dict[str, Any]) -> None:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -59,7 +59,7 @@
             self._born(me)
 
     def _born(self, me: int) -> None:
-        self.gateways[me].carry = carry
+        self.gateways[me].on_plan_change = carry
         entries = tuple(api.BackendEntry(i, 0, 0, 0, api.BackendState.READY, 1.0, 0) for i in range(40))
         self._tell(me, api.Started())
         self._tell(me, api.BackendList(api.ListKind.CACHED, entries))
@@ -80,7 +80,7 @@
             call()
         self.now = end
 
-    def asks(self, me: int, rate: float, units: float, seconds: float, start_s: float = 0.0) -> None:
+    def add_requests(self, me: int, rate: float, units: float, seconds: float, start_s: float = 0.0) -> None:
         """Requests at one gateway, so many a second, at random (Poisson)."""
         at = self.now + int(start_s * SECOND)
         end = at + int(seconds * SECOND)
@@ -113,7 +113,7 @@
     def _fire(self, me: int, gateway: Gateway, token: int) -> None:
         if self.gateways[me] is gateway:  # one that has died beats no more
             self._tell(me, api.TimerFired(token))
-            if token == choice.BEAT and self.draws.random() < choice.BEAT_US / SECOND:
+            if token == choice.TIMER_TOKEN and self.draws.random() < choice.TIMER_PERIOD_US / SECOND:
                 self._carry_out(me, self.leases[me].beat(self.now))
 
     def _count(self, me: int, count: api.Count) -> None:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -50,20 +50,20 @@
         self.gateway = Gateway(settings, 1)
         self.now = START
         self.next = 0
-        self.tell(api.Started())
+        self.handle(api.Started())
         self.entries = tuple(
             api.BackendEntry(i, 0, 0, i % cells, api.BackendState.READY, 1.0, 0) for i in range(backends)
         )
-        self.tell(api.BackendList(api.ListKind.CACHED, self.entries))
+        self.handle(api.BackendList(api.ListKind.CACHED, self.entries))
 
-    def tell(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         return self.gateway.handle(self.now, event)
 
     def ask(
         self, cls: int = 0, plan: int = 0, customer: int = 1, units: float = 1.0, spread: int = 3
     ) -> list[api.Action]:
         self.next += 1
-        return self.tell(api.RequestArrived(self.next, cls, plan, customer, 4_000_000, units, spread, 0))
+        return self.handle(api.RequestArrived(self.next, cls, plan, customer, 4_000_000, units, spread, 0))
 
     def end(
         self,
@@ -74,14 +74,14 @@
         closed: bool = False,
     ) -> list[api.Action]:
         over = closed or outcome is api.Outcome.OK
-        return self.tell(api.AttemptEnded(send.request, attempt, send.backend, outcome, over, latency, 0.0))
+        return self.handle(api.AttemptEnded(send.request, attempt, send.backend, outcome, over, latency, 0.0))
 
-    def beats(self, seconds: float) -> list[api.Action]:
+    def run_timers(self, seconds: float) -> list[api.Action]:
         actions: list[api.Action] = []
         until = self.now + int(seconds * SECOND)
         while self.now < until:
-            self.now += choice.BEAT_US
-            actions += self.tell(api.TimerFired(choice.BEAT))
+            self.now += choice.TIMER_PERIOD_US
+            actions += self.handle(api.TimerFired(choice.TIMER_TOKEN))
         return actions
 
     def serve(self, **asked: int) -> api.Send | None:
@@ -128,7 +128,7 @@
 def test_level_is_utility_less_price_under_the_room_cap(
     price: float, own: float, room: float, share: float, expected: float
 ) -> None:
-    assert prices.level_at(price, 6.0, 3, own, room, share) == pytest.approx(expected)
+    assert prices.refill_rate(price, 6.0, 3, own, room, share) == pytest.approx(expected)
 
 
 @pytest.mark.parametrize(("outcome", "later"), [(api.Outcome.RESET, False), (api.Outcome.FULL, True)])
@@ -136,10 +136,10 @@
     bench = Bench()
     bench.serve(plan=1)
     for _ in range(4):
-        (call,) = counts(bench.beats(4.0))[:1]
-        bench.tell(api.CounterAnswered(call.name, outcome, 0.0))
+        (call,) = counts(bench.run_timers(4.0))[:1]
+        bench.handle(api.CounterAnswered(call.name, outcome, 0.0))
         bench.ask(plan=1)
-    assert (bench.gateway.call_rate < state.FIRST_CALLS / SETTINGS.peers) is later
+    assert (bench.gateway.call_rate < state.INITIAL_CALL_RATE / SETTINGS.peers) is later
     (customer,) = bench.gateway.customers.values()
     assert (customer.sent > 1.0) is later  # what may have been added is not told again
 
@@ -152,7 +152,7 @@
     bench.now += SECOND
     for backend in bench.gateway.backends.values():
         backend.answered_us = bench.now  # answers others meanwhile: only the connection is silent
-    withdrawn = [a for a in bench.beats(0.5) if isinstance(a, api.Cancel)]
+    withdrawn = [a for a in bench.run_timers(0.5) if isinstance(a, api.Cancel)]
     assert {a.request for a in withdrawn} == {first.request, second.request}
 
 
@@ -167,19 +167,19 @@
 def test_the_busiest_gateway_is_given_its_part_of_the_store_and_no_more_than_is_left() -> None:
     bench = Bench()
     assert sum(bench.serve(plan=1) is not None for _ in range(9)) == 4  # an even part
-    (call,) = counts(bench.beats(1.1))
-    bench.tell(api.CounterAnswered(call.name, api.Outcome.OK, call.amount))  # nobody else sent or asked
+    (call,) = counts(bench.run_timers(1.1))
+    bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, call.amount))  # nobody else sent or asked
     (customer,) = bench.gateway.customers.values()
     assert customer.share > 0.7 and customer.bucket == pytest.approx(customer.share * 8.0)
     for _ in range(9):
         bench.serve(plan=1)
-    (call,) = counts(bench.beats(1.1))
-    bench.tell(
+    (call,) = counts(bench.run_timers(1.1))
+    bench.handle(
         api.CounterAnswered(
-            call.name, api.Outcome.OK, call.amount + 8 + 8 * prices.PACK + 4 * (1 + prices.PACK)
+            call.name, api.Outcome.OK, call.amount + 8 + 8 * prices.PACK_BASE + 4 * (1 + prices.PACK_BASE)
         )
     )
-    assert customer.bucket <= state.MARGIN
+    assert customer.bucket <= state.RESERVE_MARGIN
 
 
 def test_newcomer_starts_at_the_even_slice_and_is_refused_at_once_when_it_is_spent() -> None:
@@ -195,15 +195,15 @@
     bench = Bench()
     for _ in range(3):
         bench.serve(plan=1)
-    (call,) = counts(bench.beats(1.1))
-    assert call.amount == 3 + prices.PACK * 3
-    bench.tell(api.CounterAnswered(call.name, api.Outcome.OK, call.amount))
+    (call,) = counts(bench.run_timers(1.1))
+    assert call.amount == 3 + prices.PACK_BASE * 3
+    bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, call.amount))
     bench.serve(plan=1)
-    (call,) = counts(bench.beats(1.1))
-    bench.tell(api.CounterAnswered(call.name, api.Outcome.OK, 4 + prices.PACK * 4))
+    (call,) = counts(bench.run_timers(1.1))
+    bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, 4 + prices.PACK_BASE * 4))
     customer = bench.gateway.customers[1]
     assert customer.price < 1.0
-    assert customer.level > 2.0
+    assert customer.refill_rate > 2.0
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.TIMEOUT, api.Outcome.FULL])
@@ -211,29 +211,29 @@
     bench = Bench()
     for _ in range(3):
         bench.serve(plan=1)
-    (call,) = counts(bench.beats(1.1))
-    bench.tell(api.CounterAnswered(call.name, outcome, 0.0))
+    (call,) = counts(bench.run_timers(1.1))
+    bench.handle(api.CounterAnswered(call.name, outcome, 0.0))
     customer = bench.gateway.customers[1]
-    assert (customer.price, customer.level) == (1.0, 2.0)
+    assert (customer.price, customer.refill_rate) == (1.0, 2.0)
     told_again = customer.sent > 0
     assert told_again == (outcome is api.Outcome.FULL)  # a time-out may have been added
-    assert bench.gateway.call_rate < state.FIRST_CALLS / SETTINGS.peers
+    assert bench.gateway.call_rate < state.INITIAL_CALL_RATE / SETTINGS.peers
 
 
 def test_forgetful_counter_opens_no_level() -> None:
     bench = Bench()
-    for total in (100 + prices.PACK * 100, 1 + prices.PACK):
+    for total in (100 + prices.PACK_BASE * 100, 1 + prices.PACK_BASE):
         bench.serve(plan=1)
-        (call,) = counts(bench.beats(1.1))
-        bench.tell(api.CounterAnswered(call.name, api.Outcome.OK, float(total)))
-    assert bench.gateway.customers[1].level == 2.0
+        (call,) = counts(bench.run_timers(1.1))
+        bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, float(total)))
+    assert bench.gateway.customers[1].refill_rate == 2.0
     assert bench.gateway.customers[1].price == 1.0
 
 
 def test_names_are_alike_at_all_gateways_and_differ_by_customer_and_epoch() -> None:
-    names = {api.mixed(c, e) for c in range(300) for e in range(300)}
+    names = {api.stable_hash(c, e) for c in range(300) for e in range(300)}
     assert len(names) == 90_000
-    assert api.mixed(7, 3) == api.mixed(7, 3)
+    assert api.stable_hash(7, 3) == api.stable_hash(7, 3)
 
 
 def test_cap_on_attempts_out_is_held() -> None:
@@ -246,7 +246,7 @@
 def test_true_units_are_taken_from_the_bucket() -> None:
     bench = Bench()
     (send,) = sends(bench.ask(plan=1))
-    bench.tell(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, True, 1000, 4.0))
+    bench.handle(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, True, 1000, 4.0))
     assert bench.gateway.customers[1].bucket == 0.0
 
 
@@ -269,10 +269,10 @@
     for _ in range(30):
         bench.serve(plan=2)
     spent = bench.gateway.customers[1].ceiling
-    bench.beats(1.5)
+    bench.run_timers(1.5)
     assert 1 in bench.gateway.customers
     assert spent < 1.0
-    bench.beats(choice.IDLE_US / SECOND + 2)
+    bench.run_timers(choice.IDLE_US / SECOND + 2)
     assert 1 not in bench.gateway.customers
     assert sum(bench.serve(plan=2) is not None for _ in range(30)) <= 8  # a third of 24
 
@@ -285,19 +285,19 @@
     asked = {1, 2}
     assert sends(bench.ask(cls=0))
     assert sends(bench.ask(cls=1))
-    actions = bench.beats(3.9)
+    actions = bench.run_timers(3.9)
     assert {a.request for a in finals(actions) if isinstance(a, api.Refuse | api.Fail)} == asked
     assert len(finals(actions)) == 2
-    assert not sends(bench.beats(2.0))
+    assert not sends(bench.run_timers(2.0))
 
 
 def test_gone_request_is_dropped_and_late_events_are_ignored() -> None:
     bench = Bench()
     (send,) = sends(bench.ask())
-    assert bench.tell(api.RequestGone(send.request)) == [api.Cancel(send.request, 0)]
+    assert bench.handle(api.RequestGone(send.request)) == [api.Cancel(send.request, 0)]
     assert bench.end(send, api.Outcome.CANCELLED, closed=True) == []
     assert not bench.gateway.requests
-    assert bench.tell(api.RequestGone(99)) == []
+    assert bench.handle(api.RequestGone(99)) == []
     assert bench.end(send, api.Outcome.OK) == []
 
 
@@ -336,18 +336,18 @@
     bench = Bench(backends=2)
     out = [s for _ in range(4) for s in sends(bench.ask())]
     assert {s.backend for s in out} == {0, 1}  # work still out keeps the backend known
-    bench.tell(api.BackendList(api.ListKind.DELTA, (replace(bench.entries[0], state=state),)))
+    bench.handle(api.BackendList(api.ListKind.DELTA, (replace(bench.entries[0], state=state),)))
     for send in out:
         if send.backend == 1:
             bench.end(send, api.Outcome.OK)
-    bench.gateway.backends[1].slow = 50.0  # the draining one would be the better choice
+    bench.gateway.backends[1].slowness = 50.0  # the draining one would be the better choice
     picked = {s.backend for s in (bench.serve() for _ in range(20)) if s}
     assert picked == {1}
 
 
 def test_backend_absent_from_a_full_list_is_gone() -> None:
     bench = Bench(backends=2)
-    bench.tell(api.BackendList(api.ListKind.FULL, bench.entries[1:]))
+    bench.handle(api.BackendList(api.ListKind.FULL, bench.entries[1:]))
     assert {s.backend for s in (bench.serve() for _ in range(20)) if s} == {1}
     assert 0 not in bench.gateway.backends
 
@@ -357,7 +357,7 @@
 
 def test_cold_backend_gets_its_cold_share_of_a_fair_part() -> None:
     bench = Bench()
-    bench.tell(api.BackendList(api.ListKind.DELTA, (replace(bench.entries[0], started_us=START),)))
+    bench.handle(api.BackendList(api.ListKind.DELTA, (replace(bench.entries[0], started_us=START),)))
     picked, out = [], []
     for _ in range(200):
         out += sends(bench.ask())
@@ -365,7 +365,7 @@
         if len(out) > 4:
             bench.end(out.pop(0), api.Outcome.OK)
     fair = 200 * 0.2 / 3.2  # by capacity: it has a fifth of each of the three warm ones'
-    assert 1 <= picked.count(0) <= fair * cold.COLD_HEADROOM + cold.COLD_CREDIT
+    assert 1 <= picked.count(0) <= fair * cold.COLD_HEADROOM + cold.MAX_COLD_CREDIT
 
 
 def test_most_of_the_pool_cold_takes_its_part_of_the_work() -> None:
@@ -373,7 +373,7 @@
     cold ones were given their part of a fleet that was no longer there."""
     bench = Bench(backends=5)
     newcomers = tuple(replace(entry, started_us=START) for entry in bench.entries[1:])
-    bench.tell(api.BackendList(api.ListKind.DELTA, newcomers))
+    bench.handle(api.BackendList(api.ListKind.DELTA, newcomers))
     out: list[api.Send] = []
     picked = []
     for _ in range(200):
@@ -383,7 +383,7 @@
             bench.end(out.pop(0), api.Outcome.OK)
     fair = 200 * 0.2 / 1.8  # of each, by capacity: one warm, four with a fifth
     parts = [picked.count(backend) for backend in range(1, 5)]
-    assert all(0.8 * fair <= part <= fair * cold.COLD_HEADROOM + cold.COLD_CREDIT for part in parts)
+    assert all(0.8 * fair <= part <= fair * cold.COLD_HEADROOM + cold.MAX_COLD_CREDIT for part in parts)
 
 
 # ---- failures found
@@ -395,7 +395,7 @@
     first = bench.gateway.window
     for _ in range(6):
         slow = sends(bench.ask())
-        bench.beats(attempts.GOOD_SHARE * SAFE.aim_us / SECOND + 0.1)
+        bench.run_timers(attempts.FAST_SHARE * SAFE.aim_us / SECOND + 0.1)
         for send in slow:
             bench.end(send, api.Outcome.OK)
     assert bench.gateway.window < 0.9 * first
@@ -410,10 +410,10 @@
         customer = gateway.customer_of(bench.now, api.RequestArrived(1, 0, 0, 7, SAFE.deadline_us, 1.0, 1, 0))
         gateway.load = gateway.mean_load = 6
         for i in range(1, 101):
-            age = int(attempts.GOOD_SHARE * SAFE.aim_us) + 1 if i % slow_every == 0 else 0
+            age = int(attempts.FAST_SHARE * SAFE.aim_us) + 1 if i % slow_every == 0 else 0
             attempt = state.Attempt(backend, bench.now - age, ended=True)
             request = state.Request(i, 0, SAFE, 4, customer, 0, bench.now, 1.0, attempts=[attempt])
-            gateway.judge(bench.now, request, 0)
+            gateway.adjust_window(bench.now, request, 0)
         return gateway.window
 
     assert window_after(10) >= 8.0
@@ -424,7 +424,7 @@
     """Trace of a quiet day: a backend once measured slow was never tried again."""
     bench = Bench()
     backend = bench.gateway.backends[0]
-    backend.slow, backend.answered_us = 3.0, bench.now
+    backend.slowness, backend.answered_us = 3.0, bench.now
     fresh = bench.gateway.expected_cost(bench.now, backend)
     later = bench.gateway.expected_cost(bench.now + 10 * SECOND, backend)
     assert fresh == pytest.approx(3.0)
@@ -446,7 +446,7 @@
     (again,) = sends(bench.end(send, api.Outcome.CONNECT_FAILED))
     bench.end(again, api.Outcome.OK, attempt=1)
     assert {s.backend for s in (bench.serve() for _ in range(10)) if s} == {1 - send.backend}
-    bench.beats(members.EJECT_US / SECOND + 0.1)
+    bench.run_timers(members.EJECT_US / SECOND + 0.1)
     assert {s.backend for _ in range(3) for s in sends(bench.ask())} == {0, 1}
 
 
@@ -463,7 +463,7 @@
         actions: list[api.Action] = []
         for i in range(40):
             actions += bench.ask(cls=i % 3, plan=i % 4, customer=i % 5)
-            actions += bench.beats(0.1)
+            actions += bench.run_timers(0.1)
         return actions
 
     assert run() == run()
@@ -473,10 +473,10 @@
     bench = Bench()
     for customer in range(500):
         bench.serve(plan=1, customer=customer)
-    made = counts(bench.beats(choice.IDLE_US / SECOND + 3))
+    made = counts(bench.run_timers(choice.IDLE_US / SECOND + 3))
     assert made
     for call in made:
-        bench.tell(api.CounterAnswered(call.name, api.Outcome.TIMEOUT, 0.0))
+        bench.handle(api.CounterAnswered(call.name, api.Outcome.TIMEOUT, 0.0))
     assert not bench.gateway.customers
     assert not bench.gateway.requests
     assert not bench.gateway.calls
@@ -488,7 +488,7 @@
     (send,) = sends(bench.ask(cls=1))
     bench.end(send, api.Outcome.RESET)
     assert bench.serve()
-    for _ in range(members.EJECT_FAILS):
+    for _ in range(members.EJECT_FAILURES):
         (send,) = sends(bench.ask(cls=1))
         bench.end(send, api.Outcome.RESET)
     assert finals(bench.ask())
@@ -499,7 +499,7 @@
     bench = Bench()
     first = bench.gateway.window
     bench.ask(cls=1)
-    bench.beats(1.0)
+    bench.run_timers(1.0)
     assert bench.gateway.window == first
 
 
@@ -548,7 +548,7 @@
         bench = Bench(replace(SETTINGS, peers=60), backends=30)
         bench.gateway.random.seed(seed)
         newcomer = api.BackendEntry(99, 0, 0, 0, api.BackendState.READY, 1.0, bench.now)
-        bench.tell(api.BackendList(api.ListKind.DELTA, (newcomer,)))
+        bench.handle(api.BackendList(api.ListKind.DELTA, (newcomer,)))
         for _ in range(15):
             bench.now += SECOND // 2
             send = bench.serve()
@@ -564,10 +564,10 @@
         assert sends(bench.ask())
     gateway = bench.gateway
     assert gateway.load == 3
-    before = gateway.hedges
-    bench.beats(SAFE.aim_us / SECOND + 0.1)
-    assert gateway.load == 0 and gateway.hedges >= before + 1.0
-    bench.tell(api.AttemptEnded(1, 0, 0, api.Outcome.TIMEOUT, False, 4_000_000, 0.0))
+    before = gateway.hedge_tokens
+    bench.run_timers(SAFE.aim_us / SECOND + 0.1)
+    assert gateway.load == 0 and gateway.hedge_tokens >= before + 1.0
+    bench.handle(api.AttemptEnded(1, 0, 0, api.Outcome.TIMEOUT, False, 4_000_000, 0.0))
     assert gateway.load == 0
 
 
@@ -576,7 +576,7 @@
     first = sends(bench.ask())[0]
     assert sends(bench.ask())
     backend = bench.gateway.backends[0]
-    bench.gateway.blame(bench.now, backend, members.EJECT_FAILS)
+    bench.gateway.record_failures(bench.now, backend, members.EJECT_FAILURES)
     assert bench.gateway.load == 0
     bench.gateway.readmit(bench.now, backend)
     assert bench.gateway.load == 2
@@ -649,28 +649,30 @@
     the total came when it had been refused."""
     bench, call = thin_bench()
     bench.now += 5_000
-    after = bench.tell(api.CounterAnswered(call.name, outcome, call.amount + others * (1 + prices.PACK)))
+    after = bench.handle(
+        api.CounterAnswered(call.name, outcome, call.amount + others * (1 + prices.PACK_BASE))
+    )
     assert bool(sends(after)) is sent
     assert bool(finals(after)) is not sent
 
 
 def test_a_request_whose_client_left_while_it_waits_is_not_sent_and_its_units_are_given_back() -> None:
     bench, call = thin_bench()
-    bench.tell(api.RequestGone(bench.next))
-    assert not bench.tell(api.CounterAnswered(call.name, api.Outcome.OK, call.amount))
+    bench.handle(api.RequestGone(bench.next))
+    assert not bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, call.amount))
     assert not bench.gateway.requests
-    (back,) = counts(bench.beats(1.1))
+    (back,) = counts(bench.run_timers(1.1))
     assert back.amount == -1.0
 
 
 def test_a_first_total_opens_the_ceiling_by_what_all_have_left_of_it() -> None:
     """The first seconds after a start refused nearly all of a plan with a ceiling: its share began empty."""
     bench, call = thin_bench(plan=2)
-    (send,) = sends(bench.tell(api.CounterAnswered(call.name, api.Outcome.OK, call.amount)))
+    (send,) = sends(bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, call.amount)))
     bench.end(send, api.Outcome.OK)
     bench, call = thin_bench(plan=2)
-    total = call.amount + 60.0 * (1 + prices.PACK)  # sent on by all before this gateway was killed
-    assert finals(bench.tell(api.CounterAnswered(call.name, api.Outcome.OK, total)))
+    total = call.amount + 60.0 * (1 + prices.PACK_BASE)  # sent on by all before this gateway was killed
+    assert finals(bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, total)))
 
 
 def test_calls_become_few_while_the_counter_answers_late_and_come_back() -> None:
@@ -680,20 +682,20 @@
     for customer in range(20):
         bench.ask(plan=1, customer=customer, spread=30)
     out = sum(len(waiting) for waiting in bench.gateway.calls.values())
-    assert 0 < out <= state.FIRST_CALLS / THIN.peers  # the others find no call left
+    assert 0 < out <= state.INITIAL_CALL_RATE / THIN.peers  # the others find no call left
     rates = [bench.gateway.call_rate]
     for late in (True, True, False, False):
         for _ in range(50):
-            for call in counts(bench.beats(0.02)):
+            for call in counts(bench.run_timers(0.02)):
                 bench.now += THIN.counter_timeout_us if late else 1_000
                 outcome = api.Outcome.TIMEOUT if late else api.Outcome.OK
-                bench.tell(api.CounterAnswered(call.name, outcome, call.amount))
+                bench.handle(api.CounterAnswered(call.name, outcome, call.amount))
         for customer in range(20):
             bench.ask(plan=1, customer=customer, spread=30)
         rates.append(bench.gateway.call_rate)
     assert rates[0] > rates[1] > rates[2] < rates[4]
     assert (
-        rates[2] >= rates[0] * choice.FEWER_CALLS**8
+        rates[2] >= rates[0] * choice.RATE_CUT**8
     )  # the line of one jam is not answered with ever more cuts
 
 
@@ -705,7 +707,7 @@
         picked = set()
         for _ in range(60):
             (send,) = sends(bench.ask())
-            bench.end(send, api.Outcome.OK, latency=int(bench.gateway.class_work[0]))
+            bench.end(send, api.Outcome.OK, latency=int(bench.gateway.latency_us[0]))
             picked.add(send.backend)
         used.append(len(picked))
     assert used[0] >= 20 and used[1] <= 4
@@ -721,5 +723,5 @@
     bench.end(more, api.Outcome.CONNECT_FAILED)
     assert finals(bench.ask())  # not asked again at once
     bench.end(kept, api.Outcome.OK)
-    bench.now += attempts.REST_US
+    bench.now += attempts.PAUSE_US
     assert bench.serve()
