--- a/millfront/choice.py
+++ b/millfront/choice.py
@@ -1,4 +1,4 @@
-"""The gateway: time and events come in, actions go out; a request's way, the beat and the counter."""
+"""The gateway: time and events in, actions out; admission of requests, the timer and calls to the counter."""
 
 from millfront import interface as api
 from millfront.decisions.attempts import MAX_HEDGE_TOKENS, Attempts
@@ -6,20 +6,20 @@
 from millfront.decisions.prices import EPOCH_US, PACK_BASE, SECOND_US, counter_quantum
 from millfront.decisions.state import Call, Customer, Request
 
-TIMER_PERIOD_US, TIMER_TOKEN = 20_000, 1  # short beside any aim, long beside the CPU time of a run
-SENT_OFFSET = 100  # units; the sent count is negative when units are given back in the next epoch
-NAME_TTL_US = 2 * EPOCH_US  # outlives its epoch whoever called first; under the 60 s a counter grants
-INITIAL_RATE_STEP, RATE_STEP = 0.5, 40.0  # per fast answer: until the first cut; after it, in all calls' sum
-RATE_CUT, CUT_INTERVAL, MIN_CALL_RATE = 0.8, 3.0, 0.5  # factor; in counter time-outs; calls a second
-SLOW_CALL_SHARE = 0.3  # of the wait for an answer: a line that long grows until no answer comes in time
-IDLE_US = 30 * SECOND_US  # least idle time before a customer is forgotten
-QUIET_SHARE = 0.25  # of a tick's even slice: until so much was asked, no total can change what is let in
-HEDGE_RATIO = 0.05  # copies per request; each attempt found lost pays for one more
+TIMER_PERIOD_US, TIMER_TOKEN = 20_000, 1  # all periodic work: short beside any aim, cheap in CPU time
+SENT_OFFSET = 100  # units: sent is negative where units are given back under the next epoch's name
+NAME_TTL_US = 2 * EPOCH_US  # outlives its epoch whoever called first; under the 60 s that a counter grants
+INITIAL_RATE_STEP, RATE_STEP = 0.5, 40.0  # calls/s: per fast answer; after a cut, per second by all gateways
+RATE_CUT, CUT_INTERVAL, MIN_CALL_RATE = 0.8, 3.0, 0.5  # factor; in time-outs, for the queue to drain; calls/s
+SLOW_CALL_SHARE = 0.3  # of the time-out: a queue that long grows until no answer is in time
+IDLE_US = 30 * SECOND_US  # minimum idle time before a customer is forgotten
+QUIET_SHARE = 0.25  # of an even share of a period's quota: below it no total can change a decision
+HEDGE_RATIO = 0.05  # hedges per request; each attempt found lost allows one more
 
 
 class Gateway(Attempts):
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event; what to do comes back, in order."""
+        """Processes one event; returns the actions to take, in order."""
         self.actions = []
         match event:
             case api.RequestArrived():
@@ -48,7 +48,7 @@
         return self.actions
 
     def on_retuned(self, event: api.Retuned) -> None:
-        """Decide by them from now on; open requests keep what they came under, customers what they hold."""
+        """Applies new settings to later decisions; open requests keep their class, customers their units."""
         plans = {id(self.settings.plans[old]): event.settings.plans[new] for old, new in event.plans}
         self.settings = event.settings
         for customer in self.customers.values():
@@ -98,7 +98,7 @@
         self.send(now, request, backend)
 
     def awaits_total(self, now: int, request: Request) -> bool:
-        """Whether a thin customer's request, which the slice does not hold, waits for its total."""
+        """Whether a request that the gateway's small share doesn't cover waits for the counter's total."""
         customer, units = request.customer, request.units
         if not self.small_share(customer) or (now < customer.next_call_us and customer.global_bucket < units):
             return False
@@ -128,7 +128,7 @@
                 self.readmit(now, backend)
 
     def update_customer(self, now: int, customer: Customer) -> None:
-        """One call adds this tick's units and reads S: what came since the last one is everybody's tick."""
+        """Forgets an idle customer, or adds its units to the counter, whose increase S is what all sent."""
         plan, n = customer.plan, customer.gateways
         if now - customer.active_us > max(IDLE_US, self.refill_time_us(plan, n)) and not customer.open:
             del self.customers[customer.key]
@@ -142,7 +142,7 @@
             self.call_counter(now, customer, None)
 
     def take_call_token(self, now: int, reserved: float) -> bool:
-        """Calls go at the rate that the counter bears: a line of all gateways' calls answers none in time."""
+        """Paces calls to what the counter sustains: if all gateways' calls queue, none is in time."""
         tokens = self.call_tokens + (now - self.call_tokens_us) / SECOND_US * self.call_rate
         max_tokens = max(1.0, self.call_rate * COUNTER_PERIOD_US / SECOND_US)
         self.call_tokens, self.call_tokens_us = min(tokens, max_tokens), now
@@ -154,11 +154,11 @@
     def call_counter(self, now: int, customer: Customer, request: Request | None) -> None:
         customer.next_call_us = now + COUNTER_PERIOD_US
         quantum, epoch = counter_quantum(customer.plan), now // EPOCH_US
-        sent = min(round(customer.sent / quantum), PACK_BASE - 1)  # below 0: counted, then not let in
+        sent = min(round(customer.sent / quantum), PACK_BASE - 1)  # < 0: counted, then not admitted
         demand = min(round(customer.demand / quantum), PACK_BASE - 1)
         customer.sent -= sent * quantum
         customer.demand -= demand * quantum
-        # Gateways that hold another version of a live plan must not read totals of another grain as theirs.
+        # Gateways with another version of a live plan may use another quantum: their totals have other names.
         quantum_part = () if quantum == 1.0 else (int(quantum * 1e6),)
         name = api.stable_hash(customer.key, epoch, *quantum_part)
         self.calls.setdefault(name, []).append(Call(customer.key, epoch, sent, demand, now, quantum, request))
@@ -171,47 +171,47 @@
         call = waiting.pop(0)
         if not waiting:
             del self.calls[event.name]
-        if event.outcome is not api.Outcome.RESET:  # a lost connection says nothing of the counter's load
+        if event.outcome is not api.Outcome.RESET:  # a lost connection says nothing about the counter's load
             self.adjust_call_rate(now, call, event.outcome is api.Outcome.OK)
         if (customer := self.customers.get(call.customer)) is not None:
             self.refill(now, customer)
             self.apply_total(customer, call, event)
         if (request := call.request) is not None:
-            request.customer.sent -= request.units  # told as let in, before that was known
+            request.customer.sent -= request.units  # counted as sent before it was decided
             if self.requests.pop(request.id, request) is request and not request.finished:
                 self.admit(now, request)
 
     def apply_total(self, customer: Customer, call: Call, event: api.CounterAnswered) -> None:
         quantum = call.quantum
         if event.outcome is not api.Outcome.OK:
-            if event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.RESET):  # surely not: told again
+            if event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.RESET):  # not added: sent again
                 customer.sent += call.sent * quantum
                 customer.demand += call.demand * quantum
             self.update_rate(customer, None, 0.0, 0.0)
             return
-        if quantum != counter_quantum(customer.plan) or customer.plan.rate <= 0:  # the plan before's totals
+        if quantum != counter_quantum(customer.plan) or customer.plan.rate <= 0:  # the former plan's
             return
         demand, sent = divmod(round(event.total) + SENT_OFFSET, PACK_BASE)
         sent -= SENT_OFFSET
-        known = customer.epoch == call.epoch  # a new name counts from nothing; the old one's last is missed
+        known = customer.epoch == call.epoch  # a new name starts at 0; the old one's last units are missed
         new_sent = sent - customer.sent_total if known else sent
         new_demand = demand - customer.demand_total if known else demand
         seconds = max(call.made_us - customer.total_read_us, TIMER_PERIOD_US) / SECOND_US
         customer.epoch, customer.sent_total, customer.demand_total = call.epoch, sent, demand
         customer.total_read_us = call.made_us
         own_rate, share = call.sent * quantum / seconds, call.demand / max(new_demand, 1)
-        if new_demand < call.demand:  # it forgot
+        if new_demand < call.demand:  # the counter lost its total
             self.update_rate(customer, None, own_rate, 0.0)
             return
         customer.others_rate = max(0, new_sent - call.sent) * quantum / seconds
         self.rebalance(customer, new_sent * quantum, share, new_demand * quantum, seconds)
-        if call.request is not None:  # its own units are in the total: this bucket is what it found
+        if call.request is not None:  # the total includes its own units: gives them back
             customer.bucket += call.request.units * customer.share
             customer.ceiling = max(customer.ceiling, min(customer.global_ceiling, call.request.units))
         self.update_rate(customer, new_sent * quantum / seconds if known else None, own_rate, share * known)
 
     def adjust_call_rate(self, now: int, call: Call, answered: bool) -> None:
-        """Fewer calls when answers come late, one cut for all that were out; more while they come soon."""
+        """Cuts the rate on a late answer, once for all calls then pending; raises it on a fast one."""
         if answered and now - call.made_us < SLOW_CALL_SHARE * self.settings.counter_timeout_us:
             step = RATE_STEP / self.settings.peers / self.call_rate
             self.call_rate += step if self.rate_cut_us else INITIAL_RATE_STEP
--- a/millfront/decisions/attempts.py
+++ b/millfront/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts, their judgement, and what becomes of a request as they end."""
+"""Attempts: their load and outcomes, and what becomes of a request as they end."""
 
 from millfront import interface as api
 from millfront.decisions.customers import Customers
@@ -7,13 +7,13 @@
 from millfront.decisions.state import Attempt, Backend, Request
 
 LATENCY_WEIGHT = ERROR_WEIGHT = 0.1  # EWMA weight of one answer: about the last ten
-CLASS_WEIGHT = 0.02  # the same for a class: fed by all backends, and the yardstick of each
-MAX_DEPTH = 32.0  # the same at most: deeper queues only add waiting
-FAST_SHARE, GROW_PRESSURE = 0.3, 0.5  # of the aim: faster votes for more, if so much of the window is in use
-WINDOW_SHRINK, WINDOW_GROW = 0.97, 1.01  # factors for a vote; in balance with a quarter of votes slow
-PAUSE_US = SECOND_US // 2  # a backend that turned an attempt away (full, or draining before the list says so)
-HEDGE_SHARE, HEDGE_PRESSURE = 0.4, 0.7  # of the aim before a second copy; of the window: none if fuller
-MAX_HEDGE_TOKENS = 5.0  # copies saved up
+CLASS_WEIGHT = 0.02  # the same for a class: all backends feed it, and each is measured by it
+MAX_DEPTH = 32.0  # attempts in flight a backend, by all gateways: deeper queues only add waiting
+FAST_SHARE, GROW_PRESSURE = 0.3, 0.5  # of the aim: faster answers grow the window, if it is so full
+WINDOW_SHRINK, WINDOW_GROW = 0.97, 1.01  # factor per slow and fast attempt; in balance with 1/4 slow
+PAUSE_US = SECOND_US // 2  # of a backend that turned an attempt away (full, or draining but not yet listed)
+HEDGE_SHARE, HEDGE_PRESSURE = 0.4, 0.7  # of the aim, before a hedge; of the window: no hedge if fuller
+MAX_HEDGE_TOKENS = 5.0  # hedges that may be saved up
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT)
 STANDINGS = (api.Standing.BEYOND, api.Standing.INSIDE)
 
@@ -22,7 +22,7 @@
     def send(self, now: int, request: Request, backend: Backend) -> None:
         number = len(request.attempts)
         request.attempts.append(Attempt(backend, max(now, request.arrived_us), uncounted=True))
-        if request.arrived_us <= now:  # else its body is still coming
+        if request.arrived_us <= now:  # else its body is still arriving
             self.count_load(now, request, number)
         backend.connections = max(backend.connections, len(backend.in_flight))
         self.spend_credit(now, backend)
@@ -38,7 +38,7 @@
         self.add_load(now, 1)
 
     def on_whole(self, now: int, event: api.RequestWhole) -> None:
-        """Until now neither the request nor its attempt had a time that says anything."""
+        """The body is complete: the request and its attempt count from now, as earlier times mean nothing."""
         if (request := self.requests.get(event.request)) is not None:
             request.arrived_us, request.give_up_us = now, now + event.patience_us
             for number, attempt in enumerate(request.attempts):
@@ -46,11 +46,11 @@
                 self.count_load(now, request, number)
 
     def on_stream(self, now: int, event: api.StreamStarted) -> None:
-        """An answer has begun to reach the client: it is no load any more, and others are withdrawn."""
+        """An answer has started to reach the client: no attempt is load any more, others are cancelled."""
         if (request := self.requests.get(event.request)) is not None:
             request.streaming = True
             for number, attempt in enumerate(request.attempts):
-                attempt.slow = True  # its time says no more
+                attempt.slow = True  # its duration means nothing from now on
                 self.remove_load(now, attempt)
                 attempt.backend.in_flight.pop((request.id, number), None)
                 if number != event.attempt and not attempt.ended and self.settings.allowed.cancel:
@@ -63,11 +63,11 @@
         attempt = request.attempts[event.attempt]
         attempt.ended = True
         attempt.may_have_run = event.outcome not in NEVER_RAN
-        request.customer.open -= request.arrived_us <= now  # it counts as out once it is whole
+        request.customer.open -= request.arrived_us <= now  # open only with a complete body
         attempt.backend.in_flight.pop((request.id, event.attempt), None)
         self.remove_load(now, attempt)
         self.update_estimates(now, attempt.backend, request, event)
-        extra = event.true_units - request.units if event.true_units > 0 else 0.0  # told by a good answer
+        extra = event.true_units - request.units if event.true_units > 0 else 0.0  # given by a good answer
         if request.reserved:
             request.customer.leased -= extra
         elif request.in_quota:
@@ -96,7 +96,7 @@
         if event.outcome in (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL):
             backend.answered_us = now
             if not backend.ejected_until_us:
-                backend.was_reset = False  # it answered without having been away
+                backend.was_reset = False  # it answered, and so was never away
             self.readmit(now, backend)
         else:
             backend.connections = max(0, backend.connections - 1)
@@ -113,16 +113,16 @@
                 self.record_failures(now, backend, EJECT_FAILURES)
 
     def adjust_window(self, now: int, request: Request, number: int) -> None:
-        """The price of congestion: attempts slow beside their aim shrink the window, fast answers grow it."""
+        """The price of congestion: attempts slow for their aim shrink the window, fast answers grow it."""
         attempt, aim_us = request.attempts[number], request.kind.aim_us
         slow = now - attempt.sent_us > FAST_SHARE * aim_us
         if not attempt.ended and not attempt.uncounted and now - attempt.sent_us > aim_us:
             self.hedge_tokens = min(self.hedge_tokens + 1.0, MAX_HEDGE_TOKENS)
-            self.remove_load(now, attempt)  # may never be answered: not load, and it pays for a copy
+            self.remove_load(now, attempt)  # may never be answered: not load, and allows one hedge
             if request.customer.plan.open_limit and self.settings.allowed.cancel:
-                self.actions.append(api.Cancel(request.id, number))  # it would hold a place to its deadline
+                self.actions.append(api.Cancel(request.id, number))  # it would stay open until its deadline
         if not attempt.ended and attempt.backend.answered_us < attempt.sent_us:
-            return  # silence may be loss (a dead or cut off backend), which less load would not cure
+            return  # silence may be loss (a dead or unreachable backend), which less load wouldn't cure
         if slow and not attempt.slow:
             attempt.slow = True
             self.window = max(MIN_WINDOW, self.window * WINDOW_SHRINK)
@@ -139,7 +139,7 @@
             self.add_load(now, -1)
 
     def finish(self, request: Request) -> None:
-        """The request has its final answer: withdraw the copies still out."""
+        """The request has its final answer: cancels the attempts still in flight."""
         request.finished = True
         if self.settings.allowed.cancel:
             for number, attempt in enumerate(request.attempts):
@@ -147,7 +147,7 @@
                     self.actions.append(api.Cancel(request.id, number))
 
     def retry_or_finish(self, now: int, request: Request) -> None:
-        """Nothing is out any more and no answer came: another attempt, or the final answer."""
+        """All attempts have ended without an answer: sends another one, or the final answer."""
         if self.time_left(now, request) > 0 and len(request.attempts) < request.max_attempts:
             backend = self.pick(now, request)
             if backend is not None:
@@ -157,19 +157,19 @@
         self.actions.append(self.final_answer(request))
 
     def final_answer(self, request: Request) -> api.Action:
-        """Rule 2: a refusal says that another try is harmless, a failure promises nothing."""
+        """Rule 2: a refusal says that a retry is harmless; a failure promises nothing."""
         kind, ran = request.kind, any(a.may_have_run for a in request.attempts)
         keyed_anywhere = kind.repeat is api.Repeat.KEYED and kind.group is api.Group.ALL
         harmless = kind.repeat is api.Repeat.SAFE or keyed_anywhere
         return self.refusal(request) if harmless or not ran else api.Fail(request.id)
 
     def too_late(self, now: int, request: Request) -> bool:
-        """An answer would earn nothing. The attempts stay out: their end tells whether a backend is slow."""
+        """An answer would earn nothing. The attempts go on: their end shows whether a backend is slow."""
         late = now > request.arrived_us + request.kind.aim_us
         return not request.finished and request.kind.late_worth <= 0 and late
 
     def time_left(self, now: int, request: Request) -> float:
-        """Until an answer earns too little, less the time that an attempt takes."""
+        """Microseconds until an answer earns too little, less the latency of an attempt."""
         aim_end_us = request.arrived_us + request.kind.aim_us
         end_us = request.give_up_us if request.kind.late_worth > 0 else min(request.give_up_us, aim_end_us)
         return end_us - now - self.latency_us[request.cls]
@@ -184,7 +184,7 @@
         return (
             not request.finished
             and request.kind.repeat is not api.Repeat.UNSAFE
-            and not request.customer.plan.open_limit  # a copy would take a place of the customer's next try
+            and not request.customer.plan.open_limit  # a hedge would take the place of its next request
             and len(request.attempts) == 1 < request.max_attempts
             and self.settings.allowed.second_copies
             and now - request.arrived_us >= HEDGE_SHARE * request.kind.aim_us
--- a/millfront/decisions/cold.py
+++ b/millfront/decisions/cold.py
@@ -1,13 +1,13 @@
-"""Cold backends: what they may get (rule 4)."""
+"""Cold backends: how much they may be sent (rule 4)."""
 
 from millfront.decisions.state import Backend, State
 
-COLD_HEADROOM, MAX_COLD_CREDIT = 1.2, 2.0  # of its fair share: lets it catch up; sends it may save up
+COLD_HEADROOM, MAX_COLD_CREDIT = 1.2, 2.0  # times its fair share, to catch up; sends it may save up
 
 
 class ColdBackends(State):
     def capacity_share(self, now: int, backend: Backend) -> float:
-        """The least capacity the backend may have, as a share of its full one."""
+        """The least capacity that the backend may have, as a share of its full capacity."""
         rules = self.settings.rules
         if not backend.started_us:
             return 1.0
@@ -15,7 +15,7 @@
         return min(1.0, rules.cold_from + (1.0 - rules.cold_from) * age)
 
     def spend_credit(self, now: int, chosen: Backend) -> None:
-        """Rule 4 by this gateway alone: any send earns each cold backend its part by capacity of now."""
+        """Rule 4, kept by each gateway alone: a send credits each cold backend by its present capacity."""
         ready = [(b, b.weight * self.capacity_share(now, b)) for b in self.backends.values() if not b.stopped]
         total = sum(capacity for _, capacity in ready) or 1.0
         for backend, capacity in ready:
--- a/millfront/decisions/customers.py
+++ b/millfront/decisions/customers.py
@@ -1,4 +1,4 @@
-"""Customers: what of their requests may be let in."""
+"""Customers: which of their requests may be admitted."""
 
 import math
 
@@ -7,11 +7,11 @@
 from millfront.decisions.prices import EPOCH_US, SECOND_US, next_price, refill_rate
 from millfront.decisions.state import Customer, Request
 
-COUNTER_PERIOD_US = SECOND_US  # covers a few requests of a customer, and is short beside its spikes
-SMALL_SHARE_REQUESTS = 2.0  # largest requests: an even slice of the store that holds no more decides nothing
-SHARE_WEIGHT_UNITS, MIN_SHARE = 4.0, 0.3  # asked by all to weigh half in a share; of the even share, at least
-OPEN_MEAN_S = 3.0  # time over which a customer's mean of attempts out is taken
-LOW_WORTH_PRESSURE, WORTH_WEIGHT = 0.3, 0.02  # of the window, for the least worthwhile; EWMA of mean worth
+COUNTER_PERIOD_US = SECOND_US  # and of price steps: long enough for a few requests, short beside a spike
+SMALL_SHARE_REQUESTS = 2.0  # largest requests: an even share of the burst that holds no more can't decide
+SHARE_WEIGHT_UNITS, MIN_SHARE = 4.0, 0.3  # all demand that weighs half in a share; of the even one
+OPEN_MEAN_S = 3.0  # time constant of a customer's mean of attempts in flight
+LOW_WORTH_PRESSURE, WORTH_WEIGHT = 0.3, 0.02  # pressure that refuses the least worth; EWMA weight
 
 
 class Customers(Backends):
@@ -23,7 +23,7 @@
                 self.on_plan_change(now, known, plan)
             return known
         n = max(1, min(event.spread, self.settings.peers)) * self.processes
-        # It fills from this gateway's start: one that was killed cannot tell that it had spent its share.
+        # Fills from this gateway's start: a killed gateway can't know that it had spent its share.
         ceiling = min((now - self.started_us) / SECOND_US * plan.ceiling_rate, plan.ceiling_burst) / n
         next_call_us = now + api.stable_hash(event.customer, self.settings.me) % COUNTER_PERIOD_US
         initial = plan.burst / n, plan.rate / n, now, ceiling, now, next_call_us, 1.0 / n, plan.burst
@@ -41,7 +41,7 @@
         customer.ceiling = min(customer.ceiling + plan.ceiling_rate / n * seconds, plan.ceiling_burst / n)
 
     def quota_probability(self, customer: Customer, units: float, cls: int) -> float:
-        """The chance that the try is inside the quota. Others' attempts out: as many, or by Little's law."""
+        """Chance of being within the quota. Others' open attempts: as many as here, or by Little's law."""
         plan, probability = customer.plan, 1.0
         if plan.rate > 0:
             remaining = customer.bucket / customer.share - self.class_reserve[cls] * plan.burst
@@ -55,16 +55,16 @@
         return probability * sum(math.exp(-others) * others**k / math.factorial(k) for k in range(free))
 
     def small_share(self, customer: Customer) -> bool:
-        """The even slice of the store is less than a few requests: no gateway sees enough to decide alone."""
+        """The even share of the burst is less than a few requests: no gateway sees enough to decide alone."""
         needed, plan = SMALL_SHARE_REQUESTS * self.settings.most_units * customer.gateways, customer.plan
         return self.settings.counter and customer.gateways > 1 and plan.rate > 0 and plan.burst < needed
 
     def ceiling_allows(self, customer: Customer, units: float) -> bool:
-        """Rule 5: a share of what totals leave of the store; without totals an equal share of the rate."""
+        """Rule 5: a share of what totals leave of the ceiling; without totals, an even share of its rate."""
         return customer.plan.ceiling_rate <= 0 or customer.ceiling >= units
 
     def refusal(self, request: Request) -> api.Refuse:
-        """It says when to come back: once the bucket lets it in, not before an attempt's time has passed."""
+        """Says when to retry: once the bucket admits the request, and not before an attempt's latency."""
         customer, plan = request.customer, request.customer.plan
         loss = plan.over_cost - plan.over_worth
         min_probability = loss / (1.0 + loss) if loss > 0.0 else 0.0
@@ -74,7 +74,7 @@
         return api.Refuse(request.id, int(min(wait_us, allowed.max_retry_after_us)) * allowed.retry_after)
 
     def worth_sending(self, now: int, request: Request, net: float) -> bool:
-        """Utility less the price of congestion: what earns least for its work is refused first."""
+        """Utility less the price of congestion: the least worth per service time is refused first."""
         value = net * request.kind.worth * request.customer.plan.worth_factor / self.latency_us[request.cls]
         self.mean_worth += WORTH_WEIGHT * (value - self.mean_worth) if self.mean_worth else value
         relative = min(1.0, value / self.mean_worth)
@@ -82,13 +82,13 @@
         return self.pressure() <= LOW_WORTH_PRESSURE + (1.0 - LOW_WORTH_PRESSURE) * relative
 
     def refill_time_us(self, plan: api.Plan, gateways: int) -> int:
-        """Idle for so long, every store of the customer is full: forgetting it gives nothing away."""
+        """After this idle time every bucket of the customer is full: forgetting it gives nothing away."""
         ceiling = plan.ceiling_burst / plan.ceiling_rate if plan.ceiling_rate > 0 else 0.0
         quota = 2.0 * plan.burst / plan.rate if plan.rate > 0 else 0.0
         return int(max(ceiling, quota) * SECOND_US)
 
     def rebalance(self, customer: Customer, sent: float, share: float, demand: float, seconds: float) -> None:
-        """The quota's store by the totals, and this gateway's part of it by its part of the demand."""
+        """Updates the global bucket by the totals, and this gateway's share by its part of the demand."""
         plan, n = customer.plan, customer.gateways
         refilled = customer.others_rate * max(0.0, seconds - plan.burst / plan.rate)  # has filled up again
         left = min(customer.global_bucket + plan.rate * seconds, plan.burst) + refilled - sent
@@ -104,7 +104,7 @@
             customer.ceiling = customer.share * max(customer.global_ceiling, 0.0) - customer.sent
 
     def update_rate(self, customer: Customer, sent_rate: float | None, own_rate: float, share: float) -> None:
-        """One price step, in units a second. Without a total the price stays and no room is known."""
+        """One price step, in units/s. Without a total the price stays and no quota is known to be unused."""
         quota, unused = customer.plan.rate, 0.0
         if sent_rate is not None:
             customer.price = next_price(customer.price, sent_rate, quota)
--- a/millfront/decisions/members.py
+++ b/millfront/decisions/members.py
@@ -1,4 +1,4 @@
-"""Choice of a backend, and what is known of each."""
+"""Choice of a backend, by what is known of each: cost, silence, failures."""
 
 import math
 
@@ -7,26 +7,26 @@
 from millfront.decisions.prices import SECOND_US
 from millfront.decisions.state import Backend, Request
 
-ERROR_COST, SLOWNESS_HALF_LIFE_S = 10.0, 3.0  # cost factor if all answers are errors
-CONNECT_COST = 12.0  # services, times the price of a handshake: cost of a connection that has to be set up
-LOAD_WEIGHT, AGE_WEIGHT = 2.0, 0.5  # cost of an own attempt in flight, in services; of the oldest one's age
-COST_JITTER = 0.1  # of the cost, drawn at random: gateways that see alike must not choose alike
-INITIAL_DEPTH = 6.0  # attempts in flight a backend, by all gateways together, before anything is known
+ERROR_COST, SLOWNESS_HALF_LIFE_S = 10.0, 3.0  # added factor if all answers are errors; of errors too
+CONNECT_COST = 12.0  # service times per unit of handshake price: cost of setting up a connection
+LOAD_WEIGHT, AGE_WEIGHT = 2.0, 0.5  # cost in service times: own attempt in flight; oldest one's age
+COST_JITTER = 0.1  # of the cost, at random: gateways with the same view must not choose the same backend
+INITIAL_DEPTH = 6.0  # attempts in flight a backend, by all gateways together, until more is known
 MIN_WINDOW = 0.1  # attempts: with hundreds of gateways a share of the fleet may be less than one
 CHANCE_ATTEMPTS, LOAD_MEAN_S = 2, 3.0  # attempts that may coincide; time constant of the mean
 EJECT_FAILURES = 3  # time-outs or resets in a row; a refused connection counts for all three
-EJECT_US, MAX_EJECT_US = SECOND_US, 8 * SECOND_US  # first ejection; doubles up to the most
-SILENT_SHARE = 0.6  # of the aim: no answer at all for so long while attempts are out
-COLD_PREFERENCE = 0.5  # of its cost: chosen before others as idle as it is, when a whole send is saved
+EJECT_US, MAX_EJECT_US = SECOND_US, 8 * SECOND_US  # first ejection; doubles up to the maximum
+SILENT_SHARE = 0.6  # of the aim: without any answer for so long while attempts are in flight
+COLD_PREFERENCE = 0.5  # of its cost: preferred to others that are as idle, once a whole send is credited
 
 
 class Backends(ColdBackends):
     def pressure(self) -> float:
-        """Mean attempts in flight over the window; what lies at an ejected backend is lost, not load."""
+        """Mean attempts in flight over the window; those at an ejected backend are lost, not load."""
         return max(self.mean_load, self.load - CHANCE_ATTEMPTS) / max(self.window, MIN_WINDOW)
 
     def add_load(self, now: int, attempts: int) -> None:
-        """The mean is long for a window of few attempts: guards against taking two that met for overload."""
+        """The smaller the window, the longer the mean: two attempts that coincide are no overload."""
         seconds = (now - self.load_us) / SECOND_US
         share = 1.0 - math.exp(-seconds * max(self.window, 1.0) / LOAD_MEAN_S)
         self.mean_load += share * (self.load - self.mean_load)
@@ -34,7 +34,7 @@
         self.load += attempts
 
     def pick(self, now: int, request: Request) -> Backend | None:
-        """The usable backend where the attempt is expected to end first."""
+        """The usable backend where the attempt is expected to end first; None if there is none."""
         tried = [a.backend.id for a in request.attempts]
         usable = [b for b in self.backends.values() if b.id not in tried and self.usable(now, b, request)]
         cost = {b.id: self.expected_cost(now, b) * (1.0 + COST_JITTER * self.random.random()) for b in usable}
@@ -49,14 +49,14 @@
         return self.may_send_to(now, request, backend)
 
     def is_silent(self, now: int, backend: Backend) -> bool:
-        """No answer while attempts are out: a dead or stalled backend, before any time-out says so."""
-        for sent_us, cls in backend.in_flight.values():  # the oldest comes first
+        """No answer while attempts are in flight: a dead or stalled backend, known before any time-out."""
+        for sent_us, cls in backend.in_flight.values():  # the oldest is first
             since = max(sent_us, backend.answered_us)
             return now - since > SILENT_SHARE * self.settings.classes[cls].aim_us
         return False
 
     def expected_cost(self, now: int, backend: Backend) -> float:
-        # Told slow and then left alone, a backend would stay unused for ever: the estimate fades to the mean.
+        # A backend rated slow would stay unused for ever: without answers its estimate decays to the mean.
         decay: float = 0.5 ** ((now - backend.answered_us) / SECOND_US / SLOWNESS_HALF_LIFE_S)
         latency = 1.0 + (backend.slowness - 1.0) * decay if backend.slowness > 1.0 else backend.slowness
         for sent_us, cls in backend.in_flight.values():
@@ -64,13 +64,13 @@
             break
         capacity = self.capacity_share(now, backend)
         load = LOAD_WEIGHT * len(backend.in_flight) / (backend.weight / self.mean_weight * capacity)
-        # Errors are no load and come back fast: unpriced, they would draw traffic to a backend that fails.
+        # Errors are no load and return fast: without a cost they would draw traffic to a failing backend.
         errors = 1.0 + ERROR_COST * backend.error_rate * decay
         setup = CONNECT_COST * self.settings.handshake_price * (len(backend.in_flight) >= backend.connections)
         return latency * errors * (1.0 + load) * (COLD_PREFERENCE if capacity < 1.0 else 1.0 + setup)
 
     def may_send_to(self, now: int, request: Request, backend: Backend) -> bool:
-        """Rule 2: what may have run goes again only as its class allows."""
+        """Rule 2: a request that may have run is sent again only as its class allows."""
         ran = [a for a in request.attempts if a.may_have_run]
         kind = request.kind
         if not ran or kind.repeat is api.Repeat.SAFE:
