--- a/millfront/benchlink.py
+++ b/millfront/benchlink.py
@@ -1,4 +1,4 @@
-"""The bench's wire: frames in, one isolated Gateway per instance, frames out. Translates, decides nothing."""
+"""The simulator's host: frames in, one isolated Gateway per instance, frames out. It decides nothing."""
 
 import struct
 import sys
@@ -25,11 +25,11 @@
 
 
 class Malformed(Exception):
-    """A frame or a settings text that is not what the wire page allows."""
+    """A frame or a settings text that the wire format does not allow."""
 
 
 class Reader:
-    """A cursor over one frame; running past its end is malformed."""
+    """A cursor over one frame; reading past its end raises Malformed."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
@@ -145,7 +145,7 @@
 
 
 class Host:
-    """The gateways of this process, by instance, and the numbered lists they are told of."""
+    """The gateways of this process by instance, and the lists of backends by slot."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
@@ -208,7 +208,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends between two frames."""
+    """Answers batches until the input ends between two frames."""
     host = Host()
     while head := source.read(4):
         if len(head) < 4:
--- a/millfront/interface.py
+++ b/millfront/interface.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions of the gateway: plain data, no logic but the hash that all must compute alike.
+"""Settings, events and actions of the gateway: plain data, and the hash that all must compute alike.
 
 Times are microseconds of the host's clock, which has no particular origin and never goes back.
 Ids are the host's own and are handed back unaltered.
@@ -9,7 +9,7 @@
 
 
 class Repeat(Enum):
-    """Whether a request may run again after it may have run."""
+    """Whether a request may be sent again once it may have run."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -17,7 +17,7 @@
 
 
 class Group(Enum):
-    """The backends among which a keyed request's repeats are dropped."""
+    """The backends among which duplicates of a keyed request are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,7 +31,7 @@
 
 
 class ListKind(Enum):
-    """How a list of backends is to be read."""
+    """How to read a list of backends."""
 
     DELTA = 0
     FULL = 1
@@ -53,7 +53,7 @@
 
 
 class Standing(Enum):
-    """What a try goes out on: its customer's quota, units leased from a reservation, or neither."""
+    """What an attempt is charged to: the customer's quota, units leased from a reservation, or neither."""
 
     INSIDE = "inside"
     RESERVED = "reserved"
@@ -62,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    aim_us: int
+    aim_us: int  # target latency
     deadline_us: int
-    worth: float
-    late_worth: float
+    worth: float  # of an answer within the aim
+    late_worth: float  # of a later one
     repeat: Repeat
     group: Group
-    window_us: int
+    window_us: int  # in which a keyed request may be sent again
     stream: bool
 
 
@@ -76,9 +76,9 @@
 class Plan:
     """Quotas hold for each customer over all gateways together; 0 means no such quota."""
 
-    rate: float
+    rate: float  # units a second
     burst: float
-    open_limit: int
+    open_limit: int  # attempts in flight
     worth_factor: float
     over_worth: float
     over_cost: float
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    me: int
+    me: int  # this gateway's number, 0 to peers - 1
     peers: int
     zone: int
     classes: tuple[RequestClass, ...]
@@ -118,7 +118,7 @@
     weights_known: bool
     counter: bool
     counter_timeout_us: int
-    most_units: float = 0.0  # of one request; 0: not told
+    most_units: float = 0.0  # of one request; 0: unknown
     handshake_price: float = 0.0  # of a new connection to a backend, as a share of a request's worth
 
 
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The gateway begins; sent once, before anything else."""
+    """The gateway starts; sent once, before any other event."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,14 +154,14 @@
     units: float
     spread: int
     first: int
-    terms: Plan | None = None  # live plans: the plan in force, over `plan`
-    reserves: bool = False  # a reservation of the customer is in force: say when its plan runs short
-    whole: bool = True  # else its body is still coming and is not kept: one attempt, and RequestWhole follows
+    terms: Plan | None = None  # live plans: the plan in force, instead of `plan`
+    reserves: bool = False  # a reservation of the customer is in force: Short tells when its plan runs short
+    whole: bool = True  # else its body is still arriving and not kept: one attempt, and RequestWhole follows
 
 
 @dataclass(frozen=True, slots=True)
 class RequestWhole:
-    """The last byte has come: the request's time counts from here."""
+    """The last byte of the body has arrived: the request's time counts from now."""
 
     request: int
     patience_us: int
@@ -169,11 +169,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Retuned:
-    """New settings. Classes and plans of before keep their places; those that are new, or that say something
-    new, come after them."""
+    """New settings. Known classes and plans keep their positions; new and changed ones are appended."""
 
     settings: Settings
-    plans: tuple[tuple[int, int], ...] = ()  # of plans that say something new: the place before, the one now
+    plans: tuple[tuple[int, int], ...] = ()  # of changed plans: former position, new position
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,7 +206,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnitsLeased:
-    """Units of a reservation that this gateway may send on above the customer's plan; below 0 they end."""
+    """Units of a reservation that this gateway may send beyond the customer's plan; negative: withdrawn."""
 
     customer: int
     units: float
@@ -250,7 +249,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; timeout_us 0 leaves it until the client gives up."""
+    """Start an attempt; with timeout_us 0 it runs until the client gives up."""
 
     request: int
     backend: int
@@ -290,11 +289,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Short:
-    """A customer with a reservation asks for more than its plan lets in for sure: units may be leased."""
+    """A customer with a reservation asks for more than its plan surely admits: units may be leased."""
 
     customer: int
     units: float
-    held: float  # leased and not used yet
+    held: float  # leased units not used yet
     gateways: int
 
 
@@ -349,7 +348,7 @@
 
 
 def stable_hash(*parts: int) -> int:
-    """A 64-bit hash (splitmix), the same at every gateway."""
+    """A 64-bit hash (splitmix) of integers, the same at every gateway."""
     state = 0
     for part in parts:
         state = (state ^ part) + 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
--- a/millfront/settings.py
+++ b/millfront/settings.py
@@ -1,4 +1,4 @@
-"""The settings JSON, read here for both hosts: what the module decides on, and what only a node needs."""
+"""Parser of the settings JSON for both hosts: what decisions depend on, and what only a node needs."""
 
 import json
 import math
@@ -7,16 +7,16 @@
 
 from millfront import interface as api
 
-DEFAULT_MAX_UNITS = 1e4  # where the settings name no largest request
+DEFAULT_MAX_UNITS = 1e4  # of a request, where the settings give no limit
 
 
 class SettingsError(Exception):
-    """Settings that are not what the wire page allows."""
+    """Settings that the wire format does not allow."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What stands in the settings beside the decisions: names on the sockets, limits of the platform."""
+    """Settings that decisions don't depend on: positions by name used on sockets, limits of the platform."""
 
     classes: dict[str, int]
     plans: dict[str, int]
@@ -29,7 +29,7 @@
 
 
 def settings_from(text: bytes) -> api.Settings:
-    """The decisions' settings; unknown keys are ignored, a missing or mistyped one is refused by name."""
+    """The decisions' settings. Unknown keys are ignored; errors name a missing or mistyped one."""
     try:
         settings = _settings(json.loads(text))
     except KeyError as error:
@@ -41,9 +41,9 @@
 
 
 def check(settings: api.Settings) -> None:
-    """Refuse settings that no decision could be made on.
+    """Refuses settings on which no decision could be made.
 
-    :raises SettingsError: with the name of the first such field
+    :raises SettingsError: names the first invalid field
     """
     invalid = {
         "peers": settings.peers < 1,
@@ -65,7 +65,7 @@
 
 
 def _number(entry: dict[str, Any], key: str, default: float | None = None) -> float:
-    """:raises SettingsError: it is no number, and which one; a text that reads as one is a slip too"""
+    """:raises SettingsError: it is no finite number; a string of digits is refused too"""
     value = entry[key] if default is None else entry.get(key) or default
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise SettingsError(f"{key}: {value!r} is not a number")
@@ -78,7 +78,7 @@
 
 def _flag(entry: dict[str, Any], key: str) -> bool:
     if not isinstance(entry[key], bool | int):
-        raise SettingsError(f"{key}: {entry[key]!r} is not yes or no")
+        raise SettingsError(f"{key}: {entry[key]!r} is not true or false")
     return bool(entry[key])
 
 
@@ -141,7 +141,10 @@
 
 
 def node_settings_from(document: dict[str, Any]) -> NodeSettings:
-    """The same object as a node reads it."""
+    """The node's part of the same object.
+
+    :raises SettingsError: names the missing or mistyped key
+    """
     try:
         allowed = document["Allowed"]
         return NodeSettings(
