--- a/benchmarks/catching_up.py
+++ b/benchmarks/catching_up.py
@@ -18,7 +18,7 @@
 from millfront.control import configuration
 from millfront.register import chunks
 from millfront.register.chunks import Archive
-from millfront.register.deltas import difference, followed, size
+from millfront.register.deltas import apply_chain, difference, wire_size
 from millfront.register.values import Value
 from millfront.storage.disk import Disk
 from millfront.transport.connections import decoded, encoded
@@ -71,9 +71,9 @@
     """1 is dark all the time; 2 and 3 are down for some changes, and 4 is wiped, after the others."""
     began, text = time.monotonic(), long(1)
     for name, planted in (("differences", False), ("whole", True)):
-        replaced = Archive.replaced
+        replaced = Archive.record_change
         if planted:
-            Archive.replaced = lambda *_: None  # type: ignore[method-assign]
+            Archive.record_change = lambda *_: None  # type: ignore[method-assign]
         world = Lines(7, 6, 1)
         world.start().run(4.0)
         world.changes(1, 6, 0.6)
@@ -94,7 +94,7 @@
             took, came, held_up = world.measure(number)
             print(f"{name:12} {kind:24} {took:6.2f} {came:8} {held_up:6.2f}")
             assert held_by(world.nodes[number]) == world.acknowledged
-        Archive.replaced = replaced  # type: ignore[method-assign]
+        Archive.record_change = replaced  # type: ignore[method-assign]
     packed = len(encoded({"t": "", "v": text}))
     print(f"{changes} changes of {len(text)} characters, {packed} bytes packed")
     print(f"ran {time.monotonic() - began:.0f} s")
@@ -103,8 +103,12 @@
 def large() -> None:
     """A wiped member and a document of 6 MB: by pieces, and in one message."""
     text = long(1, LARGE)
-    for name, piece in (("pieces", chunks.PIECE), ("256 K", 256 * 1024), ("one message", 64 * 1024 * 1024)):
-        chunks.PIECE, before = piece, chunks.PIECE
+    for name, piece in (
+        ("pieces", chunks.CHUNK_CHARS),
+        ("256 K", 256 * 1024),
+        ("one message", 64 * 1024 * 1024),
+    ):
+        chunks.CHUNK_CHARS, before = piece, chunks.CHUNK_CHARS
         world = Lines(7, 6, 1)
         world.start().run(4.0)
         answers = world.call(6, lambda o, now, done: o.put_checked(now, configuration.compiled(text), done))
@@ -115,14 +119,18 @@
         world.run(1.0)
         took, came, held_up = world.measure(4)
         print(f"{name:12} {'wiped':24} {took:6.2f} {came:8} {held_up:6.2f}")
-        chunks.PIECE = before
+        chunks.CHUNK_CHARS = before
     print(f"{len(text)} characters, {len(encoded({'t': '', 'v': text}))} bytes packed")
 
 
 def processor() -> None:
     """Processor time of one message at either end, and of a difference."""
     text, later = long(1, LARGE), long(2, LARGE)
-    for name, part in (("a piece", text[: chunks.PIECE]), ("256 K", text[: 256 * 1024]), ("the whole", text)):
+    for name, part in (
+        ("a piece", text[: chunks.CHUNK_CHARS]),
+        ("256 K", text[: 256 * 1024]),
+        ("the whole", text),
+    ):
         began = time.process_time()
         line = encoded({"t": "piece", "x": part})
         packed = time.process_time()
@@ -133,12 +141,12 @@
         )
     for one, two in ((long(1), long(2)), (text, later)):
         began = time.process_time()
-        steps = difference(one, two, chunks.CHAIN)
+        steps = difference(one, two, chunks.MAX_CHAIN_CHARS)
         made = time.process_time()
         assert steps is not None
-        followed(one, [steps], len(two), configuration.digest_of(two)).unwrap()
+        apply_chain(one, [steps], len(two), configuration.digest_of(two)).unwrap()
         print(
-            f"a difference of {len(one)} characters: {size(steps)} on a line, made in "
+            f"a difference of {len(one)} characters: {wire_size(steps)} on a line, made in "
             f"{1000 * (made - began):.1f} ms, followed in {1000 * (time.process_time() - made):.1f} ms"
         )
 
--- a/millfront/cli/gatekeeper.py
+++ b/millfront/cli/gatekeeper.py
@@ -125,7 +125,7 @@
     from millfront.register import snapshot
 
     text = file.read_text()
-    if isinstance(read := snapshot.restored(text), Err):
+    if isinstance(read := snapshot.load(text), Err):
         fail(UNUSABLE, f"{file}: {read.err_value}")
     _answered(address, "PUT", "/v1/register", text)
     click.echo(f"{file}: {len(json.loads(text)['values'])} values are with a majority")
--- a/millfront/control/admin.py
+++ b/millfront/control/admin.py
@@ -16,7 +16,7 @@
 from millfront.control.delivery import Subscriber
 from millfront.register import snapshot
 from millfront.register.coordinator import Coordinator, Phase, Round
-from millfront.register.values import CONFIG, CORE, TURN, Core, Value, claim_key
+from millfront.register.values import CONFIG, CORE, EVACUATION_COUNT_PREFIX, Core, Value, claim_key
 
 EVACUATION = "evacuation/"
 READ_S, WRITE_S = 2.0, 4.0
@@ -89,11 +89,11 @@
                 elif round.phase is Phase.DONE:
                     self.note("admin", f"configuration {number:08x} refused: {round.proposal} has its number")
                     done(409, f"revision {number:08x} was given to another document ({round.proposal})")
-                elif round.old:
+                elif round.claim_expired:
                     self._passed(number, done)
-                elif round.highest:
+                elif round.highest_ballot:
                     again = self.now + BACKOFF_S * (tries + 1) * 2.0 * self.random.random()
-                    self.later.append((again, lambda: ballot(self.now, round.highest + 1, tries + 1)))
+                    self.later.append((again, lambda: ballot(self.now, round.highest_ballot + 1, tries + 1)))
                 else:
                     done(503, "no majority of the core answers")
 
@@ -143,7 +143,7 @@
         :param since: when the call came, whatever was done for it before this
         :param words: by the keys of evacuations
         """
-        turns = {key: TURN + key.removeprefix(EVACUATION) for key in words}
+        turns = {key: EVACUATION_COUNT_PREFIX + key.removeprefix(EVACUATION) for key in words}
 
         def goes_on() -> bool:
             return self.now - since < ORDER_S and waits()
@@ -190,7 +190,7 @@
 
         def found(round: Round) -> None:
             if round.phase is Phase.DONE:
-                done(200, snapshot.snapshot(round.values))
+                done(200, snapshot.dump(round.values))
             else:
                 done(503, "the registry can't be read now")
 
@@ -199,7 +199,7 @@
     def restore(self, now: float, body: bytes, done: Done, waits: Callable[[], bool] = lambda: True) -> None:
         """Put what a snapshot holds. A configuration that is held higher already stays; the evacuations are
         an order given now, with turns like any other (`_order`), once the configuration is held."""
-        match snapshot.restored(body.decode(errors="replace")):
+        match snapshot.load(body.decode(errors="replace")):
             case Err(fault):
                 self.note("admin", f"snapshot refused: {fault}")
                 done(400, str(fault))
@@ -255,7 +255,7 @@
         """Send what the round wants; when it has ended, what it found is held and whoever waits is told."""
         self.now = now
         for name, message in self.coordinator.drive(now, round):
-            self.to_replica(now, name, round.core.all[name], message)
+            self.to_replica(now, name, round.core.all_members[name], message)
         if round.phase in (Phase.DONE, Phase.FAILED) and round.ref in self.waiting:
             _, then = self.waiting.pop(round.ref)
             if round.phase is Phase.DONE:
@@ -275,10 +275,10 @@
         """The core has changed: what is under way goes on with the new one."""
         for round, then in list(self.waiting.values()):
             if round.core.epoch < core.epoch and (
-                round.phase in (Phase.READING, Phase.WRITING) or round.decides != CORE
+                round.phase in (Phase.READING, Phase.WRITING) or round.decision_key != CORE
             ):
                 if CORE in round.values and round.phase is Phase.WRITING:
                     continue  # the writing of a core itself, which its replicas take whatever theirs is
                 del self.waiting[round.ref]
-                self.coordinator.renew(round, core)
+                self.coordinator.restart(round, core)
                 self.waiting[round.ref] = (round, then)
--- a/millfront/control/delivery.py
+++ b/millfront/control/delivery.py
@@ -4,16 +4,16 @@
 A subscriber asks replicas which versions are newest, over held connections on which replicas also push
 numbered updates, and fetches what it lacks. A replica's answer that names nothing newer than what is held
 here confirms, as of the moment the question was sent, that nothing newer was acknowledged *if* so many
-replicas say so that each majority has one of them (Core.covers). The lease is that moment plus LEASE_SHARE of
-``revoke_within``: a key whose removal was acknowledged at t is refused here from t + LEASE_SHARE *
-revoke_within on, whether this process is in touch or not, without the acknowledgement having waited for
-anybody. Derivation: docs/design/system.md.
+replicas say so that each majority has one of them (Core.is_read_quorum). The lease is that moment plus
+LEASE_SHARE of ``revoke_within``: a key whose removal was acknowledged at t is refused here from t +
+LEASE_SHARE * revoke_within on, whether this process is in touch or not, without the acknowledgement having
+waited for anybody. Derivation: docs/design/system.md.
 """
 
 from dataclasses import dataclass
 from typing import Any
 
-from millfront.register.chunks import SHORT, Archive, Arrivals, Offer
+from millfront.register.chunks import MAX_INLINE_CHARS, Archive, IncomingTexts, Offer
 from millfront.register.values import CORE, Core, Value
 
 LEASE_SHARE = (
@@ -51,7 +51,7 @@
         self.core: Core | None = None
         self.replicas: dict[str, Confirmed] = {}
         self._fetching: dict[str, float] = {}  # key -> when it was last asked for, or a piece came
-        self._arrivals = Arrivals()
+        self._arrivals = IncomingTexts()
         self._archive = Archive()  # for members that are back and reach no replica yet
         self._floor = -1e9  # a lease that an earlier core has given
 
@@ -62,15 +62,17 @@
         changed = [k for k, v in found.items() if k not in self.values or v > self.values[k]]
         for key in changed:
             if key in self.values:
-                self._archive.replaced(key, self.values[key], found[key])
+                self._archive.record_change(key, self.values[key], found[key])
             self.values[key] = found[key]
             self._fetching.pop(key, None)
-            self._arrivals.held(key, found[key])
+            self._arrivals.discard_superseded(key, found[key])
         if CORE in changed:
             self._fetching.clear()  # an answer that was meant for the core before is dropped
             self._floor = self.lease_until()  # nothing newer was acknowledged by then, whoever keeps it since
-            self.core = Core.of(self.values[CORE])
-            self.replicas = {name: Confirmed() for name in self.core.all}  # what counted there doesn't here
+            self.core = Core.from_value(self.values[CORE])
+            self.replicas = {
+                name: Confirmed() for name in self.core.all_members
+            }  # what counted there doesn't here
         if changed:
             for said in self.replicas.values():
                 self._confirm(said)
@@ -82,7 +84,7 @@
             return -1e9
         times = sorted({said.asked for said in self.replicas.values()}, reverse=True)
         for time in times:
-            if self.core.covers(name for name, said in self.replicas.items() if said.asked >= time):
+            if self.core.is_read_quorum(name for name, said in self.replicas.items() if said.asked >= time):
                 return max(time + self.lease_s, self._floor)
         return self._floor
 
@@ -90,7 +92,7 @@
         """Whether a majority of the core in force here has answered in its epoch: no lease is renewed in an
         earlier one from then on."""
         answered = [name for name, said in self.replicas.items() if said.stamps is not None]
-        return self.core is not None and self.core.majority(answered)
+        return self.core is not None and self.core.is_write_quorum(answered)
 
     def as_of(self) -> float:
         """Nothing newer than what is held here was acknowledged before this time."""
@@ -111,12 +113,12 @@
         order.sort(key=lambda name: now - self.replicas[name].failed < 3.0 * ASK_S)
         chosen: list[str] = []
         for name in order:
-            if core.covers(chosen):
+            if core.is_read_quorum(chosen):
                 break
             chosen.append(name)
         # while the lease is not renewed in time all are asked, and by a member until a majority has answered
         late = self.lease_until() - self.lease_s < now - 2.0 * ASK_S
-        if late or (self.member in core.all and not self.confirmed_by_majority()):
+        if late or (self.member in core.all_members and not self.confirmed_by_majority()):
             chosen = order
         out = []
         for name in chosen:
@@ -151,7 +153,7 @@
 
     def asked(self, sender: str, message: Message) -> bool:
         """Whether an answer is to a fetch of this life of the process, from a member of the core in force."""
-        return self.core is not None and sender in self.core.all and message["r"] == self._ref()
+        return self.core is not None and sender in self.core.all_members and message["r"] == self._ref()
 
     def _confirm(self, said: Confirmed) -> None:
         if said.stamps is not None and not self._newer(said.stamps):
@@ -170,16 +172,16 @@
     @staticmethod
     def rest(values: dict[str, Value]) -> Message:
         """What one that is back is handed: short values, and the stamps of long ones."""
-        short = {key: value.wire() for key, value in values.items() if len(value.data) <= SHORT}
+        short = {key: value.to_wire() for key, value in values.items() if len(value.data) <= MAX_INLINE_CHARS}
         return {"t": "rest", "v": short, "s": {k: v.stamp for k, v in values.items() if k not in short}}
 
     def handed(self, message: Message) -> Message:
         """The answer to one that asks for what it was told of so: as a replica's, but it confirms nothing."""
         if message["t"] == "piece?":
             value = self.values.get(message["k"], Value(0, "", ""))
-            return {"t": "piece"} | self._archive.piece(message["k"], value, message["s"], message["o"])
+            return {"t": "piece"} | self._archive.chunk(message["k"], value, message["s"], message["o"])
         values = {key: self.values[key] for key in message["k"] if key in self.values}
-        found, offers = self._archive.parted(values, message["h"])
+        found, offers = self._archive.inline_or_offer(values, message["h"])
         return {"t": "found", "v": found, "d": offers}
 
     def lacking(self, now: float, message: Message) -> list[tuple[str, Message]]:
@@ -206,14 +208,14 @@
     ) -> tuple[dict[str, Value], list[tuple[str, Message]]]:
         """A replica's answer to a fetch, or a piece. Returns the values that are whole here now, which are to
         be held, and the questions for the next chunks."""
-        told = {key: Value.of(wire) for key, wire in message.get("v", {}).items()}
+        told = {key: Value.from_wire(wire) for key, wire in message.get("v", {}).items()}
         came: list[tuple[str, Value | Message | None]] = []
         if message["t"] == "piece":
-            came.append((message["k"], self._arrivals.piece(message)))
+            came.append((message["k"], self._arrivals.add_chunk(message)))
         for key, wire in message.get("d", {}).items():
-            offer, held = Offer.of(wire), self.values.get(key)
+            offer, held = Offer.from_wire(wire), self.values.get(key)
             if held is None or (held.version, held.tie) < offer.stamp:
-                came.append((key, self._arrivals.offered(key, offer, held)))
+                came.append((key, self._arrivals.accept_offer(key, offer, held)))
         out: list[tuple[str, Message]] = []
         for key, got in came:
             if isinstance(got, Value):
--- a/millfront/gatekeeper/node.py
+++ b/millfront/gatekeeper/node.py
@@ -34,8 +34,8 @@
 from millfront.register.coordinator import Coordinator
 from millfront.register.reconfiguration import Reconfiguration
 from millfront.register.recovery import SELF
-from millfront.register.replica import Persist, Replica
-from millfront.register.values import CONFIG, CORE, FOUNDED, Core, Value, inner
+from millfront.register.replica import PersistRequest, Replica
+from millfront.register.values import CONFIG, CORE, FIRST_AGREED_EPOCH, Core, Value, is_internal
 
 REST = "rest"  # the reference of what a member that is back asks for
 SUBSCRIBERS_S = 4.0  # a line on which nobody asked for so long is pushed nothing
@@ -162,7 +162,7 @@
 
     def _hold(self, found: dict[str, Value]) -> None:
         """The one way in for values: what is newer is in force from here on, and nothing goes back."""
-        changed = self.subscriber.hold({k: value for k, value in found.items() if not inner(k)})
+        changed = self.subscriber.hold({k: value for k, value in found.items() if not is_internal(k)})
         for key in changed:
             value = self.subscriber.values[key]
             if key == CONFIG:
@@ -180,7 +180,9 @@
                 self.evacuated = self.evacuated.add(zone) if on else self.evacuated.discard(zone)
                 self.note("register", f"zone {zone} is {'evacuated' if on else 'taken back'}")
             elif key == CORE:
-                self.note("register", f"core {value.version} is {' '.join(sorted(Core.of(value).members))}")
+                self.note(
+                    "register", f"core {value.version} is {' '.join(sorted(Core.from_value(value).members))}"
+                )
         if CORE in changed:
             self.quotas.core_changed(self.io.now())
         if CORE in changed and self.beats:
@@ -200,7 +202,7 @@
     def _stand(self, now: float) -> None:
         """Ready, a whole copy or not: members, who send clients or change the core, learn it at once."""
         me = self.membership.me
-        ready, keeps = self.ready(now), self.reconfiguration.keeps()
+        ready, keeps = self.ready(now), self.reconfiguration.has_full_copy()
         if (ready, keeps) != (me.ready, me.keeps) and self.membership.ticks:
             me.ready, me.keeps = ready, keeps
             self.flush(now)
@@ -217,7 +219,7 @@
         if self.beats % TICK_BEATS == 1:
             self._tick(now)
         self.beat_rounds(now)
-        self.reconfiguration.beat(now)
+        self.reconfiguration.tick(now)
         self.quotas.beat(now)
         self.operations.beat(now)
         self._follow(now)
@@ -232,9 +234,11 @@
         if core is None or not self.settings.bounds.revoke_global:
             return math.inf
         here = [
-            n for n in core.all if n == self.name or (n in records and records[n].liveness is Liveness.UP)
+            n
+            for n in core.all_members
+            if n == self.name or (n in records and records[n].liveness is Liveness.UP)
         ]
-        return GONE_S + self.subscriber.lease_s if core.majority(here) else math.inf
+        return GONE_S + self.subscriber.lease_s if core.is_write_quorum(here) else math.inf
 
     def flush(self, now: float) -> None:
         """This process's record has changed in what others act on at once."""
@@ -247,7 +251,7 @@
 
     def _follow(self, now: float) -> None:
         for name, message in self.subscriber.tick(now, self.near_replicas()):
-            self.to_replica(now, name, self.subscriber.core.all[name], message)  # type: ignore[union-attr]
+            self.to_replica(now, name, self.subscriber.core.all_members[name], message)  # type: ignore[union-attr]
 
     def near_replicas(self) -> list[str]:
         """Core members by distance: this one, its zone, its region, the others; lost ones last."""
@@ -278,7 +282,7 @@
             self.io.datagram(address, message)
         self.admission.tick(now, *self.membership.may_run(now, self._gone_after()))
         self.quotas.tick(now)
-        self.reconfiguration.tick(now)
+        self.reconfiguration.gossip_tick(now)
         self._hand_over()
         self._note_others(now)
 
@@ -344,14 +348,14 @@
         else:
             self.io.back(via, message)
 
-    def synced(self, now: float, persist: Persist, well: bool) -> None:
+    def synced(self, now: float, persist: PersistRequest, well: bool) -> None:
         """The disk is done with it."""
         self.now = now
         replica = self.replica
         assert replica is not None
         if not well:
             self.note("register", "the disk takes nothing: this replica does not count")
-        answer, self.disk_well = persist.then[1], well
+        answer, self.disk_well = persist.reply[1], well
         for to, message in replica.synced(persist, well):
             if answer["t"] == "recovered" and well:
                 replica.recovered()
@@ -360,7 +364,7 @@
                 self._answer(now, to, message)
         if well and replica.votes:
             self._hold(dict(replica.values))
-            if any(not inner(key) for key in persist.values):
+            if any(not is_internal(key) for key in persist.values):
                 self._push()
 
     def _push(self) -> None:
@@ -392,7 +396,7 @@
                 self.discovery.message(now, via, message)
                 self._stand(now)
             case "rest":
-                self._hold({key: Value.of(value) for key, value in message["v"].items()})
+                self._hold({key: Value.from_wire(value) for key, value in message["v"].items()})
                 self._ask_neighbour(via, self.subscriber.lacking(now, message))
             case _:
                 self._reply(now, message)
@@ -402,18 +406,18 @@
         if kind == "no":
             self._fenced(now, sender, message)
         if kind == "agreed":
-            self.reconfiguration.agreed(now, sender, message["r"])
+            self.reconfiguration.handle_agreement(now, sender, message["r"])
         elif kind == "found" and message["r"].startswith(("lives ", "heir ")):
-            self.reconfiguration.recovery.take(now, sender, message)
+            self.reconfiguration.recovery.handle_answer(now, sender, message)
         elif kind in ("found", "piece") and str(message["r"]).startswith(FETCHED):
             if self.subscriber.asked(sender, message):
                 values, further = self.subscriber.found(now, sender, message)
                 self._hold(values)
                 self._ask_replicas(now, further)
-        elif kind in ("found", "stored", "promised", "accepted") or self.coordinator.round_of(
+        elif kind in ("found", "stored", "promised", "accepted") or self.coordinator.find_round(
             message.get("r")
         ):
-            if (round := self.coordinator.take(now, sender, message)) is not None:
+            if (round := self.coordinator.handle_answer(now, sender, message)) is not None:
                 self._drive(now, round)
         else:
             self._ask_replicas(now, self.subscriber.take(now, sender, message))
@@ -424,22 +428,22 @@
 
     def _ask_replicas(self, now: float, asked: list[tuple[str, Message]]) -> None:
         for name, out in asked:
-            if self.subscriber.core is not None and name in self.subscriber.core.all:
-                self.to_replica(now, name, self.subscriber.core.all[name], out)
+            if self.subscriber.core is not None and name in self.subscriber.core.all_members:
+                self.to_replica(now, name, self.subscriber.core.all_members[name], out)
 
     def _fenced(self, now: float, sender: str, message: Message) -> None:
         """A replica is of another core than the call was for: one of the two has missed a change."""
         core = self.subscriber.core
         if "core" in message:
             self._hear_of_core(message["core"])
-        if message.get("behind") and core is not None and sender in core.all:
+        if message.get("behind") and core is not None and sender in core.all_members:
             store = {"t": "store", "r": "core", "e": core.epoch}
-            store["v"] = {CORE: self.subscriber.values[CORE].wire()}
-            self.to_replica(now, sender, core.all[sender], store)
+            store["v"] = {CORE: self.subscriber.values[CORE].to_wire()}
+            self.to_replica(now, sender, core.all_members[sender], store)
 
     def _hear_of_core(self, wire: Any) -> None:
-        core = Value.of(wire)
-        if core.version >= FOUNDED:
+        core = Value.from_wire(wire)
+        if core.version >= FIRST_AGREED_EPOCH:
             self._hold({CORE: core})
 
     def datagram(self, now: float, back: str, message: Message) -> None:
@@ -448,7 +452,7 @@
         kind = message["t"]
         if kind == "core?":
             if self.subscriber.core is not None:
-                self.io.datagram(back, {"t": "core", "v": self.subscriber.values[CORE].wire()})
+                self.io.datagram(back, {"t": "core", "v": self.subscriber.values[CORE].to_wire()})
             return
         if kind == "core":
             self._hear_of_core(message["v"])
--- a/millfront/gatekeeper/node_io.py
+++ b/millfront/gatekeeper/node_io.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from millfront.gatekeeper.operations import OperationsIO
-from millfront.register.replica import Persist
+from millfront.register.replica import PersistRequest
 
 Message = dict[str, Any]
 
@@ -25,7 +25,7 @@
     def back(self, via: Any, message: Message) -> None:
         """On the connection that something came on."""
 
-    def persist(self, persist: Persist) -> None:
+    def persist(self, persist: PersistRequest) -> None:
         """Sync it, then tell `Gatekeeper.synced`."""
 
     def poll(self, number: int) -> None:
--- a/millfront/gatekeeper/operations.py
+++ b/millfront/gatekeeper/operations.py
@@ -82,8 +82,8 @@
         core = self.core()
         if name == self.name:
             self.message(SELF, message)
-        elif core is not None and name in core.all:
-            self.gatekeeper.io.line(core.all[name], message)
+        elif core is not None and name in core.all_members:
+            self.gatekeeper.io.line(core.all_members[name], message)
 
     # ---- messages ------------------------------------------------------------------------------------
 
@@ -127,8 +127,8 @@
         if value is None or value.version <= self._core_seen:
             return
         self._core_seen = value.version
-        core = Core.of(value)
-        store.core_is(now, core.epoch, self.name in (core.old or core.members))
+        core = Core.from_value(value)
+        store.core_is(now, core.epoch, self.name in (core.old_members or core.members))
 
     def _reply(self, replies: list[Reply]) -> None:
         for reply in replies:
@@ -165,7 +165,7 @@
         if store is None:
             return
         self._look_at_core(now, store)
-        member = core is not None and self._epoch() == core.epoch and self.name in core.all
+        member = core is not None and self._epoch() == core.epoch and self.name in core.all_members
         store.tick(now, core.epoch if core is not None and member else NO_EPOCH)
         if core is not None and member and not store.complete:
             self._gather(now, core, store)
--- a/millfront/gatekeeper/process.py
+++ b/millfront/gatekeeper/process.py
@@ -23,7 +23,7 @@
 from millfront.gatekeeper.node import BEAT_S, Gatekeeper
 from millfront.node.config import Address
 from millfront.operations.store import Batch
-from millfront.register.replica import Persist
+from millfront.register.replica import PersistRequest
 from millfront.register.values import Value
 from millfront.transport.connections import Line, Message, Transport
 
@@ -91,7 +91,7 @@
         assert isinstance(via, Line)
         via.send(message)
 
-    def persist(self, persist: Persist) -> None:
+    def persist(self, persist: PersistRequest) -> None:
         """Sync it in the disk's thread, then tell `Gatekeeper.synced` whether it held."""
         self.start(self._persist(persist))
 
@@ -122,7 +122,7 @@
         if not task.cancelled() and (wrong := task.exception()) is not None:
             logger.opt(exception=wrong).error("gatekeeper: a task failed")
 
-    async def _persist(self, persist: Persist) -> None:
+    async def _persist(self, persist: PersistRequest) -> None:
         from millfront.storage.lmdb_folder import DiskError
 
         assert self.disk is not None
@@ -253,7 +253,7 @@
         server = self.proxy.server
         if self.proxy.open > 0 or server.unanswered() or server.untaken():
             return True
-        return not self.gatekeeper.reconfiguration.may_go(self.now())
+        return not self.gatekeeper.reconfiguration.may_exit(self.now())
 
 
 @dataclass(frozen=True, slots=True)
--- a/millfront/gatekeeper/quota_grants.py
+++ b/millfront/gatekeeper/quota_grants.py
@@ -21,13 +21,13 @@
 from millfront.quotas.requester import Decision, Owner, Then, TokenRequester
 from millfront.quotas.share import KeptShare, ShareOfAllowance
 from millfront.register.recovery import SELF
-from millfront.register.replica import Persist, Voting
-from millfront.register.values import FOUNDED, OWN
+from millfront.register.replica import PersistRequest, ReplicaState
+from millfront.register.values import FIRST_AGREED_EPOCH, LOCAL_PREFIX
 
 if TYPE_CHECKING:
     from millfront.gatekeeper.node import Gatekeeper
 
-KEPT_SHARE = OWN + "quota-share"  # the key of the share in force, among the replica's own values
+KEPT_SHARE = LOCAL_PREFIX + "quota-share"  # the key of the share in force, among the replica's own values
 KINDS = frozenset((REQUEST, REPLY))
 FIRST_REF_BITS = 32
 
@@ -39,7 +39,7 @@
         self.gatekeeper = gatekeeper
         replica = gatekeeper.replica
         kept = KeptShare.of(replica.values.get(KEPT_SHARE)) if replica is not None else None
-        self._first_start = replica is not None and replica.state is Voting.NEW
+        self._first_start = replica is not None and replica.state is ReplicaState.NEW
         self.share = ShareOfAllowance(gatekeeper.name, gatekeeper.subscriber.lease_s, kept)
         bounds = gatekeeper.settings.bounds
         self.granter = Granter(bounds, now, gatekeeper.invariants)
@@ -69,12 +69,12 @@
         if self.share.update(now, subscriber.core, subscriber.confirmed_by_majority()):
             self._unsaved = True
         replica, founded = self.gatekeeper.replica, subscriber.core
-        full = self._first_start and founded is not None and founded.epoch == FOUNDED
+        full = self._first_start and founded is not None and founded.epoch == FIRST_AGREED_EPOCH
         self.granter.shared(now, self.share.in_force(), full)
         if self._unsaved and replica is not None and replica.votes:
             self._unsaved = False
             kept = self.share.kept().value()
-            self.gatekeeper.io.persist(Persist({KEPT_SHARE: kept}, (SELF, {"t": "stored", "r": ""})))
+            self.gatekeeper.io.persist(PersistRequest({KEPT_SHARE: kept}, (SELF, {"t": "stored", "r": ""})))
 
     def core_changed(self, now: float) -> None:
         """Another core is in force here."""
@@ -90,7 +90,7 @@
             return []
         names = [
             name
-            for name in core.all
+            for name in core.all_members
             if name == gatekeeper.name or name not in records or records[name].liveness is not Liveness.LOST
         ]
         names.sort(key=lambda name: (gatekeeper.distance(name), weight(gatekeeper.name, name)))
@@ -112,8 +112,8 @@
     def to_owner(self, name: str, request: TokenRequest) -> None:
         """Send it a question, which may be lost."""
         core = self.gatekeeper.subscriber.core
-        if core is not None and name in core.all:
-            self.gatekeeper.io.datagram(core.all[name], request.wire())
+        if core is not None and name in core.all_members:
+            self.gatekeeper.io.datagram(core.all_members[name], request.wire())
 
     def later(self, seconds: float, then: Callable[[], None]) -> None:
         """Call that after so long."""
--- a/millfront/gatekeeper/status.py
+++ b/millfront/gatekeeper/status.py
@@ -7,7 +7,7 @@
 
 from millfront.control.configuration import Tenant
 from millfront.gatekeeper.node import Gatekeeper
-from millfront.register.values import CLAIM, inner
+from millfront.register.values import CLAIM_PREFIX, is_internal
 
 
 def of(gatekeeper: Gatekeeper, now: float) -> dict[str, Any]:
@@ -65,17 +65,17 @@
         "members": sorted(core.members),
         "change": gatekeeper.reconfiguration.change.value,
     }
-    return told | {"old_members": sorted(core.old)} if core.old else told
+    return told | {"old_members": sorted(core.old_members)} if core.old_members else told
 
 
 def _replica(gatekeeper: Gatekeeper) -> dict[str, Any] | None:
     replica = gatekeeper.replica
     if replica is None:
         return None
-    held = {key: value.version for key, value in sorted(replica.values.items()) if not inner(key)}
+    held = {key: value.version for key, value in sorted(replica.values.items()) if not is_internal(key)}
     disk, claims = (
         "takes" if gatekeeper.disk_well else "refuses",
-        sum(k.startswith(CLAIM) for k in replica.values),
+        sum(k.startswith(CLAIM_PREFIX) for k in replica.values),
     )
     return {"state": replica.state.value, "disk": disk, "held": held, "claims": claims}
 
@@ -83,7 +83,9 @@
 def _duties(gatekeeper: Gatekeeper) -> dict[str, Any]:
     """Who holds which, as seen from here; the list's fence is the number of the last list."""
     first, core = gatekeeper.discovery.holder(), gatekeeper.subscriber.core
-    replica, epoch = (gatekeeper.reconfiguration.holder(core), core.epoch) if core is not None else ("", 0)
+    replica, epoch = (
+        (gatekeeper.reconfiguration.coordinator_of(core), core.epoch) if core is not None else ("", 0)
+    )
     return {
         "list": {"holder": first, "fence": gatekeeper.server_list.number},
         "core": {"holder": replica, "fence": epoch},
--- a/millfront/operations/claims.py
+++ b/millfront/operations/claims.py
@@ -115,7 +115,7 @@
         """The nearest that are a majority by themselves."""
         chosen: list[str] = []
         for name in self.peers.nearest():
-            if core.majority(chosen):
+            if core.is_write_quorum(chosen):
                 break
             chosen.append(name)
         return chosen
@@ -129,7 +129,7 @@
 
     def widen(self, pending: PendingClaim) -> None:
         """Those who were asked don't all grant it, or are slow: the others are asked as well."""
-        rest = [name for name in pending.core.all if name not in pending.asked]
+        rest = [name for name in pending.core.all_members if name not in pending.asked]
         if rest and pending.decided is not None:
             self._ask(pending, rest)
 
@@ -140,7 +140,7 @@
     def claimed(self, sender: str, claimed: Claimed) -> None:
         """A replica's answer to a claim."""
         pending = self._pending.get(claimed.attempt)
-        if pending is None or sender not in pending.core.all:
+        if pending is None or sender not in pending.core.all_members:
             return
         if claimed.verdict is Verdict.GRANTED:
             pending.granted.add(sender)
@@ -152,7 +152,7 @@
             self._look(pending)
 
     def _look(self, pending: PendingClaim) -> None:
-        if pending.core.majority(pending.granted):
+        if pending.core.is_write_quorum(pending.granted):
             self._run(pending)
             return
         for told in pending.had.values():
@@ -162,9 +162,9 @@
         heard = pending.granted | pending.had.keys() | pending.silent
         if pending.had or pending.silent:
             self.widen(pending)
-        if pending.decided is None or pending.asked != pending.core.all.keys():
+        if pending.decided is None or pending.asked != pending.core.all_members.keys():
             return
-        if all(name in heard or not self.peers.reachable(name) for name in pending.core.all):
+        if all(name in heard or not self.peers.reachable(name) for name in pending.core.all_members):
             self._without_majority(pending)
 
     def _run(self, pending: PendingClaim) -> None:
@@ -232,7 +232,7 @@
         core = self.peers.core()
         names = [
             name
-            for name in (core.all if core is not None else ())
+            for name in (core.all_members if core is not None else ())
             if self.peers.reachable(name) and (not regions or self.peers.region_of(name) in regions)
         ]
         return holders(operation, names, COPIES)
--- a/millfront/operations/gathering.py
+++ b/millfront/operations/gathering.py
@@ -38,7 +38,7 @@
             return []
         if core.epoch != self._epoch:
             self._epoch = core.epoch
-            self._told = {name: Told() for name in core.all if name != self.name}
+            self._told = {name: Told() for name in core.all_members if name != self.name}
         out = []
         for name, told in self._told.items():
             if not told.whole and now - told.asked > AGAIN_S:
@@ -64,7 +64,7 @@
         whole = {name: told for name, told in self._told.items() if told.whole}
         if not whole or core.epoch != self._epoch:
             return None
-        for part in core.sets:
+        for part in core.member_sets:
             needed = min(read_quorum(len(part)), len(part) - 1)
             if len(whole.keys() & part.keys()) < needed:
                 return None
--- a/millfront/quotas/share.py
+++ b/millfront/quotas/share.py
@@ -16,7 +16,7 @@
 import json
 from dataclasses import dataclass
 
-from millfront.register.values import FOUNDED, Core, Value
+from millfront.register.values import FIRST_AGREED_EPOCH, Core, Value
 
 LEASE_MARGIN = 1.05  # clocks may differ by a few percent
 SETTLED_STEP = 2  # a change of the core takes two epochs: both sets of members, then the new one
@@ -61,7 +61,7 @@
         """
         if core is None:
             return False
-        if core.old:
+        if core.old_members:
             if core.epoch != self.epoch + 1:
                 self._missed(core.epoch - 1)
             self._known = True
@@ -90,11 +90,11 @@
         self.share = kept
 
     def _grow(self, now: float, core: Core, majority: bool) -> bool:
-        if self._final or core.epoch < FOUNDED:
+        if self._final or core.epoch < FIRST_AGREED_EPOCH:
             return False
         if self._majority_at is None and majority:
             self._majority_at = now
-        first = core.epoch == FOUNDED  # there was no core before
+        first = core.epoch == FIRST_AGREED_EPOCH  # there was no core before
         waited = self._majority_at is not None and now - self._majority_at >= self._waits_s
         if not first and not waited:
             return False
--- a/millfront/register/deltas.py
+++ b/millfront/register/deltas.py
@@ -15,11 +15,11 @@
 from millfront.register.values import digest_of
 
 Steps = list[Any]
-END = re.compile(r"\},|\n")
-ANCHOR = 96  # characters that must be equal for the walk to go on there: an entry's begin with its name
-WINDOWS = (4096, 65536)  # how far is looked for it: a few entries, then a few hundred
-TRIED = 64  # ends of entries in a window
-LEAST = 24  # characters: a shorter copy costs as much as the text
+ENTRY_END = re.compile(r"\},|\n")
+ANCHOR_CHARS = 96  # characters that must be equal for the walk to go on there: an entry's begin with its name
+SEARCH_WINDOWS = (4096, 65536)  # how far is looked for it: a few entries, then a few hundred
+MAX_CANDIDATES = 64  # ends of entries in a window
+MIN_COPY_CHARS = 24  # characters: a shorter copy costs as much as the text
 
 
 class DeltaError(Exception):
@@ -38,28 +38,28 @@
     steps: Steps = []
     i = j = taken = 0
     while j < len(new):
-        same = _same(old, i, new, j)
+        same = _common_length(old, i, new, j)
         if same:
             steps.append([i, same])
             i, j = i + same, j + same
         if j == len(new):
             break
-        to_i, to_j = _meet(old, i, new, j)
+        to_i, to_j = _resync(old, i, new, j)
         steps.append(new[j:to_j])
         taken += to_j - j
         if taken > most:
             return None
         i, j = to_i, to_j
-    made = _joined(steps, old)
-    return made if size(made) <= most else None
+    made = _merged(steps, old)
+    return made if wire_size(made) <= most else None
 
 
-def applied(old: str, steps: Steps, most: int) -> Result[str, DeltaError]:
+def apply(old: str, steps: Steps, most: int) -> Result[str, DeltaError]:
     """:param most: characters that may come out
 
-    >>> applied("one two", [[0, 4], "three"], 100).unwrap()
+    >>> apply("one two", [[0, 4], "three"], 100).unwrap()
     'one three'
-    >>> str(applied("one", [[2, 5]], 100).unwrap_err()), str(applied("one", [None], 100).unwrap_err())
+    >>> str(apply("one", [[2, 5]], 100).unwrap_err()), str(apply("one", [None], 100).unwrap_err())
     ('the step [2, 5] does not fit a text of 3', 'the step None does not fit a text of 3')
     """
     parts, came = [], 0
@@ -78,17 +78,17 @@
     return Ok("".join(parts))
 
 
-def followed(old: str, chain: list[Steps], length: int, digest: str) -> Result[str, DeltaError]:
+def apply_chain(old: str, chain: list[Steps], length: int, digest: str) -> Result[str, DeltaError]:
     """One delta after the other; what comes out has this length and this digest.
 
-    >>> followed("a", [["b"], [[0, 1], "c"]], 2, digest_of("bc")).unwrap()
+    >>> apply_chain("a", [["b"], [[0, 1], "c"]], 2, digest_of("bc")).unwrap()
     'bc'
-    >>> str(followed("a", [["b"]], 1, digest_of("c")).unwrap_err())
+    >>> str(apply_chain("a", [["b"]], 1, digest_of("c")).unwrap_err())
     'the digest is not that of the text that was meant'
     """
     text = old
     for steps in chain:
-        match applied(text, steps, 2 * max(length, len(old)) + 4096):
+        match apply(text, steps, 2 * max(length, len(old)) + 4096):
             case Ok(made):
                 text = made
             case Err(fault):
@@ -98,16 +98,16 @@
     return Ok(text)
 
 
-def size(steps: Steps) -> int:
+def wire_size(steps: Steps) -> int:
     """Characters that it takes on a line, about.
 
-    >>> size([[0, 4], "three"])
+    >>> wire_size([[0, 4], "three"])
     29
     """
     return sum(len(step) + 8 if isinstance(step, str) else 16 for step in steps)
 
 
-def _same(old: str, i: int, new: str, j: int) -> int:
+def _common_length(old: str, i: int, new: str, j: int) -> int:
     """How many characters from there on are equal: looked at in parts that double, then halve."""
     same, part = 0, 64
     while (one := old[i + same : i + same + part]) and one == new[j + same : j + same + part]:
@@ -120,23 +120,23 @@
     return same
 
 
-def _meet(old: str, i: int, new: str, j: int) -> tuple[int, int]:
+def _resync(old: str, i: int, new: str, j: int) -> tuple[int, int]:
     """Where both go on alike; else behind the largest window of both."""
-    for window in WINDOWS:
-        for tried, end in enumerate(END.finditer(new, j, j + window)):
-            if tried >= TRIED:
+    for window in SEARCH_WINDOWS:
+        for tried, end in enumerate(ENTRY_END.finditer(new, j, j + window)):
+            if tried >= MAX_CANDIDATES:
                 break
-            at = old.find(new[end.end() : end.end() + ANCHOR], i, i + window + ANCHOR)
+            at = old.find(new[end.end() : end.end() + ANCHOR_CHARS], i, i + window + ANCHOR_CHARS)
             if at >= 0:
                 return at, end.end()
     return min(i + window, len(old)), min(j + window, len(new))
 
 
-def _joined(steps: Steps, old: str) -> Steps:
+def _merged(steps: Steps, old: str) -> Steps:
     """Copies that are shorter than their own step become text; texts side by side become one."""
     made: Steps = []
     for step in steps:
-        if (isinstance(step, list) and step[1] >= LEAST) or (not made and len(steps) == 1):
+        if (isinstance(step, list) and step[1] >= MIN_COPY_CHARS) or (not made and len(steps) == 1):
             made.append(step)
             continue
         text = step if isinstance(step, str) else old[step[0] : step[0] + step[1]]
--- a/millfront/register/placement.py
+++ b/millfront/register/placement.py
@@ -12,7 +12,7 @@
 
 from millfront.register.values import Core, write_quorum
 
-FEWEST = 3  # two would need both for everything
+SMALLEST_CORE = 3  # two would need both for everything
 
 
 class Seat(Enum):
@@ -31,19 +31,19 @@
     """The members that the register is to have. ``waits``: who should leave it, and can't yet."""
 
     members: dict[str, str]
-    waits: tuple[str, ...] = ()
+    waiting: tuple[str, ...] = ()
 
 
-def fewest(hosts_lost: int) -> int:
+def min_members(hosts_lost: int) -> int:
     """Members of the smallest core that bears that so many are away.
 
-    >>> [fewest(lost) for lost in (0, 1, 2)]
+    >>> [min_members(lost) for lost in (0, 1, 2)]
     [3, 3, 5]
     """
-    return max(FEWEST, 2 * hosts_lost + 1)
+    return max(SMALLEST_CORE, 2 * hosts_lost + 1)
 
 
-def chosen(
+def choose_members(
     members: dict[str, str],
     seats: dict[str, Seat],
     joined: dict[str, str],
@@ -54,7 +54,7 @@
 
     Who is up and stays remains a member. The others are removed, and those who joined are added, as far as
 
-    - no fewer members are left than `fewest`, nor than there are where these are fewer already;
+    - no fewer members are left than `min_members`, nor than there are where these are fewer already;
     - those sound now are a majority of the new core without anybody who has just joined.
 
     One that is dark remains a member unless somebody who is there needs its place. The `young` of those who
@@ -63,21 +63,21 @@
 
     >>> up = dict.fromkeys("abcd", Seat.SOUND)
     >>> core = dict.fromkeys("abcd", "")
-    >>> "".join(sorted(chosen(core, up | {"a": Seat.LEAVING}, {}, set(), 1).members))
+    >>> "".join(sorted(choose_members(core, up | {"a": Seat.LEAVING}, {}, set(), 1).members))
     'bcd'
-    >>> chosen(dict.fromkeys("abc", ""), up | {"a": Seat.LEAVING}, {}, set(), 1).waits
+    >>> choose_members(dict.fromkeys("abc", ""), up | {"a": Seat.LEAVING}, {}, set(), 1).waiting
     ('a',)
 
     Of four with one dark and one new only two would vote:
 
     >>> three = dict.fromkeys("abc", ""), up | {"a": Seat.DARK}
-    >>> "".join(sorted(chosen(*three, {"e": ""}, {"e"}, 1).members))
+    >>> "".join(sorted(choose_members(*three, {"e": ""}, {"e"}, 1).members))
     'bce'
     """
     settled = {name: address for name, address in joined.items() if name not in young}
-    best = _best(members, seats, settled, hosts_lost)
+    best = _best_choice(members, seats, settled, hosts_lost)
     if young:
-        choice = _best(members, seats, joined, hosts_lost)
+        choice = _best_choice(members, seats, joined, hosts_lost)
         if _spare_votes(choice, seats) > _spare_votes(best, seats):
             return choice
     return best
@@ -90,17 +90,19 @@
     return votes - write_quorum(len(choice.members))
 
 
-def _best(members: dict[str, str], seats: dict[str, Seat], joined: dict[str, str], hosts_lost: int) -> Choice:
+def _best_choice(
+    members: dict[str, str], seats: dict[str, Seat], joined: dict[str, str], hosts_lost: int
+) -> Choice:
     stay = Choice(members, tuple(sorted(n for n in members if seats[n] in (Seat.LEAVING, Seat.LEFT))))
     if not joined and not any(seats[n] in (Seat.LEAVING, Seat.LEFT, Seat.LOST) for n in members):
         return stay
     voting = [n for n in members if seats[n] in (Seat.SOUND, Seat.BEHIND, Seat.LEAVING)]
-    if not Core(0, members).majority(voting):
+    if not Core(0, members).is_write_quorum(voting):
         return stay  # nothing could be decided
-    least = min(len(members), fewest(hosts_lost))
+    least = min(len(members), min_members(hosts_lost))
     best, best_key = stay, (-1, 0, 0, 0)
-    for kept, dark, new in _counts(members, seats, joined):
-        names = _named(members, seats, joined, kept, dark, new)
+    for kept, dark, new in _candidate_counts(members, seats, joined):
+        names = _candidate(members, seats, joined, kept, dark, new)
         quorum = write_quorum(len(names))
         sound = [n for n in names if seats.get(n) is Seat.SOUND]
         now = [n for n in names if seats.get(n) in (Seat.SOUND, Seat.LEAVING)]
@@ -113,26 +115,26 @@
     return best
 
 
-def _of(members: dict[str, str], seats: dict[str, Seat], *which: Seat) -> list[str]:
+def _members_in(members: dict[str, str], seats: dict[str, Seat], *which: Seat) -> list[str]:
     return [name for seat in which for name in sorted(members) if seats[name] is seat]
 
 
-def _counts(
+def _candidate_counts(
     members: dict[str, str], seats: dict[str, Seat], joined: dict[str, str]
 ) -> Iterator[tuple[int, int, int]]:
     """How many that are going remain members, how many that are dark do, and how many new ones are added."""
-    going = len(_of(members, seats, Seat.LEAVING, Seat.LEFT, Seat.LOST))
-    dark = len(_of(members, seats, Seat.DARK))
+    going = len(_members_in(members, seats, Seat.LEAVING, Seat.LEFT, Seat.LOST))
+    dark = len(_members_in(members, seats, Seat.DARK))
     for kept in range(going + 1):
         for still in range(dark + 1):
             for new in range(len(joined) + 1):
                 yield kept, still, new
 
 
-def _named(
+def _candidate(
     members: dict[str, str], seats: dict[str, Seat], joined: dict[str, str], kept: int, dark: int, new: int
 ) -> dict[str, str]:
-    names = _of(members, seats, Seat.SOUND, Seat.BEHIND)
-    names += _of(members, seats, Seat.LEAVING, Seat.LEFT, Seat.LOST)[:kept]
-    names += _of(members, seats, Seat.DARK)[:dark]
+    names = _members_in(members, seats, Seat.SOUND, Seat.BEHIND)
+    names += _members_in(members, seats, Seat.LEAVING, Seat.LEFT, Seat.LOST)[:kept]
+    names += _members_in(members, seats, Seat.DARK)[:dark]
     return {name: members[name] for name in names} | {name: joined[name] for name in sorted(joined)[:new]}
--- a/millfront/register/reconfiguration.py
+++ b/millfront/register/reconfiguration.py
@@ -24,27 +24,35 @@
 from millfront.membership.gossip import SUSPECT_TICKS, TICK_S, Membership, holders
 from millfront.membership.record import Liveness
 from millfront.register.coordinator import Coordinator, Phase, Round
-from millfront.register.placement import Choice, Seat, chosen, fewest
+from millfront.register.placement import Choice, Seat, choose_members, min_members
 from millfront.register.recovery import SELF, Recovery
-from millfront.register.replica import Persist, Replica, Voting
-from millfront.register.values import BALLOTS, CORE, FOUNDED, PROMISED, Core, Value, write_quorum
-
-SETTLED_S = 1.2  # the roster unchanged for so long, the core is founded
-FOUNDING_S = 1.6  # the least time from the start: all start together, each in its own time
-PATIENT_S = 4.0  # the same while a seed is missing
-AGAIN_S = 0.7
-JOINED_S = 1.0  # a machine with a disk that was heard of for so long is added where that gains a vote
-SETTLED_IN_S = 5.0  # and after so long where it does not
-RELIEVED_S = 120.0  # a member that was not heard of for so long is lost for good
-BETWEEN_S = 1.0  # a change that failed, or one of somebody's that is not whole, and the next try
-WAITS_S = 1.5  # a member that could not be removed for so long waits for something
-DECIDE_S, CARRY_S = 3.0, 6.0
+from millfront.register.replica import PersistRequest, Replica, ReplicaState
+from millfront.register.values import (
+    BALLOTS_PER_EPOCH,
+    CORE,
+    FIRST_AGREED_EPOCH,
+    PROMISED,
+    Core,
+    Value,
+    write_quorum,
+)
+
+BOOTSTRAP_SETTLE_S = 1.2  # the roster unchanged for so long, the core is founded
+BOOTSTRAP_MIN_S = 1.6  # the least time from the start: all start together, each in its own time
+BOOTSTRAP_MISSING_SEED_S = 4.0  # the same while a seed is missing
+RESEND_S = 0.7
+JOIN_DELAY_S = 1.0  # a machine with a disk that was heard of for so long is added where that gains a vote
+NO_GAIN_JOIN_DELAY_S = 5.0  # and after so long where it does not
+REMOVAL_DELAY_S = 120.0  # a member that was not heard of for so long is lost for good
+RETRY_DELAY_S = 1.0  # a change that failed, or one of somebody's that is not whole, and the next try
+WAIT_NOTE_DELAY_S = 1.5  # a member that could not be removed for so long waits for something
+DECIDE_TIMEOUT_S, CARRY_TIMEOUT_S = 3.0, 6.0
 # Decide (two rounds), open, carry over (a read, and its write-back), close: six round trips of 80 ms
-CHANGE_S = 0.5
-# What a hand-over takes at most whose successor is already up: the word that a member leaves is lost and told
-# again a tick later, the successor is heard of at that moment and posted JOINED_S later, and the core changes
-VACANT_S = TICK_S + JOINED_S + CHANGE_S
-ASK_BEATS = 2  # one that leaves asks who there is: 0.5 s and a round trip are less than JOINED_S
+CHANGE_DURATION_S = 0.5
+# Longest hand-over to a successor that is already up: the notice that a member leaves is lost and sent again
+# one gossip tick later, the successor is first heard of then, added JOIN_DELAY_S later, and the core changes
+MAX_HANDOVER_S = TICK_S + JOIN_DELAY_S + CHANGE_DURATION_S
+REQUEST_TICKS = 2  # one that leaves asks who there is: 0.5 s and a round trip are less than JOIN_DELAY_S
 Message = dict[str, Any]
 
 
@@ -54,11 +62,11 @@
     def datagram(self, address: str, message: Message) -> None:
         """Send one datagram; it may be lost."""
 
-    def persist(self, persist: Persist) -> None:
+    def persist(self, persist: PersistRequest) -> None:
         """Sync it; the process is told when that is done."""
 
 
-class Desk(Protocol):
+class GatekeeperContext(Protocol):
     """What reconfiguration asks of the process that it belongs to."""
 
     name: str
@@ -104,78 +112,80 @@
 
 
 @dataclass(slots=True)
-class Founding:
+class Bootstrap:
     """A proposal of the first core: its members' addresses by name, who has agreed, when it was last sent."""
 
     core: Value
     members: dict[str, str]
     agreed: set[str]
-    sent: float = -1e9
+    last_sent: float = -1e9
 
 
 class Reconfiguration:
     """One process's part in choosing the register's members."""
 
-    def __init__(self, gatekeeper: Desk) -> None:
+    def __init__(self, gatekeeper: GatekeeperContext) -> None:
         self.gatekeeper = gatekeeper
         self.change = Change.NONE
-        self.founding: Founding | None = None
-        self._tried = -1e9  # when a change failed
-        self._since = gatekeeper.born  # when the core in force came into force here
-        self._left: set[str] = set()  # members that were heard to end in order
-        self._left_at: float | None = None  # since when this process ends in order
-        self._vacant_since: float | None = None  # as one that leaves: since when no successor can be had
-        self._waits: tuple[str, ...] = ()  # members that can't be removed yet, as last noted
-        self._number = 0  # of the highest ballot seen
-        self._known: dict[str, float] = {}  # processes with a disk, and since when they are heard of
-        self._missed: dict[str, float] = {}  # members, and since when they are not
-        self._roster: frozenset[str] = frozenset()
-        self._roster_since = gatekeeper.born
+        self.bootstrap: Bootstrap | None = None
+        self._failed_at = -1e9  # when a change failed
+        self._core_since = gatekeeper.born  # when the core in force came into force here
+        self._departed: set[str] = set()  # members that were heard to end in order
+        self._leaving_since: float | None = None  # since when this process ends in order
+        self._no_successor_since: float | None = (
+            None  # as one that leaves: since when no successor can be had
+        )
+        self._waiting: tuple[str, ...] = ()  # members that can't be removed yet, as last noted
+        self._ballot = 0  # of the highest ballot seen
+        self._up_since: dict[str, float] = {}  # processes with a disk, and since when they are heard of
+        self._missing_since: dict[str, float] = {}  # members, and since when they are not
+        self._peers: frozenset[str] = frozenset()
+        self._peers_since = gatekeeper.born
         self.recovery = Recovery(gatekeeper)
 
-    def beat(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Every beat of the gatekeeper."""
         replica = self.gatekeeper.replica
         if replica is not None and replica.votes:
-            self.recovery.keep_up(now)
+            self.recovery.catch_up(now)
         elif replica is not None:
-            self._grow_up(now, replica)
+            self._bring_up_replica(now, replica)
         if replica is not None and (core := self.gatekeeper.subscriber.core) is not None:
-            self._look(now, core)
-            if self._due(now, core):
-                self._begin(now, core)
-            if self._left_at is not None:
+            self._update_peers(now, core)
+            if self._is_change_due(now, core):
+                self._begin_change(now, core)
+            if self._leaving_since is not None:
                 self._look_for_successor(now, core, replica)
-                if self.gatekeeper.beats % ASK_BEATS == 0:
-                    self._ask_who_stays(core)
-            if not self.may_go(now):
-                self._say_waits(now, core)
+                if self.gatekeeper.beats % REQUEST_TICKS == 0:
+                    self._request_records(core)
+            if not self.may_exit(now):
+                self._note_own_wait(now, core)
 
-    def tick(self, now: float) -> None:
+    def gossip_tick(self, now: float) -> None:
         """Every tick of the gatekeeper: look at who there is; change the core where that is this one's
         duty."""
         gatekeeper = self.gatekeeper
         roster = frozenset(
             record.name for record in gatekeeper.membership.others() if record.identity is not None
         )
-        if roster != self._roster:
-            self._roster, self._roster_since = roster, now
+        if roster != self._peers:
+            self._peers, self._peers_since = roster, now
         if gatekeeper.subscriber.core is None or not gatekeeper.trusted(now):
             for seed in gatekeeper.membership.seeds:
                 if seed != gatekeeper.post_address:
                     gatekeeper.io.datagram(seed, {"t": "core?"})
         if (core := gatekeeper.subscriber.core) is not None and gatekeeper.replica is None:
-            self._look(now, core)
+            self._update_peers(now, core)
 
     def core_changed(self) -> None:
         """Another core is in force here: what was gathered for the one before is not for this one."""
-        self.founding = None
-        self._since = self.gatekeeper.now
+        self.bootstrap = None
+        self._core_since = self.gatekeeper.now
         self.recovery.core_changed()
 
     # ---- copies, and an end in order ----------------------------------------------------------------
 
-    def keeps(self) -> bool:
+    def has_full_copy(self) -> bool:
         """Whether this process's disk has a copy of what was acknowledged: its replica has caught up, in the
         core that is in force here, and is a member of it."""
         gatekeeper, replica = self.gatekeeper, self.gatekeeper.replica
@@ -183,7 +193,7 @@
         if (
             replica is None
             or core is None
-            or gatekeeper.name not in core.all
+            or gatekeeper.name not in core.all_members
             or not self.recovery.caught_up()
         ):
             return False
@@ -192,38 +202,38 @@
     def leave(self, now: float) -> None:
         """This process ends in order: its record tells all, and one of those who stay changes the core."""
         gatekeeper = self.gatekeeper
-        gatekeeper.now = self._left_at = now
-        self._waits = ()
-        self._vacant_since = None
+        gatekeeper.now = self._leaving_since = now
+        self._waiting = ()
+        self._no_successor_since = None
         for address, message in gatekeeper.membership.bye():
             gatekeeper.io.datagram(address, message)
 
-    def _ask_who_stays(self, core: Core) -> None:
+    def _request_records(self, core: Core) -> None:
         """Nobody tells one that leaves its record any more: it asks the core's members for all."""
         gatekeeper = self.gatekeeper
-        if gatekeeper.name in core.all and not self._can_shrink(core):
-            for name, address in core.all.items():
+        if gatekeeper.name in core.all_members and not self._can_shrink(core):
+            for name, address in core.all_members.items():
                 if name != gatekeeper.name:
                     gatekeeper.io.datagram(address, gatekeeper.membership.hello())
 
     def _can_shrink(self, core: Core) -> bool:
         """Whether a seat may be given up without a successor."""
-        return len(core.members) > fewest(self.gatekeeper.settings.hosts_lost)
+        return len(core.members) > min_members(self.gatekeeper.settings.hosts_lost)
 
     def _look_for_successor(self, now: float, core: Core, replica: Replica) -> None:
         """Each beat of one that leaves: since when nobody can take its seat and nobody is about to."""
-        if self._may_be_relieved(core, replica):
-            self._vacant_since = None
-        elif self._vacant_since is None:
-            self._vacant_since = now
+        if self._may_be_replaced(core, replica):
+            self._no_successor_since = None
+        elif self._no_successor_since is None:
+            self._no_successor_since = now
 
-    def _may_be_relieved(self, core: Core, replica: Replica) -> bool:
+    def _may_be_replaced(self, core: Core, replica: Replica) -> bool:
         """Whether this one's seat may still be taken from it, or its copy is needed: a change is under way as
         far as is known here; the core is so large that it can do with one member fewer; a process with a disk
         is up outside it; or those who stay are no majority that has all that was acknowledged."""
         promised = replica.values.get(PROMISED)
-        ballot = promised is not None and promised.version // BALLOTS == core.epoch
-        if core.old or ballot or self.change is not Change.NONE or self._can_shrink(core):
+        ballot = promised is not None and promised.version // BALLOTS_PER_EPOCH == core.epoch
+        if core.old_members or ballot or self.change is not Change.NONE or self._can_shrink(core):
             return True
         me = self.gatekeeper.membership.me
         stay = [record for record in self.gatekeeper.membership.live() if record is not me]
@@ -232,42 +242,44 @@
             return True
         return any(r.identity is not None and r.identity["core"] and r.name not in core.members for r in stay)
 
-    def may_go(self, now: float) -> bool:
+    def may_exit(self, now: float) -> bool:
         """Whether it keeps no seat that somebody who stays might still take from it: nobody could for as long
         as a hand-over takes, or nobody stays."""
         gatekeeper, core = self.gatekeeper, self.gatekeeper.subscriber.core
         if (
-            self._left_at is None
+            self._leaving_since is None
             or core is None
             or gatekeeper.replica is None
-            or gatekeeper.name not in core.all
+            or gatekeeper.name not in core.all_members
         ):
             return True
-        if self._vacant_since is not None and now - self._vacant_since >= VACANT_S:
+        if self._no_successor_since is not None and now - self._no_successor_since >= MAX_HANDOVER_S:
             return True
         records = gatekeeper.membership.records
-        return not any(name in records and not records[name].leaving for name in core.all)  # nobody stays
+        return not any(
+            name in records and not records[name].leaving for name in core.all_members
+        )  # nobody stays
 
-    def _say_waits(self, now: float, core: Core) -> None:
+    def _note_own_wait(self, now: float, core: Core) -> None:
         """Once, of one that leaves."""
-        if self._left_at is None or now - self._left_at < WAITS_S or self._waits:
+        if self._leaving_since is None or now - self._leaving_since < WAIT_NOTE_DELAY_S or self._waiting:
             return
-        self._waits = (self.gatekeeper.name,)
+        self._waiting = (self.gatekeeper.name,)
         seats = {name: seat.name.lower() for name, seat in self._seats(now, core).items()}
         text = "its seat waits for a successor before it ends"
         self.gatekeeper.note("register", text, seats=seats, hosts_lost=self.gatekeeper.settings.hosts_lost)
 
     # ---- changes -----------------------------------------------------------------------------------
 
-    def _turn(self, change: Change) -> None:
+    def _enter(self, change: Change) -> None:
         """The one change of state of a change."""
         self.change = change
 
-    def _failed(self) -> None:
-        self._turn(Change.NONE)
-        self._tried = self.gatekeeper.now
+    def _abandon_change(self) -> None:
+        self._enter(Change.NONE)
+        self._failed_at = self.gatekeeper.now
 
-    def _look(self, now: float, core: Core) -> None:
+    def _update_peers(self, now: float, core: Core) -> None:
         """Who with a disk is heard of since when and stays, and which members are not, or have left."""
         records, me = self.gatekeeper.membership.records, self.gatekeeper.membership.me
         stay = {
@@ -276,14 +288,14 @@
             if record.identity is not None and record.identity["core"] and record.liveness is Liveness.UP
             if not (record is me and me.leaving)
         }
-        self._known = {name: self._known.get(name, now) for name in stay}
-        self._missed = {
-            name: self._missed.get(name, now)
+        self._up_since = {name: self._up_since.get(name, now) for name in stay}
+        self._missing_since = {
+            name: self._missing_since.get(name, now)
             for name in core.members
             if name not in stay and (name not in records or records[name].liveness is Liveness.LOST)
         }
         ending = {name for name in core.members if name in records and records[name].leaving}
-        self._left = (self._left | ending) & (core.members.keys() - stay)
+        self._departed = (self._departed | ending) & (core.members.keys() - stay)
 
     def _seats(self, now: float, core: Core) -> dict[str, Seat]:
         """How the members stand, as far as this process knows."""
@@ -291,130 +303,138 @@
         records = others.records
 
         def seat(name: str) -> Seat:
-            if name in self._left:
+            if name in self._departed:
                 there = name in records and records[name].liveness is not Liveness.LOST
                 return Seat.LEAVING if there else Seat.LEFT
             if name == me.name:
                 return Seat.SOUND if me.keeps else Seat.BEHIND
-            if name in self._known and others.silent(now, records[name]) <= SUSPECT_TICKS:
+            if name in self._up_since and others.silent(now, records[name]) <= SUSPECT_TICKS:
                 return Seat.SOUND if records[name].keeps else Seat.BEHIND
-            lost = name in self._missed and now - self._missed[name] >= RELIEVED_S
+            lost = name in self._missing_since and now - self._missing_since[name] >= REMOVAL_DELAY_S
             return Seat.LOST if lost else Seat.DARK
 
         return {name: seat(name) for name in sorted(core.members)}
 
-    def holder(self, core: Core) -> str:
+    def coordinator_of(self, core: Core) -> str:
         """Whose duty the core's changes are: cut by key over the members that are up, stay, and say that
         their replicas have caught up; nobody's where there is none."""
         keep = {record.name for record in self.gatekeeper.membership.live() if record.keeps}
-        return "".join(holders("core", [name for name in core.all if name in self._known and name in keep]))
+        return "".join(
+            holders("core", [name for name in core.all_members if name in self._up_since and name in keep])
+        )
 
-    def _due(self, now: float, core: Core) -> bool:
-        if self.change is not Change.NONE or now - self._tried < BETWEEN_S:
+    def _is_change_due(self, now: float, core: Core) -> bool:
+        if self.change is not Change.NONE or now - self._failed_at < RETRY_DELAY_S:
             return False
-        if core.old and now - self._since < BETWEEN_S:
+        if core.old_members and now - self._core_since < RETRY_DELAY_S:
             return False  # whoever brought it about goes on with it
-        return self.holder(core) == self.gatekeeper.name
+        return self.coordinator_of(core) == self.gatekeeper.name
 
-    def _begin(self, now: float, core: Core) -> None:
-        if core.old:  # somebody's, perhaps this one's, that is not whole yet
+    def _begin_change(self, now: float, core: Core) -> None:
+        if core.old_members:  # somebody's, perhaps this one's, that is not whole yet
             self._carry(core)
             return
         records = self.gatekeeper.membership.records
         joined = {
             name: records[name].identity["post"]  # type: ignore[index]
-            for name, since in self._known.items()
-            if name not in core.members and now - since >= JOINED_S
+            for name, since in self._up_since.items()
+            if name not in core.members and now - since >= JOIN_DELAY_S
         }
         seats = self._seats(now, core)
-        young = {name for name in joined if now - self._known[name] < SETTLED_IN_S}
-        choice = chosen(core.members, seats, joined, young, self.gatekeeper.settings.hosts_lost)
+        young = {name for name in joined if now - self._up_since[name] < NO_GAIN_JOIN_DELAY_S}
+        choice = choose_members(core.members, seats, joined, young, self.gatekeeper.settings.hosts_lost)
         told = {name: seat.name.lower() for name, seat in seats.items()}
         self._note_waits(choice, told)
         to = choice.members
         if to.keys() == core.members.keys():
             return
-        self._turn(Change.DECIDING)
-        self._number += 1
-        facts = {"epoch": core.epoch, "joined": sorted(joined), "seats": told, "ballot": self._number}
+        self._enter(Change.DECIDING)
+        self._ballot += 1
+        facts = {"epoch": core.epoch, "joined": sorted(joined), "seats": told, "ballot": self._ballot}
         self.gatekeeper.note("register", f"proposes a core of {' '.join(sorted(to))}", **facts)
-        proposal = Core(core.epoch + 1, to, core.members).value().data
-        round = self.gatekeeper.coordinator.decide(now, core, self._number, proposal, DECIDE_S)
+        proposal = Core(core.epoch + 1, to, core.members).to_value().data
+        round = self.gatekeeper.coordinator.decide(now, core, self._ballot, proposal, DECIDE_TIMEOUT_S)
         self.gatekeeper.start(now, round, self._decided)
 
     def _note_waits(self, choice: Choice, seats: dict[str, str]) -> None:
-        if choice.waits != self._waits:
-            self._waits = choice.waits
-            if choice.waits:
-                text = f"the seats of {' '.join(choice.waits)} wait for successors"
+        if choice.waiting != self._waiting:
+            self._waiting = choice.waiting
+            if choice.waiting:
+                text = f"the seats of {' '.join(choice.waiting)} wait for successors"
                 self.gatekeeper.note(
                     "register", text, seats=seats, hosts_lost=self.gatekeeper.settings.hosts_lost
                 )
 
     def _decided(self, round: Round) -> None:
         if round.phase is not Phase.DONE:
-            self._number = max(self._number, round.highest)
-            self._failed()
+            self._ballot = max(self._ballot, round.highest_ballot)
+            self._abandon_change()
             return
         value = Value(round.core.epoch + 1, "", round.proposal)
-        self._turn(Change.OPENING)
-        self._write(Core.of(value), value, self._opened)
+        self._enter(Change.OPENING)
+        self._write(Core.from_value(value), value, self._opened)
 
     def _write(self, core: Core, value: Value, then: Callable[[Round], None]) -> None:
         gatekeeper = self.gatekeeper
         gatekeeper.start(
-            gatekeeper.now, gatekeeper.coordinator.write(gatekeeper.now, core, {CORE: value}, CARRY_S), then
+            gatekeeper.now,
+            gatekeeper.coordinator.write(gatekeeper.now, core, {CORE: value}, CARRY_TIMEOUT_S),
+            then,
         )
 
     def _opened(self, round: Round) -> None:
         if round.phase is Phase.DONE:
             self._carry(round.core)
         else:
-            self._failed()
+            self._abandon_change()
 
     def _carry(self, core: Core) -> None:
         """Read all from majorities of both sets, and write back what they lack."""
-        self._turn(Change.CARRYING)
+        self._enter(Change.CARRYING)
         gatekeeper = self.gatekeeper
         gatekeeper.start(
-            gatekeeper.now, gatekeeper.coordinator.read(gatekeeper.now, core, None, CARRY_S), self._carried
+            gatekeeper.now,
+            gatekeeper.coordinator.read(gatekeeper.now, core, None, CARRY_TIMEOUT_S),
+            self._carried,
         )
 
     def _carried(self, round: Round) -> None:
         core = round.core
-        if round.phase is not Phase.DONE or not core.old:
-            self._failed()
+        if round.phase is not Phase.DONE or not core.old_members:
+            self._abandon_change()
             return
-        self._turn(Change.CLOSING)
-        self._write(core, Core(core.epoch + 1, core.members).value(), self._closed)
+        self._enter(Change.CLOSING)
+        self._write(core, Core(core.epoch + 1, core.members).to_value(), self._closed)
 
     def _closed(self, round: Round) -> None:
         if round.phase is Phase.DONE:
-            self._turn(Change.NONE)
-            self._spread(round.values[CORE])
+            self._enter(Change.NONE)
+            self._broadcast_core(round.values[CORE])
         else:
-            self._failed()
+            self._abandon_change()
 
-    def _spread(self, core: Value) -> None:
+    def _broadcast_core(self, core: Value) -> None:
         for record in self.gatekeeper.membership.others():
             if record.identity is not None:
-                self.gatekeeper.io.datagram(record.identity["post"], {"t": "core", "v": core.wire()})
+                self.gatekeeper.io.datagram(record.identity["post"], {"t": "core", "v": core.to_wire()})
 
     # ---- the first start, and a lost disk ------------------------------------------------------------
 
-    def _grow_up(self, now: float, replica: Replica) -> None:
+    def _bring_up_replica(self, now: float, replica: Replica) -> None:
         """A replica that does not vote yet: found a core, or recover what the disk had."""
         gatekeeper, core = self.gatekeeper, self.gatekeeper.subscriber.core
-        if replica.state is Voting.NEW and core is None:
-            self._found(now)
-        elif core is not None and gatekeeper.name in core.all:
-            if replica.state is Voting.NEW:  # it never answered anybody: it has only missed what there was
+        if replica.state is ReplicaState.NEW and core is None:
+            self._bootstrap_core(now)
+        elif core is not None and gatekeeper.name in core.all_members:
+            if (
+                replica.state is ReplicaState.NEW
+            ):  # it never answered anybody: it has only missed what there was
                 value = gatekeeper.subscriber.values[CORE]
-                gatekeeper.io.persist(Persist({CORE: value}, (SELF, {"t": "stored", "r": ""})))
+                gatekeeper.io.persist(PersistRequest({CORE: value}, (SELF, {"t": "stored", "r": ""})))
                 return
-            self.recovery.beat(now, core)
+            self.recovery.tick(now, core)
 
-    def _found(self, now: float) -> None:
+    def _bootstrap_core(self, now: float) -> None:
         gatekeeper = self.gatekeeper
         seeds = gatekeeper.seeds_ctl
         records = [c for c in gatekeeper.membership.live() if c.identity is not None and c.identity["core"]]
@@ -430,43 +450,45 @@
         known = len(heard.intersection(seeds))
         if first is not gatekeeper.membership.me or 2 * known <= len(seeds):
             return  # two parts of a fleet that is cut can't both see most of the seeds
-        if known < len(seeds) and now - gatekeeper.born < PATIENT_S:
+        if known < len(seeds) and now - gatekeeper.born < BOOTSTRAP_MISSING_SEED_S:
             return
-        founding = self.founding
+        founding = self.bootstrap
         if founding is None:
-            if now - self._roster_since < SETTLED_S or now - gatekeeper.born < FOUNDING_S:
+            if now - self._peers_since < BOOTSTRAP_SETTLE_S or now - gatekeeper.born < BOOTSTRAP_MIN_S:
                 return
             members = {
                 record.name: record.identity["post"] for record in records if record.identity is not None
             }
-            core = Core(FOUNDED - 1, members)
-            founding = self.founding = Founding(core.value(f"{99 - rank(first)[0]:02d}"), members, set())
+            core = Core(FIRST_AGREED_EPOCH - 1, members)
+            founding = self.bootstrap = Bootstrap(core.to_value(f"{99 - rank(first)[0]:02d}"), members, set())
             gatekeeper.note("register", f"founds a core of {len(members)}")
-        if now - founding.sent < AGAIN_S:
+        if now - founding.last_sent < RESEND_S:
             return
-        founding.sent = now
+        founding.last_sent = now
         for name, address in founding.members.items():
             if name not in founding.agreed:
                 message = {
                     "t": "found?",
                     "r": f"found {gatekeeper.coordinator.name}",
-                    "v": founding.core.wire(),
+                    "v": founding.core.to_wire(),
                 }
                 gatekeeper.to_replica(now, name, address, message)
 
-    def agreed(self, now: float, sender: str, ref: str) -> None:
+    def handle_agreement(self, now: float, sender: str, ref: str) -> None:
         """A process agrees to the core that this one founds."""
-        founding, gatekeeper = self.founding, self.gatekeeper
+        founding, gatekeeper = self.bootstrap, self.gatekeeper
         if founding is None or ref != f"found {gatekeeper.coordinator.name}":
             return
         founding.agreed.add(sender)
         if founding.agreed >= set(founding.members) and gatekeeper.subscriber.core is None:
-            self.founding = None
-            core = Core(FOUNDED, founding.members)
+            self.bootstrap = None
+            core = Core(FIRST_AGREED_EPOCH, founding.members)
             gatekeeper.start(
-                now, gatekeeper.coordinator.write(now, core, {CORE: core.value()}, 10.0), self._founded
+                now,
+                gatekeeper.coordinator.write(now, core, {CORE: core.to_value()}, 10.0),
+                self._bootstrapped,
             )
 
-    def _founded(self, round: Round) -> None:
+    def _bootstrapped(self, round: Round) -> None:
         if round.phase is Phase.DONE:
-            self._spread(round.values[CORE])
+            self._broadcast_core(round.values[CORE])
--- a/millfront/register/snapshot.py
+++ b/millfront/register/snapshot.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from millfront.control import configuration
-from millfront.register.values import CONFIG, CORE, LIFE, Value, inner
+from millfront.register.values import CONFIG, CORE, INCARNATION_PREFIX, Value, is_internal
 
 FORMAT = 1
 
@@ -16,18 +16,18 @@
     """A file that is no snapshot of a register; the text says why."""
 
 
-def snapshot(values: dict[str, Value]) -> str:
+def dump(values: dict[str, Value]) -> str:
     """A document with all that operators have put; who keeps it and lives of disks are the core's own."""
-    kept = {key: value.wire() for key, value in sorted(values.items()) if not _cores_own(key)}
+    kept = {key: value.to_wire() for key, value in sorted(values.items()) if not _is_core_internal(key)}
     return json.dumps({"format": FORMAT, "hash": _hash(kept), "values": kept}, indent=1)
 
 
-def restored(text: str) -> Result[dict[str, Value], SnapshotError]:
+def load(text: str) -> Result[dict[str, Value], SnapshotError]:
     """What a snapshot holds, checked: its hash, and that its configuration can be in force.
 
-    >>> restored(snapshot({"evacuation/z": Value(3, "n", "1")})).unwrap()["evacuation/z"].version
+    >>> load(dump({"evacuation/z": Value(3, "n", "1")})).unwrap()["evacuation/z"].version
     3
-    >>> str(restored(snapshot({}).replace('{}', '{"a": [1, "", ""]}')).unwrap_err())
+    >>> str(load(dump({}).replace('{}', '{"a": [1, "", ""]}')).unwrap_err())
     'its hash is not that of its values'
     """
     try:
@@ -36,7 +36,11 @@
             return Err(SnapshotError(f"format {told['format']!r} is not {FORMAT}"))
         if told["hash"] != _hash(told["values"]):
             return Err(SnapshotError("its hash is not that of its values"))
-        values = {str(key): Value.of(wire) for key, wire in told["values"].items() if not _cores_own(key)}
+        values = {
+            str(key): Value.from_wire(wire)
+            for key, wire in told["values"].items()
+            if not _is_core_internal(key)
+        }
     except (ValueError, KeyError, TypeError, AttributeError) as wrong:
         return Err(SnapshotError(f"is no snapshot: {wrong!r}"))
     if CONFIG in values:
@@ -49,8 +53,8 @@
     return Ok(values)
 
 
-def _cores_own(key: str) -> bool:
-    return key == CORE or key.startswith(LIFE) or inner(key)
+def _is_core_internal(key: str) -> bool:
+    return key == CORE or key.startswith(INCARNATION_PREFIX) or is_internal(key)
 
 
 def _hash(values: Any) -> str:
--- a/millfront/register/values.py
+++ b/millfront/register/values.py
@@ -13,16 +13,16 @@
 
 Message = dict[str, Any]
 CORE = "core"  # the key of the core itself
-LIFE = "life/"  # and a replica's name: the key of its life, which ends with its disk
-FOUNDED = 2  # the first epoch that all members have agreed to
+INCARNATION_PREFIX = "life/"  # and a replica's name: the key of its life, which ends with its disk
+FIRST_AGREED_EPOCH = 2  # the first epoch that all members have agreed to
 # What this replica has promised and accepted of the next core, by epoch and ballot: each replica's own
 PROMISED, ACCEPTED = "own/promised", "own/accepted"
-OWN = "own/"
+LOCAL_PREFIX = "own/"
 CONFIG = "config"  # the key of the configuration
-CLAIM = "claim/"  # and a revision number: which document has it (docs/design/control-faults.md)
-TURN = "turn/"  # and a zone: how many changes of its evacuation were begun
-CLAIMS = 512  # numbers that are kept, the newest: 20 h of 620 changes a day
-BALLOTS = 1_000_000  # of one epoch
+CLAIM_PREFIX = "claim/"  # and a revision number: which document has it (docs/design/control-faults.md)
+EVACUATION_COUNT_PREFIX = "turn/"  # and a zone: how many changes of its evacuation were begun
+MAX_CLAIMS = 512  # numbers that are kept, the newest: 20 h of 620 changes a day
+BALLOTS_PER_EPOCH = 1_000_000  # of one epoch
 
 
 def digest_of(text: str) -> str:
@@ -57,12 +57,12 @@
         """[version, tie], as it goes in a message."""
         return [self.version, self.tie]
 
-    def wire(self) -> list[Any]:
+    def to_wire(self) -> list[Any]:
         """[version, tie, data], as it goes in a message; `of` reads it."""
         return [self.version, self.tie, self.data]
 
     @classmethod
-    def of(cls, wire: Any) -> "Value":
+    def from_wire(cls, wire: Any) -> "Value":
         """:raises ValueError: it is no value"""
         match wire:
             case [int() as version, str() as tie, str() as data]:
@@ -72,7 +72,7 @@
 
 def ballot_version(epoch: int, number: int) -> int:
     """Of the next core after `epoch`: later epochs, then later ballots, are higher."""
-    return epoch * BALLOTS + min(number, BALLOTS - 1)
+    return epoch * BALLOTS_PER_EPOCH + min(number, BALLOTS_PER_EPOCH - 1)
 
 
 def claim_key(number: int) -> str:
@@ -80,17 +80,17 @@
     >>> claim_key(12), claimed_number(claim_key(12))
     ('claim/0000000c', 12)
     """
-    return f"{CLAIM}{number:08x}"
+    return f"{CLAIM_PREFIX}{number:08x}"
 
 
 def claimed_number(key: str) -> int:
     """The revision number that a claim's key names."""
-    return int(key.removeprefix(OWN).removeprefix(CLAIM), 16)
+    return int(key.removeprefix(LOCAL_PREFIX).removeprefix(CLAIM_PREFIX), 16)
 
 
-def inner(key: str) -> bool:
+def is_internal(key: str) -> bool:
     """Whether a key is the replicas' own affair: subscribers are not told of it."""
-    return key.startswith((OWN, CLAIM, TURN))
+    return key.startswith((LOCAL_PREFIX, CLAIM_PREFIX, EVACUATION_COUNT_PREFIX))
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,34 +101,34 @@
 
     epoch: int
     members: dict[str, str]
-    old: dict[str, str] = field(default_factory=dict)
+    old_members: dict[str, str] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, value: Value) -> "Core":
+    def from_value(cls, value: Value) -> "Core":
         """:raises ValueError: it is no core"""
         told = json.loads(value.data)
         return cls(value.version, dict(told["m"]), dict(told.get("o") or {}))
 
-    def value(self, tie: str = "") -> Value:
+    def to_value(self, tie: str = "") -> Value:
         """This core as a value of the key `CORE`; its version is the epoch."""
-        return Value(self.epoch, tie, json.dumps({"m": self.members, "o": self.old}, sort_keys=True))
+        return Value(self.epoch, tie, json.dumps({"m": self.members, "o": self.old_members}, sort_keys=True))
 
     @property
-    def sets(self) -> tuple[dict[str, str], ...]:
+    def member_sets(self) -> tuple[dict[str, str], ...]:
         """The groups of members of which each must have a majority: one, or two while the core changes."""
-        return (self.members, self.old) if self.old else (self.members,)
+        return (self.members, self.old_members) if self.old_members else (self.members,)
 
     @property
-    def all(self) -> dict[str, str]:
+    def all_members(self) -> dict[str, str]:
         """Addresses of all members by name, the old and the new."""
-        return {**self.old, **self.members}
+        return {**self.old_members, **self.members}
 
-    def majority(self, names: Iterable[str]) -> bool:
+    def is_write_quorum(self, names: Iterable[str]) -> bool:
         """Whether what these have synced is acknowledged."""
         had = set(names)
-        return all(len(had & set(part)) >= write_quorum(len(part)) for part in self.sets)
+        return all(len(had & set(part)) >= write_quorum(len(part)) for part in self.member_sets)
 
-    def covers(self, names: Iterable[str]) -> bool:
+    def is_read_quorum(self, names: Iterable[str]) -> bool:
         """Whether one of these knows what was acknowledged."""
         had = set(names)
-        return all(len(had & set(part)) >= read_quorum(len(part)) for part in self.sets)
+        return all(len(had & set(part)) >= read_quorum(len(part)) for part in self.member_sets)
--- a/millfront/storage/disk.py
+++ b/millfront/storage/disk.py
@@ -108,9 +108,9 @@
     """:raises ValueError, zlib.error: it can't be read"""
     head, end, data = kept.partition(b"\n")
     if not end:
-        return Value.of(json.loads(kept))  # format 1
+        return Value.from_wire(json.loads(kept))  # format 1
     text = zlib.decompress(data[1:]) if data[:1] == b"z" else data[1:]
-    return Value.of([*json.loads(head), text.decode()])
+    return Value.from_wire([*json.loads(head), text.decode()])
 
 
 def _stamp(kept: bytes) -> tuple[int, str]:
--- a/tests/register_model.py
+++ b/tests/register_model.py
@@ -14,7 +14,7 @@
 from millfront.register.coordinator import Coordinator, Phase, Round
 from millfront.register.recovery import Recovery as Part
 from millfront.register.recovery import Stage
-from millfront.register.replica import Persist, Replica
+from millfront.register.replica import PersistRequest, Replica
 from millfront.register.values import CONFIG, CORE, Core, Message, Value, claim_key
 
 FETCHED = "fetched"
@@ -48,9 +48,9 @@
 
     def __init__(self, core: Core) -> None:
         self.core = core
-        self.disk = {CORE: core.value()}
+        self.disk = {CORE: core.to_value()}
         self.replica = Replica(self.disk, False)
-        self.unsynced: list[Persist] = []
+        self.unsynced: list[PersistRequest] = []
 
     def call(self, back: str, message: Message) -> list[tuple[str, Message]]:
         """A call; the same one twice waits for one sync."""
@@ -65,7 +65,7 @@
         """The disk is done with one of these: in whatever order."""
         return self._synced(self.unsynced.pop(at))
 
-    def _synced(self, persist: Persist) -> list[tuple[str, Message]]:
+    def _synced(self, persist: PersistRequest) -> list[tuple[str, Message]]:
         for key, value in persist.values.items():  # as `Disk.store` does it
             self.disk[key] = max(value, self.disk.get(key, value))
         for key in persist.drop:
@@ -80,7 +80,7 @@
         self.disk = {}
         self.kill()
 
-    def recovered(self, persist: Persist) -> None:
+    def recovered(self, persist: PersistRequest) -> None:
         """What a recovery asked for is synced (as `Gatekeeper.synced` does it)."""
         self._synced(persist)
         self.replica.recovered()
@@ -99,7 +99,7 @@
         call = {"t": "fetch", "r": "look", "e": held.version if held else 0, "k": [CONFIG]}
         for _, answer in self.replica.handle("reader", call)[0]:
             if answer["t"] == "found":
-                return Value.of(answer["v"].get(CONFIG, [0, "", ""])).version
+                return Value.from_wire(answer["v"].get(CONFIG, [0, "", ""])).version
         return None
 
 
@@ -111,9 +111,9 @@
         self.core = core
         self.core = core
         self.calls: list[tuple[str, Message]] = []
-        self.persists: list[Persist] = []
+        self.persists: list[PersistRequest] = []
         gatekeeper: Any = SimpleNamespace(name=name, replica=Replica({}, False))
-        gatekeeper.subscriber = SimpleNamespace(core=core, values={CORE: core.value()}, fetch=self._fetch)
+        gatekeeper.subscriber = SimpleNamespace(core=core, values={CORE: core.to_value()}, fetch=self._fetch)
         self.subscriber = gatekeeper.subscriber
         gatekeeper.coordinator = SimpleNamespace(name=f"{name}.{life}")
         gatekeeper.note = _nothing
@@ -128,32 +128,32 @@
         """What a subscriber asks for long values, without differences and pieces."""
         return [(teller, {"t": "fetch", "r": FETCHED, "e": self.core.epoch, "k": keys})]
 
-    def _persist(self, persist: Persist) -> None:
+    def _persist(self, persist: PersistRequest) -> None:
         self.persists.append(persist)
 
     def state(self) -> Hashable:
         """Without whom it asks for long values: any replica may be asked."""
-        left_out = ("office", "_beats", "_tellers")
+        left_out = ("office", "_ticks", "_sources")
         part = {key: value for key, value in vars(self.part).items() if key not in left_out}
         return frozen((part, self.subscriber.values))
 
     def beat(self) -> list[tuple[str, Message]]:
         """Whom it calls now: that it is not time yet is left out."""
         self.calls.clear()
-        self.part._beats = 0
-        self.part.beat(0.0, self.core)
+        self.part._ticks = 0
+        self.part.tick(0.0, self.core)
         return list(self.calls)
 
-    def take(self, sender: str, message: Message) -> list[Persist]:
+    def take(self, sender: str, message: Message) -> list[PersistRequest]:
         """An answer; what is to be synced before its replica votes."""
         self.persists.clear()
         if message["t"] == "found":  # as `Gatekeeper._reply` has it
             if message["r"] != FETCHED:
-                self.part.take(0.0, sender, message)
+                self.part.handle_answer(0.0, sender, message)
                 return list(self.persists)
             if self.part.stage is Stage.FETCHING:
                 for key, wire in message["v"].items():  # as `Subscriber.hold` has it
-                    value = Value.of(wire)
+                    value = Value.from_wire(wire)
                     self.subscriber.values[key] = max(value, self.subscriber.values.get(key, value))
                 self.beat()
         return list(self.persists)
@@ -177,19 +177,26 @@
         """Without what is of no consequence: when what was sent, and promises of those that lose no disk."""
         round = self.round
         promised = round.promised.get(WIPED)
-        kept = (round.phase, round.ballot, round.proposal, round.found, round.answered, round.lives)
+        kept = (
+            round.phase,
+            round.ballot,
+            round.proposal,
+            round.highest_accepted,
+            round.answered,
+            round.incarnations,
+        )
         return frozen((self.tries, round.ref, promised, kept))
 
     def beat(self) -> list[tuple[str, Message]]:
-        self.round.sent.clear()
+        self.round.last_sent.clear()
         return self.coordinator.drive(0.0, self.round)
 
     def take(self, sender: str, message: Message) -> list[Any]:
         """:return: what it came to, if it did"""
-        round = self.coordinator.take(0.0, sender, message)
-        if round is not None and round.phase is Phase.FAILED and round.highest and self.tries > 1:
+        round = self.coordinator.handle_answer(0.0, sender, message)
+        if round is not None and round.phase is Phase.FAILED and round.highest_ballot and self.tries > 1:
             self.tries -= 1
-            self.round = self.begin(self.coordinator, self.core, round.highest + 1)
+            self.round = self.begin(self.coordinator, self.core, round.highest_ballot + 1)
         return [round.proposal] if round is not None and round.phase is Phase.DONE else []
 
 
@@ -241,7 +248,9 @@
 
 def fewer(monkeypatch: pytest.MonkeyPatch) -> None:
     """A majority is one less than it is: two of four, one of three."""
-    monkeypatch.setattr(Core, "majority", lambda self, names: len(set(names)) >= len(self.members) // 2)
+    monkeypatch.setattr(
+        Core, "is_write_quorum", lambda self, names: len(set(names)) >= len(self.members) // 2
+    )
 
 
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -250,7 +259,7 @@
 
     def wipe(self: StoredReplica) -> None:
         whole(self)
-        self.disk = {CORE: self.core.value()}
+        self.disk = {CORE: self.core.to_value()}
         self.kill()
 
     monkeypatch.setattr(StoredReplica, "wipe", wipe)
--- a/tests/system_world.py
+++ b/tests/system_world.py
@@ -13,7 +13,7 @@
 from millfront.gatekeeper.node import BEAT_S, Gatekeeper
 from millfront.operations.store import Batch
 from millfront.quotas.requester import Decision
-from millfront.register.replica import Persist
+from millfront.register.replica import PersistRequest
 from millfront.register.values import Value
 from tests.platform_model import Platform
 
@@ -97,7 +97,7 @@
         if self.world.random.random() >= self.world.lost_answers:
             self.line(str(via), message)
 
-    def persist(self, persist: Persist) -> None:
+    def persist(self, persist: PersistRequest) -> None:
         life = self.life
 
         def syncing() -> Generator[Any, Any, None]:
@@ -216,7 +216,7 @@
             began = self.world.env.now
             yield self.world.env.timeout(LEAVE_S)
             while self.life == life and self.world.env.now < began + end and self.gatekeeper is not None:
-                if self.gatekeeper.reconfiguration.may_go(self.now()):
+                if self.gatekeeper.reconfiguration.may_exit(self.now()):
                     break
                 yield self.world.env.timeout(0.05)
             if self.life == life:
@@ -355,7 +355,7 @@
     """The cores in force, by their machines' numbers; one that still changes is told with its old members."""
     numbers = {node.name: node.number for node in world.nodes}
     cores = [gatekeeper.subscriber.core for gatekeeper in world.gatekeepers()]
-    return {tuple(sorted(numbers[name] for name in core.all)) for core in cores if core is not None}
+    return {tuple(sorted(numbers[name] for name in core.all_members)) for core in cores if core is not None}
 
 
 def acknowledged(world: World, number: int, version: int) -> bool:
--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -283,7 +283,7 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """Short times of what else takes seconds."""
-    for name in ("FOUNDING_S", "SETTLED_S"):
+    for name in ("BOOTSTRAP_MIN_S", "BOOTSTRAP_SETTLE_S"):
         monkeypatch.setattr(reconfiguration, name, 0.0)
     monkeypatch.setattr(load_balancer, "REST_S", 0.0)
     monkeypatch.setattr(send, "LOOK_S", 0.05)
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -15,7 +15,7 @@
 from millfront.control import configuration
 from millfront.control.configuration import digest_of
 from millfront.register import chunks, deltas, reconfiguration, recovery
-from millfront.register.chunks import Archive, Arrivals, Offer
+from millfront.register.chunks import Archive, IncomingTexts, Offer
 from millfront.register.reconfiguration import Change
 from millfront.register.recovery import Recovery, Stage
 from millfront.register.replica import Replica
@@ -151,7 +151,7 @@
 @pytest.fixture
 def in_pieces(monkeypatch: pytest.MonkeyPatch) -> None:
     """A document of 350 routes has a dozen pieces."""
-    monkeypatch.setattr(chunks, "PIECE", 8192)
+    monkeypatch.setattr(chunks, "CHUNK_CHARS", 8192)
 
 
 # ---- stories ---------------------------------------------------------------------------------------
@@ -190,7 +190,7 @@
         if kills < 2:
             node.kill()
             assert not node.disk, "a disk that holds anything counts as whole at the next start"
-    teller = next(n for n in world.nodes if n.name == gatekeeper.reconfiguration.recovery._tellers[0])
+    teller = next(n for n in world.nodes if n.name == gatekeeper.reconfiguration.recovery._sources[0])
     teller.kill()
     world.caught_up(within=8.0)
 
@@ -202,7 +202,7 @@
         gatekeeper = node.gatekeeper
         assert gatekeeper is not None and gatekeeper.replica is not None
         if gatekeeper.reconfiguration.recovery.stage is Stage.FETCHING:
-            coming = gatekeeper.subscriber._arrivals._coming.get("config")
+            coming = gatekeeper.subscriber._arrivals._incoming.get("config")
             if coming is not None and len(coming.parts) > 2:
                 assert not gatekeeper.replica.votes
                 return gatekeeper
@@ -255,13 +255,13 @@
     while gatekeeper.subscriber.core.epoch == before and not gatekeeper.replica.votes:
         world.run(0.02)
     assert not gatekeeper.replica.votes, "it was too quick for this story"
-    assert gatekeeper.reconfiguration.recovery.stage is Stage.LIVES, (
+    assert gatekeeper.reconfiguration.recovery.stage is Stage.LEARNING_INCARNATIONS, (
         "what members of another core told goes on to count"
     )
     world.caught_up(within=14.0)
     world.run(6.0)
     cores = {
-        (o.subscriber.core.epoch, len(o.subscriber.core.all))
+        (o.subscriber.core.epoch, len(o.subscriber.core.all_members))
         for o in world.gatekeepers()
         if o.subscriber.core
     }
@@ -300,7 +300,7 @@
 )
 @pytest.mark.usefixtures("in_pieces")
 def test_among_the_pieces(story: Callable[[], None], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reconfiguration, "JOINED_S", 2.0)
+    monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 2.0)
     story()
 
 
@@ -309,12 +309,12 @@
 
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
     """A replica that recovers does not wait for the long values."""
-    whole = Recovery.take
+    whole = Recovery.handle_answer
 
     def take(self: Recovery, now: float, sender: str, message: dict[str, Any]) -> None:
         whole(self, now, sender, {key: told for key, told in message.items() if key != "d"})
 
-    monkeypatch.setattr(Recovery, "take", take)
+    monkeypatch.setattr(Recovery, "handle_answer", take)
 
 
 def ambitious(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -324,17 +324,17 @@
 
 def idle(monkeypatch: pytest.MonkeyPatch) -> None:
     """A member that was away waits for the next change: main as it was."""
-    monkeypatch.setattr(Recovery, "keep_up", lambda self, now: None)
+    monkeypatch.setattr(Recovery, "catch_up", lambda self, now: None)
 
 
 def forgetful(monkeypatch: pytest.MonkeyPatch) -> None:
     """A text whose pieces are handed out is not kept when it changes."""
-    monkeypatch.setattr(chunks, "PIN_CHANGES", -1)
+    monkeypatch.setattr(chunks, "MAX_PIN_CHANGES", -1)
 
 
 def wholesale(monkeypatch: pytest.MonkeyPatch) -> None:
     """No differences: main as it was."""
-    monkeypatch.setattr(Archive, "replaced", lambda *_: None)
+    monkeypatch.setattr(Archive, "record_change", lambda *_: None)
 
 
 def unchanged(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -344,7 +344,7 @@
 
 def resigned(monkeypatch: pytest.MonkeyPatch) -> None:
     """What a disk did not take at once is not tried again."""
-    monkeypatch.setattr(recovery, "SYNC_BEATS", 10**9)
+    monkeypatch.setattr(recovery, "SYNC_RETRY_TICKS", 10**9)
 
 
 @pytest.mark.parametrize(
@@ -366,7 +366,7 @@
     said: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(reconfiguration, "JOINED_S", 2.0)
+    monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 2.0)
     fault(monkeypatch)
     with pytest.raises(AssertionError, match=said):
         story()
@@ -382,13 +382,13 @@
 
 def fetched(before: Value, value: Value, held: Value, spoil: Callable[[Offer], Offer]) -> Any:
     """What a process ends with that has `held` under the stamp of `before`, which the replica had."""
-    archive, arrivals = Archive(), Arrivals()
-    archive.replaced("k", before, value)
+    archive, arrivals = Archive(), IncomingTexts()
+    archive.record_change("k", before, value)
     offer = archive.offer("k", value, held.stamp)
     assert offer.chain is not None
-    got: Any = arrivals.offered("k", spoil(offer), held)
+    got: Any = arrivals.accept_offer("k", spoil(offer), held)
     while isinstance(got, dict):
-        got = arrivals.piece(archive.piece("k", value, got["s"], got["o"]))
+        got = arrivals.add_chunk(archive.chunk("k", value, got["s"], got["o"]))
     return got
 
 
@@ -398,9 +398,9 @@
     steps = deltas.difference(old, new, 10**6)
     assert steps is not None
     steps = json.loads(json.dumps(steps))
-    assert deltas.followed(old, [steps], len(new), digest_of(new)) == Ok(new)
+    assert deltas.apply_chain(old, [steps], len(new), digest_of(new)) == Ok(new)
     if old != new:
-        match deltas.followed(new + "x", [steps], len(new), digest_of(new)):
+        match deltas.apply_chain(new + "x", [steps], len(new), digest_of(new)):
             case Ok(text):
                 assert text == new  # it took from a wrong base what is the same there
             case Err(_):
@@ -433,12 +433,12 @@
 def test_what_a_replica_keeps_of_earlier_texts_is_bounded() -> None:
     made = Replica({"core": Value(2, "", "{}"), "config": Value(1, "", long(1))}, False)
     for version in range(2, 400):
-        made._keep({"config": Value(version, "", long(version))})
+        made._merge({"config": Value(version, "", long(version))})
         asked = {"t": "piece?", "r": "f", "e": 2, "k": "config", "s": [version, ""], "o": 0}
         made.handle("somebody", asked)  # and never for the next
     (chain,) = made.archive._chains.values()
-    assert sum(earlier.size for earlier in chain) <= chunks.CHAIN and len(chain) > 100
-    assert len(made.archive._pins) <= chunks.PINNED
+    assert sum(earlier.size for earlier in chain) <= chunks.MAX_CHAIN_CHARS and len(chain) > 100
+    assert len(made.archive._pins) <= chunks.MAX_PINNED
 
 
 # ---- the disk --------------------------------------------------------------------------------------
--- a/tests/test_claim_search.py
+++ b/tests/test_claim_search.py
@@ -9,8 +9,8 @@
 import pytest
 
 from millfront.register.coordinator import Coordinator, Phase, Round
-from millfront.register.replica import Replica, Voting
-from millfront.register.values import CLAIM, CORE, Core, Message, Value, claim_key
+from millfront.register.replica import Replica, ReplicaState
+from millfront.register.values import CLAIM_PREFIX, CORE, Core, Message, Value, claim_key
 from tests.register_model import Recovery
 from tests.test_core_search import OLD, Table, found
 
@@ -41,21 +41,21 @@
             if round.phase is Phase.DONE:
                 self.chosen.append((name, round.proposal))
             elif tries:
-                ballot(round.core, round.highest + 1)
+                ballot(round.core, round.highest_ballot + 1)
 
         ballot(OLD, 1)
 
     def answer(self, coordinator: Any, name: str, message: Message) -> None:
-        newer = Core.of(Value.of(message["core"])) if "core" in message else None
+        newer = Core.from_value(Value.from_wire(message["core"])) if "core" in message else None
         if isinstance(coordinator, Recovery):
             if coordinator is self.recovery:
                 self.told(coordinator, name, message, newer)
             return
         for _, round, _ in [entry for entry in self.open if entry[0] is coordinator]:
             if (
-                newer and round.decides != CORE and round.core.epoch < newer.epoch
+                newer and round.decision_key != CORE and round.core.epoch < newer.epoch
             ):  # as `Gatekeeper._move` does it
-                coordinator.renew(round, newer)
+                coordinator.restart(round, newer)
                 self.drive(coordinator, round)
         super().answer(coordinator, name, message)
 
@@ -83,7 +83,7 @@
     def ask(self) -> None:
         recovery = self.recovery
         if recovery is not None:
-            if self.lost not in recovery.core.all:
+            if self.lost not in recovery.core.all_members:
                 self.recovery = None  # it is no member any longer
                 return
             for name, message in recovery.beat():
@@ -94,7 +94,7 @@
     def check(self) -> None:
         whole, self.replicas = (
             self.replicas,
-            {n: k for n, k in self.replicas.items() if k.state is Voting.VOTING},
+            {n: k for n, k in self.replicas.items() if k.state is ReplicaState.VOTING},
         )
         super().check()
         self.replicas = whole
@@ -123,24 +123,24 @@
 
 def uncarried(monkeypatch: pytest.MonkeyPatch) -> None:
     """Claims are not carried over to the new core."""
-    whole = Coordinator._found
+    whole = Coordinator._merge_values
 
     def found(self: Coordinator, round: Round, wire: dict[str, Any]) -> None:
-        whole(self, round, {key: value for key, value in wire.items() if not key.startswith(CLAIM)})
+        whole(self, round, {key: value for key, value in wire.items() if not key.startswith(CLAIM_PREFIX)})
 
-    monkeypatch.setattr(Coordinator, "_found", found)
+    monkeypatch.setattr(Coordinator, "_merge_values", found)
 
 
 def unsure(monkeypatch: pytest.MonkeyPatch) -> None:
     """A claim that the core changed under goes on with what it was told by the old one."""
-    whole = Coordinator.renew
+    whole = Coordinator.restart
 
     def renew(self: Coordinator, round: Round, core: Core) -> None:
-        before = round.phase, round.proposal, round.found, round.promised
+        before = round.phase, round.proposal, round.highest_accepted, round.promised
         whole(self, round, core)
-        round.phase, round.proposal, round.found, round.promised = before
+        round.phase, round.proposal, round.highest_accepted, round.promised = before
 
-    monkeypatch.setattr(Coordinator, "renew", renew)
+    monkeypatch.setattr(Coordinator, "restart", renew)
 
 
 @pytest.mark.parametrize("fault", [uncarried, unsure])
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -11,7 +11,7 @@
 from millfront.register import replica, values
 from millfront.register.coordinator import Coordinator, Phase
 from millfront.register.replica import Replica
-from millfront.register.values import CLAIM, CONFIG, Core, Value, claim_key
+from millfront.register.values import CLAIM_PREFIX, CONFIG, Core, Value, claim_key
 from millfront.storage.disk import Disk
 from tests.system_world import World, document
 
@@ -104,16 +104,16 @@
 
 
 def test_a_promise_that_is_not_kept_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    whole = Replica._ballot
+    whole = Replica._vote
 
     def faithless(self: Replica, *how: Any) -> Any:
-        for key in [key for key in self.values if key.startswith(CLAIM)]:
+        for key in [key for key in self.values if key.startswith(CLAIM_PREFIX)]:
             del self.values[key]  # whose a number is is forgotten at once
         return whole(self, *how)
 
-    monkeypatch.setattr(Replica, "_ballot", faithless)
-    monkeypatch.setattr(Replica, "_accepted", lambda self, key: None)
-    monkeypatch.setattr(Replica, "_won", lambda self, key: None)
+    monkeypatch.setattr(Replica, "_vote", faithless)
+    monkeypatch.setattr(Replica, "_last_accepted", lambda self, key: None)
+    monkeypatch.setattr(Replica, "_confirmed_claimant", lambda self, key: None)
     with pytest.raises(AssertionError):
         test_of_two_operators_under_one_number_one_is_confirmed_and_the_other_is_told_who_won()
 
@@ -125,7 +125,7 @@
 
     def hear(sender: str, kind: str, **more: str) -> Phase:
         ref = f"{round.ref}/{round.phase.value}"
-        coordinator.take(0.0, sender, {"t": kind, "r": ref, "l": {}} | more)
+        coordinator.handle_answer(0.0, sender, {"t": kind, "r": ref, "l": {}} | more)
         return round.phase
 
     assert [hear(name, "promised") for name in "abc"][-1] is Phase.ACCEPTING
@@ -135,14 +135,14 @@
 
 
 def test_claims_are_bounded_and_a_forgotten_number_is_acknowledged(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(replica, "CLAIMS", 16)
+    monkeypatch.setattr(replica, "MAX_CLAIMS", 16)
     world = founded()
     for version in range(2, 60):
         assert put(world, version % 7, document(version), 0.7) == 200
     for node in world.nodes[:4]:
         assert node.disk is not None
-        assert 16 <= sum(key.startswith(CLAIM) for key in node.disk) <= 16 + 16 // 8 + 1
-        assert sum(key.startswith("own/" + CLAIM) for key in node.disk) <= 16 + 16 // 8 + 1
+        assert 16 <= sum(key.startswith(CLAIM_PREFIX) for key in node.disk) <= 16 + 16 // 8 + 1
+        assert sum(key.startswith("own/" + CLAIM_PREFIX) for key in node.disk) <= 16 + 16 // 8 + 1
     assert put(world, 5, two(3)[0]) == 200, "older than all that is known"
     assert put(world, 5, two(55)[0]) == 409
     assert world.read(6)["revision"] == f"{59:08x}"
--- a/tests/test_control_calls.py
+++ b/tests/test_control_calls.py
@@ -10,8 +10,8 @@
 from millfront.control.delivery import LEASE_SHARE
 from millfront.gatekeeper.node import Gatekeeper
 from millfront.register.coordinator import Coordinator, Phase, Round
-from millfront.register.reconfiguration import Founding
-from millfront.register.replica import Voting
+from millfront.register.reconfiguration import Bootstrap
+from millfront.register.replica import ReplicaState
 from millfront.register.values import CONFIG, CORE, Core, Value
 from tests.system_world import Node, World, document
 
@@ -31,7 +31,7 @@
 
 
 def values(version: int) -> dict[str, Any]:
-    return {CONFIG: Value(version, "", "").wire()}
+    return {CONFIG: Value(version, "", "").to_wire()}
 
 
 # ---- a coordinator's rounds
@@ -44,7 +44,7 @@
     call = asked(first, first.read(0.0, OLD, None, 9.0))
     round = second.read(0.0, OLD, None, 9.0)
     asked(second, round)
-    second.take(0.0, "a", told(call, "found", v=values(1)))
+    second.handle_answer(0.0, "a", told(call, "found", v=values(1)))
     return round.answered == {} and round.values == {}
 
 
@@ -53,7 +53,7 @@
     call = asked(coordinator, coordinator.write(0.0, OLD, {CONFIG: Value(1, "", "")}, 9.0))
     round = coordinator.write(0.0, OLD, {CONFIG: Value(2, "", "")}, 9.0)
     asked(coordinator, round)
-    coordinator.take(0.0, "a", told(call, "stored"))
+    coordinator.handle_answer(0.0, "a", told(call, "stored"))
     return round.answered == {}
 
 
@@ -61,10 +61,10 @@
     coordinator = Coordinator("n")
     round = coordinator.write(0.0, OLD, {CONFIG: Value(1, "", "")}, 9.0)
     call = asked(coordinator, round)
-    coordinator.renew(round, NEW)
+    coordinator.restart(round, NEW)
     asked(coordinator, round, 1.0)
     for sender in "abc":
-        coordinator.take(1.0, sender, told(call, "stored"))
+        coordinator.handle_answer(1.0, sender, told(call, "stored"))
     return round.answered == {} and round.phase is Phase.WRITING
 
 
@@ -72,11 +72,11 @@
     coordinator = Coordinator("n")
     round = coordinator.read(0.0, OLD, None, 9.0)
     call = asked(coordinator, round)
-    coordinator.take(0.0, "a", told(call, "found", v=values(1)))
-    coordinator.take(0.0, "b", told(call, "found", v=values(2)))
+    coordinator.handle_answer(0.0, "a", told(call, "found", v=values(1)))
+    coordinator.handle_answer(0.0, "b", told(call, "found", v=values(2)))
     asked(coordinator, round, 1.0)
-    coordinator.take(1.0, "c", told(call, "found", v=values(3)))
-    coordinator.take(1.0, "c", told(call, "stored"))
+    coordinator.handle_answer(1.0, "c", told(call, "found", v=values(3)))
+    coordinator.handle_answer(1.0, "c", told(call, "stored"))
     return round.phase is Phase.WRITING and round.answered == {} and round.values[CONFIG].version == 2
 
 
@@ -85,12 +85,14 @@
     round = coordinator.decide(0.0, OLD, 1, "x", 9.0)
     call = asked(coordinator, round)
     for sender in "ab":
-        coordinator.take(0.0, sender, told(call, "promised"))
+        coordinator.handle_answer(0.0, sender, told(call, "promised"))
     asked(coordinator, round, 1.0)
     for sender in "abc":
-        coordinator.take(1.0, sender, told(call, "promised"))
-        coordinator.take(1.0, sender, told(call, "accepted"))
-    coordinator.take(1.0, "c", told(call, "no", b=5))  # to the promise: of the acceptances it says nothing
+        coordinator.handle_answer(1.0, sender, told(call, "promised"))
+        coordinator.handle_answer(1.0, sender, told(call, "accepted"))
+    coordinator.handle_answer(
+        1.0, "c", told(call, "no", b=5)
+    )  # to the promise: of the acceptances it says nothing
     return round.phase is Phase.ACCEPTING and round.answered == {}
 
 
@@ -99,7 +101,7 @@
     round = coordinator.write(0.0, OLD, {CONFIG: Value(1, "", "")}, 9.0)
     call = asked(coordinator, round)
     for sender in "xyz":
-        coordinator.take(0.0, sender, told(call, "stored"))
+        coordinator.handle_answer(0.0, sender, told(call, "stored"))
     return round.answered == {} and round.phase is Phase.WRITING
 
 
@@ -108,7 +110,7 @@
     round = coordinator.write(0.0, OLD, {CONFIG: Value(1, "", "")}, 9.0)
     call = asked(coordinator, round)
     for _ in range(2):
-        coordinator.take(0.0, "a", told(call, "stored"))
+        coordinator.handle_answer(0.0, "a", told(call, "stored"))
     return round.phase is Phase.WRITING
 
 
@@ -131,29 +133,31 @@
 def any_ref(patch: pytest.MonkeyPatch) -> None:
     """Whatever comes is for the round that is open."""
     patch.setattr(
-        Coordinator, "round_of", lambda self, _: [*self.rounds.values()][-1] if self.rounds else None
+        Coordinator, "find_round", lambda self, _: [*self.rounds.values()][-1] if self.rounds else None
     )
 
 
 def any_phase(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Coordinator, "round_of", lambda self, ref: self.rounds.get(str(ref).rpartition("/")[0]))
+    patch.setattr(Coordinator, "find_round", lambda self, ref: self.rounds.get(str(ref).rpartition("/")[0]))
 
 
 def same_ref(patch: pytest.MonkeyPatch) -> None:
     """A round that begins anew keeps its reference."""
 
     def renew(self: Coordinator, round: Round, core: Core) -> None:
-        round.core, round.answered, round.sent = core, {}, {}
+        round.core, round.answered, round.last_sent = core, {}, {}
 
-    patch.setattr(Coordinator, "renew", renew)
+    patch.setattr(Coordinator, "restart", renew)
 
 
 def anybody(patch: pytest.MonkeyPatch) -> None:
     """Whoever answers is a member."""
-    whole = Coordinator.take
+    whole = Coordinator.handle_answer
     senders = count()
     patch.setattr(
-        Coordinator, "take", lambda self, now, _, message: whole(self, now, "abc"[next(senders) % 3], message)
+        Coordinator,
+        "handle_answer",
+        lambda self, now, _, message: whole(self, now, "abc"[next(senders) % 3], message),
     )
 
 
@@ -256,7 +260,7 @@
     core = node.gatekeeper.subscriber.core
     assert core is not None
     higher = node.gatekeeper.subscriber.values[CONFIG].version + 1
-    found = {CONFIG: Value(higher, "", document(higher)).wire()}
+    found = {CONFIG: Value(higher, "", document(higher)).to_wire()}
     alone(world, node)
     life = node.gatekeeper.subscriber.name
     good = f"f {core.epoch} {life}"
@@ -290,7 +294,7 @@
             and gatekeeper.replica is not None
             and gatekeeper.subscriber.core is not None
         )
-        assert gatekeeper.replica.state is Voting.RECOVERING
+        assert gatekeeper.replica.state is ReplicaState.RECOVERING
         return gatekeeper
 
     begin()
@@ -298,29 +302,29 @@
     gatekeeper = begin()
     mine = ear.refs("fetch", "lives ")
     assert not set(mine) & set(before)
-    held = {CORE: gatekeeper.subscriber.values[CORE].wire()}
+    held = {CORE: gatekeeper.subscriber.values[CORE].to_wire()}
     assert gatekeeper.subscriber.core is not None
     stale = mine[-1].replace(f"lives {gatekeeper.subscriber.core.epoch} ", "lives 1 ", 1)
     for sender, ref in (("ab-01", before[-1]), ("ba-02", before[-1]), ("ab-01", stale), ("bb-03", mine[-1])):
         hear(node, sender, {"t": "found", "r": ref, "v": held, "l": {}})
-        assert gatekeeper.reconfiguration.recovery._told == {}
+        assert gatekeeper.reconfiguration.recovery._answers == {}
     for sender in ("ab-01", "ba-02"):
         hear(node, sender, {"t": "found", "r": mine[-1], "v": held, "l": {}})
-    assert gatekeeper.reconfiguration.recovery.life == 1
+    assert gatekeeper.reconfiguration.recovery.incarnation == 1
     ear.said = []
     world.run(2.0)
     heirs = ear.refs("recover", "heir ")
     hear(node, "ab-01", {"t": "found", "r": mine[-1], "v": held, "l": {}})  # to the step before
-    assert gatekeeper.reconfiguration.recovery._told == {} and not set(heirs) & set(mine)
+    assert gatekeeper.reconfiguration.recovery._answers == {} and not set(heirs) & set(mine)
 
 
 def test_a_core_is_founded_by_those_who_agreed_to_it() -> None:
     _, node = settled()
     gatekeeper = node.gatekeeper
     assert gatekeeper is not None
-    gatekeeper.reconfiguration.founding = Founding(OLD.value(), dict.fromkeys("abc", ""), set())
+    gatekeeper.reconfiguration.bootstrap = Bootstrap(OLD.to_value(), dict.fromkeys("abc", ""), set())
     for ref in ("found", "found another.1.2"):
         hear(node, "a", {"t": "agreed", "r": ref})
-    assert gatekeeper.reconfiguration.founding.agreed == set()
+    assert gatekeeper.reconfiguration.bootstrap.agreed == set()
     hear(node, "a", {"t": "agreed", "r": f"found {gatekeeper.coordinator.name}"})
-    assert gatekeeper.reconfiguration.founding.agreed == {"a"}
+    assert gatekeeper.reconfiguration.bootstrap.agreed == {"a"}
--- a/tests/test_core_changes.py
+++ b/tests/test_core_changes.py
@@ -7,15 +7,15 @@
 import pytest
 
 from millfront.register import reconfiguration
-from millfront.register.replica import Voting
+from millfront.register.replica import ReplicaState
 from millfront.register.values import CORE, Core
 from tests.system_world import World, acknowledged, document, members, voting
 
 
 @pytest.fixture(autouse=True)
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reconfiguration, "JOINED_S", 2.0)
-    monkeypatch.setattr(reconfiguration, "RELIEVED_S", 8.0)
+    monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 2.0)
+    monkeypatch.setattr(reconfiguration, "REMOVAL_DELAY_S", 8.0)
 
 
 def founded(n: int = 7, disks: int = 4, seed: int = 1, spares: int = 1) -> World:
@@ -90,7 +90,7 @@
         assert gatekeeper is not None
         to = core.members | {node.name: node.address}
         round = gatekeeper.coordinator.decide(
-            gatekeeper.now, core, 1, Core(core.epoch + 1, to, core.members).value().data, 3.0
+            gatekeeper.now, core, 1, Core(core.epoch + 1, to, core.members).to_value().data, 3.0
         )
         gatekeeper.start(gatekeeper.now, round, gatekeeper.reconfiguration._decided)
     world.run(14.0)
@@ -113,7 +113,7 @@
     busy[0].kill()
     world.run(14.0)
     assert len(members(world)) == 1 and all(
-        not o.subscriber.core.old for o in world.gatekeepers() if o.subscriber.core
+        not o.subscriber.core.old_members for o in world.gatekeepers() if o.subscriber.core
     )
     assert acknowledged(world, 5, 3)
 
@@ -127,7 +127,7 @@
         node.start()
         world.run(2.0)
         assert node.gatekeeper is not None and node.gatekeeper.replica is not None
-        assert node.gatekeeper.replica.state is Voting.RECOVERING
+        assert node.gatekeeper.replica.state is ReplicaState.RECOVERING
         node.kill()
 
 
--- a/tests/test_core_search.py
+++ b/tests/test_core_search.py
@@ -14,7 +14,7 @@
 
 from millfront.register import reconfiguration, values
 from millfront.register.coordinator import Coordinator, Phase, Round
-from millfront.register.replica import Persist, Replica
+from millfront.register.replica import PersistRequest, Replica
 from millfront.register.values import CORE, Core, Value
 
 CONFIG = "config"
@@ -27,11 +27,11 @@
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
         self.now = 0.0
-        self.replicas = {name: Replica({CORE: OLD.value()}, False) for name in "abcd"}
+        self.replicas = {name: Replica({CORE: OLD.to_value()}, False) for name in "abcd"}
         self.cores = {2: OLD}
         self.acknowledged = 0
         self.pool: list[Callable[[], None]] = []  # calls and answers on their way
-        self.syncs: dict[str, list[Persist]] = {name: [] for name in self.replicas}
+        self.syncs: dict[str, list[PersistRequest]] = {name: [] for name in self.replicas}
         self.open: list[tuple[Coordinator, Round, Callable[[Round], None]]] = []
 
     # ---- what a gatekeeper does for its coordinator
@@ -64,17 +64,17 @@
         replica = self.replicas[name]
         for to, answer in replica.synced(persist, True):
             self.send(partial(self.answer, to[0], to[1], answer))
-        core = Core.of(replica.values[CORE])
+        core = Core.from_value(replica.values[CORE])
         assert self.cores.setdefault(core.epoch, core) == core, "two cores in one epoch"
 
     def answer(self, coordinator: Coordinator, name: str, message: dict[str, Any]) -> None:
         if "core" in message:
-            newer = Core.of(Value.of(message["core"]))
+            newer = Core.from_value(Value.from_wire(message["core"]))
             for _, round, _ in [entry for entry in self.open if entry[0] is coordinator]:
                 if CONFIG in round.values and round.core.epoch < newer.epoch and CORE not in round.values:
-                    coordinator.renew(round, newer)
+                    coordinator.restart(round, newer)
                     self.drive(coordinator, round)
-        if (turned := coordinator.take(self.now, name, message)) is not None:
+        if (turned := coordinator.handle_answer(self.now, name, message)) is not None:
             self.drive(coordinator, turned)
 
     # ---- what is played --------------------------------------------------------------------------
@@ -103,10 +103,10 @@
         def decide() -> None:
             nonlocal tries
             tries += 1
-            mine._number += 1
-            mine._turn(reconfiguration.Change.DECIDING)
-            proposal = Core(3, dict.fromkeys(to, ""), OLD.members).value().data
-            round = coordinator.decide(self.now, OLD, mine._number, proposal, 9.0)
+            mine._ballot += 1
+            mine._enter(reconfiguration.Change.DECIDING)
+            proposal = Core(3, dict.fromkeys(to, ""), OLD.members).to_value().data
+            round = coordinator.decide(self.now, OLD, mine._ballot, proposal, 9.0)
 
             def decided(round: Round) -> None:
                 mine._decided(round)
@@ -127,7 +127,7 @@
                 if replica.values[CORE].version == epoch
                 and replica.values.get(CONFIG, none).version < self.acknowledged
             ]
-            assert not core.covers(behind), "acknowledged, and a reader is not told"
+            assert not core.is_read_quorum(behind), "acknowledged, and a reader is not told"
 
     def turn(self) -> None:
         """One thing that is under way happens: a message comes, or a disk has synced."""
@@ -188,28 +188,28 @@
     """The new core begins without what the old one held."""
 
     def carry(self: reconfiguration.Reconfiguration, core: Core) -> None:
-        self._write(core, Core(core.epoch + 1, core.members).value(), self._closed)
+        self._write(core, Core(core.epoch + 1, core.members).to_value(), self._closed)
 
     monkeypatch.setattr(reconfiguration.Reconfiguration, "_carry", carry)
 
 
 def faithless(monkeypatch: pytest.MonkeyPatch) -> None:
     """Promises are not kept."""
-    whole = Replica._ballot
+    whole = Replica._vote
 
     def ballot(self: Replica, *how: Any) -> Any:
         self.values.pop(values.PROMISED, None)
         return whole(self, *how)
 
-    monkeypatch.setattr(Replica, "_ballot", ballot)
-    monkeypatch.setattr(Replica, "_still", lambda self, key, ballot: True)
+    monkeypatch.setattr(Replica, "_vote", ballot)
+    monkeypatch.setattr(Replica, "_ballot_holds", lambda self, key, ballot: True)
 
 
 def late(monkeypatch: pytest.MonkeyPatch) -> None:
     """A store that was synced after the core changed is counted all the same."""
     whole = Replica.synced
 
-    def synced(self: Replica, persist: Persist, well: bool) -> Any:
+    def synced(self: Replica, persist: PersistRequest, well: bool) -> Any:
         persist.epoch = 0
         return whole(self, persist, well)
 
--- a/tests/test_departed_members.py
+++ b/tests/test_departed_members.py
@@ -5,7 +5,7 @@
 
 from millfront.discovery.server_list import ServerList
 from millfront.membership.gossip import FORGET_S
-from millfront.register.reconfiguration import RELIEVED_S
+from millfront.register.reconfiguration import REMOVAL_DELAY_S
 from tests.system_world import Node, World, document, members
 
 NAMED_S = 7.0  # `contact` and 3 s: so long after its end a member may still be named
@@ -97,7 +97,7 @@
     """Each time that it came back by hearsay it counted as heard of, and its removal was put off."""
     world = World(11, 4, seed, spares=1).start().run(9.0)
     world.nodes[0].kill()
-    world.run(RELIEVED_S + 20.0)
+    world.run(REMOVAL_DELAY_S + 20.0)
     assert members(world) == {(1, 2, 3)}
 
 
--- a/tests/test_gatekeeper_calls.py
+++ b/tests/test_gatekeeper_calls.py
@@ -176,8 +176,8 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """A core of one needs not wait for others."""
-    monkeypatch.setattr(reconfiguration, "FOUNDING_S", 0.0)
-    monkeypatch.setattr(reconfiguration, "SETTLED_S", 0.0)
+    monkeypatch.setattr(reconfiguration, "BOOTSTRAP_MIN_S", 0.0)
+    monkeypatch.setattr(reconfiguration, "BOOTSTRAP_SETTLE_S", 0.0)
 
 
 async def well(head: bytes, writer: asyncio.StreamWriter, _: int) -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -49,7 +49,7 @@
 )
 # (module, the part it imports): why it may point up. Nothing is added here without a reason.
 EXCEPTIONS = {
-    ("register/reconfiguration.py", "control"): "names the type of `Desk.subscriber`; nothing is called",
+    ("register/reconfiguration.py", "control"): "names the type of a protocol's field; nothing is called",
     ("register/snapshot.py", "control"): "a snapshot's configuration is checked before it is taken back",
 }
 
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -17,7 +17,7 @@
 from millfront.gatekeeper.node import Gatekeeper
 from millfront.register import snapshot
 from millfront.register.coordinator import Coordinator, Phase
-from millfront.register.replica import Voting
+from millfront.register.replica import ReplicaState
 from millfront.register.values import CONFIG, Core, Value
 from tests import linear
 from tests.system_world import Node, World, document
@@ -366,7 +366,7 @@
     """Two lives end meanwhile: of three that count in the end two have the value, and one has not."""
     coordinator = Coordinator("x")
     round = coordinator.read(0.0, Core(2, {name: name for name in "abcde"}), ["k"], 2.0)
-    has: dict[str, Any] = {"k": Value(5, "", "v").wire()}
+    has: dict[str, Any] = {"k": Value(5, "", "v").to_wire()}
     for sender, values, lives in (
         ("a", has, {"b": 1}),
         ("b", has, {"a": 1}),
@@ -374,7 +374,9 @@
         ("d", has, {}),
         ("e", has, {}),
     ):
-        coordinator.take(0.0, sender, {"t": "found", "r": f"{round.ref}/reading", "v": values, "l": lives})
+        coordinator.handle_answer(
+            0.0, sender, {"t": "found", "r": f"{round.ref}/reading", "v": values, "l": lives}
+        )
     assert round.phase is Phase.WRITING
 
 
@@ -401,7 +403,7 @@
     value."""
     (held,) = {tuple(sorted(gatekeeper.evacuated)) for gatekeeper in world.gatekeepers()}
     kept = [n.gatekeeper.replica.values for n in world.nodes[:4] if n.gatekeeper and n.gatekeeper.replica]
-    words = {tuple(values[EVACUATION + "bb"].wire()) for values in kept if EVACUATION + "bb" in values}
+    words = {tuple(values[EVACUATION + "bb"].to_wire()) for values in kept if EVACUATION + "bb" in values}
     assert len({word[:2] for word in words}) == len(words)
     assert (held == ("bb",)) is (max(words)[2] == "1")
     return held == ("bb",)
@@ -572,7 +574,7 @@
     def order(at: int) -> None:
         word = chance.random() < 0.5
         if put_back and chance.random() < 0.5:
-            body = snapshot.snapshot({EVACUATION + "bb": Value(1, "x", "1" if word else "0")}).encode()
+            body = snapshot.dump({EVACUATION + "bb": Value(1, "x", "1" if word else "0")}).encode()
             told = world.call(at, lambda gatekeeper, now, done: gatekeeper.restore(now, body, done))
         else:
             told = evacuate(world, at, word)
@@ -647,7 +649,7 @@
     """A planted fault of points 1 and 2."""
 
     def held(gatekeeper: Gatekeeper, now: float, done: Callable[[int, str], None]) -> None:
-        done(200, snapshot.snapshot(gatekeeper.subscriber.values))
+        done(200, snapshot.dump(gatekeeper.subscriber.values))
 
     monkeypatch.setattr(Gatekeeper, "read_all", held)
     assert any(linear.linearizable(orders_of_a_zone(seed), False) is not None for seed in range(8))
@@ -695,7 +697,7 @@
                 node.start()
             case "wipe":
                 replicas = [n.gatekeeper.replica for n in world.nodes[:4] if n.gatekeeper]
-                if all(k and k.state is Voting.VOTING for k in replicas):
+                if all(k and k.state is ReplicaState.VOTING for k in replicas):
                     node = world.nodes[chance.randrange(4)]
                     node.wipe()
                     world.run(0.3)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,9 +10,9 @@
 from millfront.membership import gossip
 from millfront.membership.gossip import LOST_TICKS, TICK_S
 from millfront.register import placement, reconfiguration
-from millfront.register.placement import Seat, chosen, fewest
+from millfront.register.placement import Seat, choose_members, min_members
 from millfront.register.recovery import Recovery
-from millfront.register.replica import Voting
+from millfront.register.replica import ReplicaState
 from millfront.register.values import Core, write_quorum
 from tests.system_world import Node, World, acknowledged, document, members, voting
 
@@ -144,7 +144,7 @@
     size: int, first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Sizes 5 and 6, and more seeds: docs/design/register.md."""
-    monkeypatch.setattr(reconfiguration, "RELIEVED_S", RELIEVED_S)
+    monkeypatch.setattr(reconfiguration, "REMOVAL_DELAY_S", RELIEVED_S)
     for sequence in sequences():
         if sequence[:2] == (size, first):
             assert play(sequence) == ("waits for the first" if alone(sequence) else ""), sequence
@@ -172,15 +172,15 @@
     core: dict[str, str], stands: dict[str, Seat], joined: dict[str, str], young: set[str], lost: int
 ) -> str:
     """Which rule the choice breaks."""
-    to = chosen(core, stands, joined, young, lost).members
+    to = choose_members(core, stands, joined, young, lost).members
     if to == core:
         return ""
     count = Counter(stands[name] for name in to if name in core)
     sound, votes = count[Seat.SOUND], count[Seat.SOUND] + count[Seat.LEAVING]
     voters = [n for n in core if stands[n] in (Seat.SOUND, Seat.BEHIND, Seat.LEAVING)]
-    if not Core(0, core).majority(voters):
+    if not Core(0, core).is_write_quorum(voters):
         return "decides without a majority"
-    if len(to) < min(len(core), fewest(lost)):
+    if len(to) < min(len(core), min_members(lost)):
         return "too few are left"
     if votes < write_quorum(len(to)):
         return "no majority if who joined dies at once"
@@ -190,14 +190,14 @@
     bears = [sum(s is Seat.SOUND for s in stands.values()) >= write_quorum(len(c)) for c in (core, to)]
     if bears[0] and not bears[1]:
         return "who stays had a majority, and has none"
-    if lost < fewest(lost) and all_sound >= lost + 1 and sound < lost + 1:
+    if lost < min_members(lost) and all_sound >= lost + 1 and sound < lost + 1:
         return "fewer copies than may be lost"
     if any(stands[n] is Seat.DARK and n not in to for n in core) and votes >= write_quorum(len(to) + 1):
         return "a dark one loses its seat without need"
     # What is chosen next, once who joined has recovered, gives nobody's seat away that was just given
     later = {name: stands.get(name, Seat.SOUND) for name in to}
     rest = {name: address for name, address in joined.items() if name not in to}
-    again = chosen(to, later, rest, young, lost).members
+    again = choose_members(to, later, rest, young, lost).members
     if any(name in to and name not in again and later[name] is Seat.SOUND for name in to):
         return "a seat is given and taken"
     return ""
@@ -214,18 +214,18 @@
 
 def untested(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who has just joined is taken for one that votes."""
-    whole = placement._named
+    whole = placement._candidate
 
     def named(members: Any, stands: Any, joined: Any, *counts: int) -> Any:
         stands.update(dict.fromkeys(joined, Seat.SOUND))
         return whole(members, stands, joined, *counts)
 
-    monkeypatch.setattr(placement, "_named", named)
+    monkeypatch.setattr(placement, "_candidate", named)
 
 
 def small(monkeypatch: pytest.MonkeyPatch) -> None:
     """A core may become as small as its sound members are."""
-    monkeypatch.setattr(placement, "fewest", lambda hosts_lost: 1)
+    monkeypatch.setattr(placement, "min_members", lambda hosts_lost: 1)
 
 
 @pytest.mark.parametrize("fault", [untested, small])
@@ -247,7 +247,7 @@
         if gatekeeper.subscriber.core is not None
     ]
     core = max(cores, key=lambda core: core.epoch)
-    return not core.majority(node.name for node in world.nodes if voting(node))
+    return not core.is_write_quorum(node.name for node in world.nodes if voting(node))
 
 
 def epoch(world: World) -> int:
@@ -334,7 +334,7 @@
     world = founded()
     gatekeeper = world.nodes[0].gatekeeper
     assert gatekeeper is not None and gatekeeper.subscriber.core is not None
-    holder = gatekeeper.reconfiguration.holder(gatekeeper.subscriber.core)
+    holder = gatekeeper.reconfiguration.coordinator_of(gatekeeper.subscriber.core)
     node = next(node for node in world.nodes if node.name == holder)
     node.leave()
     world.run(0.1)
@@ -443,7 +443,7 @@
     changing = False
     while node.gatekeeper is not None:  # one event at a time: as it was when the process ended
         core = node.gatekeeper.subscriber.core
-        changing = core is not None and node.name in core.all and changes(world)
+        changing = core is not None and node.name in core.all_members and changes(world)
         world.env.step()
     if changing and world.env.now - began < GRACE_ENDS_S:
         return "ends while its successor is posted"
@@ -472,7 +472,7 @@
 
 def test_one_that_does_not_look_for_its_successor_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        reconfiguration.Reconfiguration, "_may_be_relieved", lambda self, core, replica: False
+        reconfiguration.Reconfiguration, "_may_be_replaced", lambda self, core, replica: False
     )
     found = {told for late in LATE if (told := handed_over(late, 1, 0.05))}
     assert found >= {"ends while its successor is posted", "ends before its successor is posted"}
@@ -521,7 +521,7 @@
     node, counted = world.nodes[3], []
     for _ in range(80):
         world.run(0.1)
-        if node.gatekeeper is not None and node.gatekeeper.reconfiguration.keeps():
+        if node.gatekeeper is not None and node.gatekeeper.reconfiguration.has_full_copy():
             counted.append(3 in copies(world, 2))
     assert counted and all(counted) and members(world) == {(0, 1, 2, 3)}
 
@@ -537,7 +537,7 @@
             stands = other.gatekeeper.reconfiguration._seats(other.now(), other.gatekeeper.subscriber.core)
             seen.append(stands.get(node.name, Seat.BEHIND))
             assert node.gatekeeper is not None and node.gatekeeper.replica is not None
-            assert node.gatekeeper.replica.state is not Voting.NEW
+            assert node.gatekeeper.replica.state is not ReplicaState.NEW
     assert set(seen) <= {Seat.BEHIND, Seat.DARK}
 
 
@@ -551,19 +551,19 @@
 
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
     """A process that leaves does not wait for its successor."""
-    monkeypatch.setattr(reconfiguration.Reconfiguration, "may_go", lambda self, now: True)
+    monkeypatch.setattr(reconfiguration.Reconfiguration, "may_exit", lambda self, now: True)
 
 
 def lax(monkeypatch: pytest.MonkeyPatch) -> None:
     """Replicas catch up only with the next order: the code as it was."""
-    monkeypatch.setattr(Recovery, "missed", lambda self: {})
+    monkeypatch.setattr(Recovery, "missing_values", lambda self: {})
 
 
 def whole(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whoever votes is taken for a copy."""
     monkeypatch.setattr(
         reconfiguration.Reconfiguration,
-        "keeps",
+        "has_full_copy",
         lambda self: self.gatekeeper.replica is not None and self.gatekeeper.replica.votes,
     )
 
@@ -578,18 +578,20 @@
     """One that leaves keeps the duty."""
     first = gossip.holders
     monkeypatch.setattr(
-        reconfiguration.Reconfiguration, "holder", lambda self, core: first("core", list(core.all))[0]
+        reconfiguration.Reconfiguration,
+        "coordinator_of",
+        lambda self, core: first("core", list(core.all_members))[0],
     )
 
 
 def slow(monkeypatch: pytest.MonkeyPatch) -> None:
     """A successor is posted after 5 s: the code as it was."""
-    monkeypatch.setattr(reconfiguration, "JOINED_S", 5.0)
+    monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 5.0)
 
 
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who joined is posted though that gains no vote."""
-    monkeypatch.setattr(reconfiguration, "SETTLED_IN_S", 0.0)
+    monkeypatch.setattr(reconfiguration, "NO_GAIN_JOIN_DELAY_S", 0.0)
 
 
 FAULTS: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], None]]] = [
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -23,7 +23,7 @@
     TokenRequester,
 )
 from millfront.quotas.share import KeptShare, ShareOfAllowance
-from millfront.register.values import FOUNDED, Core, read_quorum, write_quorum
+from millfront.register.values import FIRST_AGREED_EPOCH, Core, read_quorum, write_quorum
 
 LEASE_S, LIFE_S = 4.0, 0.25
 NAMES = "abcdef"
@@ -81,7 +81,7 @@
     proposed: Core | None = None
 
     def begin(self) -> None:
-        core = Core(FOUNDED, {name: name for name in NAMES[:4]})
+        core = Core(FIRST_AGREED_EPOCH, {name: name for name in NAMES[:4]})
         for name in NAMES:
             self.replicas[name] = core
             self.members[name] = Member(name, ShareOfAllowance(name, LEASE_S, None), core)
@@ -89,28 +89,28 @@
     def written(self, core: Core) -> bool:
         """Whether majorities of all its sets hold it, or a later one."""
         had = [name for name, held in self.replicas.items() if held.epoch >= core.epoch]
-        return core.majority(had)
+        return core.is_write_quorum(had)
 
     def change(self) -> None:
         """The next step of a change of the core, or a new change."""
         newest = max(self.replicas.values(), key=lambda core: core.epoch)
         if not self.written(newest):  # somebody goes on writing it
-            self.replicas[self.random.choice(sorted(newest.all))] = newest
+            self.replicas[self.random.choice(sorted(newest.all_members))] = newest
             return
-        if newest.old:
+        if newest.old_members:
             later = Core(newest.epoch + 1, newest.members)
         elif self.random.random() < 0.3:
             to = self.random.sample(NAMES, self.random.randint(3, 5))
             later = Core(newest.epoch + 1, {name: name for name in to}, newest.members)
         else:
             return
-        self.replicas[self.random.choice(sorted(later.all))] = later
+        self.replicas[self.random.choice(sorted(later.all_members))] = later
 
     def ask(self, member: Member) -> None:
         """It asks some of the replicas that it knows, and learns what they hold."""
         assert member.core is not None
         answered = []
-        for name in member.core.all:
+        for name in member.core.all_members:
             if self.random.random() < 0.6:
                 held = self.replicas[name]
                 if held.epoch == member.core.epoch:
@@ -119,13 +119,13 @@
                     member.core = held
                     self.update(member, [])
                     return
-        if member.core.covers(answered):
+        if member.core.is_read_quorum(answered):
             member.lease_until = self.now + LEASE_S
         self.update(member, answered)
 
     def update(self, member: Member, answered: list[str]) -> None:
         assert member.core is not None
-        if member.share.update(self.now, member.core, member.core.majority(answered)):
+        if member.share.update(self.now, member.core, member.core.is_write_quorum(answered)):
             member.kept = member.share.kept() if self.random.random() < 0.8 else member.kept
 
     def restart(self, member: Member) -> None:
@@ -164,7 +164,7 @@
         for _ in range(steps):
             cluster.step()
             largest = max(largest, cluster.granted())
-        cores += max(core.epoch for core in cluster.replicas.values()) - FOUNDED
+        cores += max(core.epoch for core in cluster.replicas.values()) - FIRST_AGREED_EPOCH
     return largest, cores
 
 
@@ -201,7 +201,7 @@
 
 
 def test_a_member_that_restarts_in_the_same_epoch_goes_on_and_one_that_has_missed_an_epoch_waits() -> None:
-    core = Core(FOUNDED + 4, {name: name for name in "abcd"})
+    core = Core(FIRST_AGREED_EPOCH + 4, {name: name for name in "abcd"})
     goes_on = ShareOfAllowance("a", LEASE_S, KeptShare(core.epoch, 0.25))
     assert not goes_on.update(0.0, core, False)
     assert goes_on.in_force() == 0.25
--- a/tests/test_register_machine.py
+++ b/tests/test_register_machine.py
@@ -20,7 +20,7 @@
 )
 
 from millfront.register.coordinator import Coordinator, Phase, Round
-from millfront.register.replica import Voting
+from millfront.register.replica import ReplicaState
 from millfront.register.values import CONFIG, Core, Message, Value
 from tests.register_model import Recovery, StoredReplica, fewer, hasty
 
@@ -83,7 +83,7 @@
             self.deliver(*found[0])
             for name, stored in self.stored_replicas.items():
                 for at, persist in reversed(list(enumerate(stored.unsynced))):
-                    if persist.then[1]["r"].startswith(refs):
+                    if persist.reply[1]["r"].startswith(refs):
                         self.answer(name, stored.sync(at))
 
     def drive(self, coordinator: Coordinator, round: Round) -> None:
@@ -164,7 +164,7 @@
                     return
         elif (
             to in self.coordinators
-            and (round := self.coordinators[to].take(self.now, sender, message)) is not None
+            and (round := self.coordinators[to].handle_answer(self.now, sender, message)) is not None
         ):
             self.drive(self.coordinators[to], round)
 
@@ -185,7 +185,7 @@
             self.recover(name)
 
     def recover(self, name: str) -> None:
-        if self.stored_replicas[name].replica.state is Voting.RECOVERING:
+        if self.stored_replicas[name].replica.state is ReplicaState.RECOVERING:
             self.lives += 1
             self.lost, self.recovery = name, Recovery(name, self.core, self.lives)
 
@@ -195,7 +195,7 @@
         behind = [
             name for name, version in told.items() if version is not None and version < self.acknowledged
         ]
-        assert not self.core.covers(behind), "acknowledged, and a reader is not told"
+        assert not self.core.is_read_quorum(behind), "acknowledged, and a reader is not told"
 
 
 class Three(Register):
@@ -218,12 +218,12 @@
 
 def unwritten(monkeypatch: pytest.MonkeyPatch) -> None:
     """A read is answered without its write-back."""
-    whole = Coordinator._turn
+    whole = Coordinator._enter_phase
 
     def turn(self: Coordinator, round: Round, phase: Phase) -> None:
         whole(self, round, Phase.DONE if round.phase is Phase.READING else phase)
 
-    monkeypatch.setattr(Coordinator, "_turn", turn)
+    monkeypatch.setattr(Coordinator, "_enter_phase", turn)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_register_search.py
+++ b/tests/test_register_search.py
@@ -23,8 +23,8 @@
 
 from millfront.register import chunks, recovery
 from millfront.register.coordinator import Coordinator, Round
-from millfront.register.replica import Persist, Replica, Voting
-from millfront.register.values import CLAIM, OWN, Core, Message
+from millfront.register.replica import PersistRequest, Replica, ReplicaState
+from millfront.register.values import CLAIM_PREFIX, LOCAL_PREFIX, Core, Message
 from tests.register_model import (
     WIPED,
     Order,
@@ -74,7 +74,7 @@
             order.coordinator.name: Steps(order, take, Order.state) for order in configuration
         }
         self.callers[RECOVERY] = Steps(Recovery(WIPED, self.core), take, Recovery.state)
-        self.persists: dict[Any, Persist] = {}  # that a recovery asked for
+        self.persists: dict[Any, PersistRequest] = {}  # that a recovery asked for
         self.columns: list[Column] = []
         self.numbers: dict[Column, int] = {}
         self.seen: set[State] = set()
@@ -194,7 +194,7 @@
                     after, out = self.callers[name](number, each)
                     for came in out:
                         found[1].add(frozen(came))
-                        if isinstance(came, Persist):
+                        if isinstance(came, PersistRequest):
                             self.persists[frozen(came)] = came
                     if self.calling(name, after) != self.calling(name, caller):
                         if self.calling(name, after):  # else it has ended
@@ -214,7 +214,7 @@
 
     def recovering(self, column: int) -> bool:
         if column not in self._recovering:
-            self._recovering[column] = self.stored(column).replica.state is Voting.RECOVERING
+            self._recovering[column] = self.stored(column).replica.state is ReplicaState.RECOVERING
         return self._recovering[column]
 
     def state(self, wiped: int, others: Iterable[int], callers: tuple[int, ...], was: State | None) -> State:
@@ -308,7 +308,10 @@
     columns = (state.wiped, *state.others)
     told = [(name, search.told(column)) for name, column in zip(search.names, columns, strict=True)]
     for version, came in enumerate(search.came(state), 1):
-        if search.core.covers(name for name, held in told if held is not None and held < version) and came:
+        if (
+            search.core.is_read_quorum(name for name, held in told if held is not None and held < version)
+            and came
+        ):
             return True
     return False
 
@@ -340,7 +343,7 @@
 
 
 def test_nor_where_a_recovery_takes_long_values_by_their_stamps(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(chunks, "SHORT", 0)
+    monkeypatch.setattr(chunks, "MAX_INLINE_CHARS", 0)
     for size, wipes, at_least in (3, 1, 550), (3, 2, 6_500), (4, 1, 7_000):
         search = writing(size, wipes)
         assert search.run(loses) is None
@@ -354,24 +357,26 @@
     def count(round: Round, sender: str, lives: dict[str, int]) -> None:
         round.answered[sender] = lives.get(sender, 0)
 
-    monkeypatch.setattr(Coordinator, "_count", staticmethod(count))
+    monkeypatch.setattr(Coordinator, "_count_answer", staticmethod(count))
 
 
 def rash(monkeypatch: pytest.MonkeyPatch) -> None:
     """An heir tells all before the new life is synced."""
-    whole = Replica._heir
+    whole = Replica._start_incarnation
 
     def heir(self: Replica, back: Any, ref: Any, *how: Any) -> Any:
         answers, persists = whole(self, back, ref, *how)
-        return answers or [(back, self._told(ref, None, None))], persists
+        return answers or [(back, self._found_answer(ref, None, None))], persists
 
-    monkeypatch.setattr(Replica, "_heir", heir)
+    monkeypatch.setattr(Replica, "_start_incarnation", heir)
 
 
 def unasked(monkeypatch: pytest.MonkeyPatch) -> None:
     """A recovery takes over what it was told before others knew of its new life."""
     monkeypatch.setattr(
-        Replica, "_heir", lambda self, back, ref, *_: ([(back, self._told(ref, None, None))], [])
+        Replica,
+        "_start_incarnation",
+        lambda self, back, ref, *_: ([(back, self._found_answer(ref, None, None))], []),
     )
 
 
@@ -381,7 +386,7 @@
 
     def store(self: Replica, back: Any, ref: Any, *how: Any) -> Any:
         answers, persists = whole(self, back, ref, *how)
-        return answers or [(back, {"t": "stored", "r": ref, "l": self.lives()})], persists
+        return answers or [(back, {"t": "stored", "r": ref, "l": self.incarnations()})], persists
 
     monkeypatch.setattr(Replica, "_store", store)
 
@@ -390,10 +395,10 @@
     """Of a long value a recovery takes any version that comes."""
 
     def lacking(self: recovery.Recovery) -> list[str]:
-        return [key for key in self._long if key not in self.gatekeeper.subscriber.values]
+        return [key for key in self._long_stamps if key not in self.gatekeeper.subscriber.values]
 
-    monkeypatch.setattr(chunks, "SHORT", 0)
-    monkeypatch.setattr(recovery.Recovery, "_lacking", lacking)
+    monkeypatch.setattr(chunks, "MAX_INLINE_CHARS", 0)
+    monkeypatch.setattr(recovery.Recovery, "_missing_long_keys", lacking)
 
 
 @pytest.mark.parametrize("size", [3, 4])
@@ -420,29 +425,30 @@
 
 def faithless(monkeypatch: pytest.MonkeyPatch) -> None:
     """Promises are not kept."""
-    whole = Replica._ballot
+    whole = Replica._vote
 
     def ballot(self: Replica, *how: Any) -> Any:
-        self.values = {key: value for key, value in self.values.items() if not key.startswith(OWN)}
+        self.values = {key: value for key, value in self.values.items() if not key.startswith(LOCAL_PREFIX)}
         return whole(self, *how)
 
-    monkeypatch.setattr(Replica, "_ballot", ballot)
-    monkeypatch.setattr(Replica, "_still", lambda *_: True)
+    monkeypatch.setattr(Replica, "_vote", ballot)
+    monkeypatch.setattr(Replica, "_ballot_holds", lambda *_: True)
 
 
 def headstrong(monkeypatch: pytest.MonkeyPatch) -> None:
     """What was accepted before is not adopted by a higher ballot."""
-    monkeypatch.setattr(Replica, "_accepted", lambda *_: None)
+    monkeypatch.setattr(Replica, "_last_accepted", lambda *_: None)
 
 
 def bare(monkeypatch: pytest.MonkeyPatch) -> None:
     """Claims are not taken over by a replica that recovers."""
     whole = Recovery.take
 
-    def take(self: Recovery, sender: str, message: Message) -> list[Persist]:
+    def take(self: Recovery, sender: str, message: Message) -> list[PersistRequest]:
         found = whole(self, sender, message)
         return [
-            replace(each, values={k: v for k, v in each.values.items() if CLAIM not in k}) for each in found
+            replace(each, values={k: v for k, v in each.values.items() if CLAIM_PREFIX not in k})
+            for each in found
         ]
 
     monkeypatch.setattr(Recovery, "take", take)
--- a/tests/test_restart_from_disk.py
+++ b/tests/test_restart_from_disk.py
@@ -9,7 +9,7 @@
 from millfront.dataplane.proxy import Proxy
 from millfront.environment import Bounds, Settings
 from millfront.gatekeeper.node import Gatekeeper
-from millfront.register.values import CONFIG, CORE, FOUNDED, Core, Value
+from millfront.register.values import CONFIG, CORE, FIRST_AGREED_EPOCH, Core, Value
 from tests.system_world import ZONES, document
 
 NODE = "aa-00"
@@ -34,7 +34,7 @@
         port=7000, seeds=("127.0.0.1:81",), bindings={"plain": "127.0.0.1:80"}, zones=ZONES,
         cloud="127.0.0.1:1", cloud_rate=40.0, cloud_lag=0.8, bounds=Bounds(),
     )  # fmt: skip
-    core = Core(FOUNDED, {NODE: "127.0.0.1:7000"}).value()
+    core = Core(FIRST_AGREED_EPOCH, {NODE: "127.0.0.1:7000"}).to_value()
     gatekeeper = Gatekeeper(settings, NoDoors(), {CORE: core, **kept}, 100.0, 1, 1)
     return Proxy(gatekeeper, 1, lambda: 100.0)
 
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from millfront.register.replica import Voting
+from millfront.register.replica import ReplicaState
 from tests.system_world import World, document
 
 
@@ -42,8 +42,8 @@
     world.start().run(4.0)
     apart = False
     world.run(16.0)
-    cores = {(o.subscriber.core.epoch, tuple(sorted(o.subscriber.core.all))) for o in world.gatekeepers()
-             if o.subscriber.core}  # fmt: skip
+    cores = {(o.subscriber.core.epoch, tuple(sorted(o.subscriber.core.all_members)))
+             for o in world.gatekeepers() if o.subscriber.core}  # fmt: skip
     ((epoch, members),) = cores  # one founded it, and those cut off then were posted to it
     assert epoch > 2 and len(members) == 4
 
@@ -228,7 +228,7 @@
                 node.start()
             case "wipe":
                 replicas = [n.gatekeeper.replica for n in world.nodes[:4] if n.gatekeeper]
-                if len(replicas) == 4 and all(k and k.state is Voting.VOTING for k in replicas):
+                if len(replicas) == 4 and all(k and k.state is ReplicaState.VOTING for k in replicas):
                     node = world.nodes[chance.randrange(4)]
                     node.wipe()
                     world.run(0.3)
