--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -25,7 +25,7 @@
 from millfront.control.configuration import Configuration, Service, Tenant
 from millfront.dataplane.admission import Admission
 from millfront.dataplane.load_balancer import LoadBalancer
-from millfront.discovery.platform_client import PlatformError, listed
+from millfront.discovery.platform_client import PlatformError, read_list
 from millfront.discovery.server_list import ServerList
 from millfront.environment import Bounds
 from millfront.membership.record import MemberRecord
@@ -268,7 +268,7 @@
         for _ in range(count)
     ]
     return [
-        MemberRecord(f"z0-{k:04d}", 1_790_000_000_000 + k, 777, True, totals=t).wire()
+        MemberRecord(f"z0-{k:04d}", 1_790_000_000_000 + k, 777, True, totals=t).to_wire()
         for k, t in enumerate(totals)
     ]
 
@@ -291,7 +291,7 @@
 
 
 def polled(book: ServerList, entries: list[Any]) -> None:
-    book.polled(2.0, book.begin(1.0), entries)
+    book.poll_succeeded(2.0, book.begin_poll(1.0), entries)
 
 
 def looked_through(load_balancer: LoadBalancer) -> int:
@@ -324,18 +324,18 @@
             ServerList(),
             LoadBalancer("z0", {f"z{k}": f"r{k % 13}" for k in range(36)}, 1),
         )
-        book.polled(1.0, book.begin(1.0), entries)
+        book.poll_succeeded(1.0, book.begin_poll(1.0), entries)
         load_balancer.listed(book.servers.values())
         held = tracemalloc.get_traced_memory()[0] / 2**20
         tracemalloc.stop()
-        whole = book.whole(1.0)
+        whole = book.full_list(1.0)
         raw = len(json.dumps(whole, separators=(",", ":")))
-        other.take(1.0, whole)
+        other.handle_list(1.0, whole)
         poll = timed(partial(polled, book, entries), 5)[1]
         number, asker = other.stamp
         changed = {"t": "list", "f": number + 1, "w": asker, "p": number, "q": asker, "a": 0.0}
         changed |= {"e": entries[:10], "g": []}
-        take = timed(partial(other.take, 3.0, changed))[1]
+        take = timed(partial(other.handle_list, 3.0, changed))[1]
         listed = timed(partial(load_balancer.listed, book.servers.values()), 5)[1]
         cold = timed(partial(looked_through, load_balancer), 5)[1]
         print(
@@ -346,9 +346,9 @@
     print("servers of a service | µs a choice")
     for count in (2, 10, 23, 100, 300):
         load_balancer, book = LoadBalancer("z0", {f"z{k}": f"r{k % 13}" for k in range(36)}, 1), ServerList()
-        book.polled(
+        book.poll_succeeded(
             1.0,
-            book.begin(1.0),
+            book.begin_poll(1.0),
             [[f"i-{k}", "shop", f"10.2.0.{k}:80", f"z{k % 36}", 2, 0, 0.0] for k in range(count)],
         )
         load_balancer.listed(book.servers.values())
@@ -389,7 +389,7 @@
     async def read(address: str) -> None:
         began, calls, spent = time.monotonic(), Platform.calls, time.process_time()
         try:
-            told = f"{len((await listed(address)).entries)} entries"
+            told = f"{len((await read_list(address)).entries)} entries"
         except PlatformError as fault:
             told = f"not read: {fault}"
         took, spent = time.monotonic() - began, time.process_time() - spent
--- a/millfront/control/admin.py
+++ b/millfront/control/admin.py
@@ -19,9 +19,9 @@
 from millfront.register.values import CONFIG, CORE, TURN, Core, Value, claim_key
 
 EVACUATION = "evacuation/"
-READ_S, WRITE_S = 2.0, 4.0
-ORDER_S = 4.0  # an evacuation that was not begun to be written by then is not
-CLAIM_S = 4.0  # for a claim, all its ballots together
+READ_TIMEOUT_S, WRITE_TIMEOUT_S = 2.0, 4.0
+EVACUATION_TIMEOUT_S = 4.0  # an evacuation that was not begun to be written by then is not
+CLAIM_TIMEOUT_S = 4.0  # for a claim, all its ballots together
 BACKOFF_S = 0.15  # about what a ballot takes: one that gave way waits up to twice as long, more each time
 Message = dict[str, Any]
 Done = Callable[[int, str], None]  # told a status and a text, once
@@ -33,8 +33,8 @@
     def __init__(self, coordinator: Coordinator, subscriber: Subscriber, now: float, seed: int) -> None:
         self.coordinator, self.subscriber, self.now = coordinator, subscriber, now
         self.random = random.Random(seed)
-        self.waiting: dict[str, tuple[Round, Callable[[Round], None]]] = {}  # rounds under way
-        self.later: list[tuple[float, Callable[[], None]]] = []  # what a beat begins anew, and when
+        self.open_rounds: dict[str, tuple[Round, Callable[[Round], None]]] = {}  # rounds under way
+        self.retries: list[tuple[float, Callable[[], None]]] = []  # what a beat begins anew, and when
 
     # What the process does for it
 
@@ -46,7 +46,7 @@
         """Send a message to the replica of that member, which may be this process itself."""
         raise NotImplementedError
 
-    def _hold(self, found: dict[str, Value]) -> None:
+    def _adopt(self, found: dict[str, Value]) -> None:
         raise NotImplementedError
 
     # ---- changes and reads -------------------------------------------------------------------------
@@ -75,7 +75,7 @@
     def _claim(self, now: float, value: Value, done: Done, then: Callable[[], None]) -> None:
         """Of a revision number one document is confirmed: whoever's digest a majority has accepted first.
         Then the document may be written, by anybody who sends it (docs/design/control-faults.md)."""
-        number, until = value.version, now + CLAIM_S
+        number, until = value.version, now + CLAIM_TIMEOUT_S
 
         def ballot(at: float, height: int, tries: int) -> None:
             core, left = self.subscriber.core, until - at
@@ -90,10 +90,10 @@
                     self.note("admin", f"configuration {number:08x} refused: {round.proposal} has its number")
                     done(409, f"revision {number:08x} was given to another document ({round.proposal})")
                 elif round.old:
-                    self._passed(number, done)
+                    self._superseded(number, done)
                 elif round.highest:
                     again = self.now + BACKOFF_S * (tries + 1) * 2.0 * self.random.random()
-                    self.later.append((again, lambda: ballot(self.now, round.highest + 1, tries + 1)))
+                    self.retries.append((again, lambda: ballot(self.now, round.highest + 1, tries + 1)))
                 else:
                     done(503, "no majority of the core answers")
 
@@ -103,7 +103,7 @@
 
         ballot(now, 1, 0)
 
-    def _passed(self, number: int, done: Done) -> None:
+    def _superseded(self, number: int, done: Done) -> None:
         """A configuration under a number that lies so far back that nobody knows whose it was: a majority
         has a higher one, so that it changes nothing."""
 
@@ -122,16 +122,16 @@
         zone: str,
         on: bool,
         done: Done,
-        waits: Callable[[], bool] = lambda: True,
+        still_waiting: Callable[[], bool] = lambda: True,
     ) -> None:
         """One word on one zone, as `_order` writes it.
 
-        :param waits: whether whoever ordered it still waits for the answer
+        :param still_waiting: whether whoever ordered it still waits for the answer
         """
-        self._order(now, now, {EVACUATION + zone: "1" if on else "0"}, done, waits)
+        self._write_evacuations(now, now, {EVACUATION + zone: "1" if on else "0"}, done, still_waiting)
 
-    def _order(
-        self, now: float, since: float, words: dict[str, str], done: Done, waits: Callable[[], bool]
+    def _write_evacuations(
+        self, now: float, since: float, states: dict[str, str], done: Done, still_waiting: Callable[[], bool]
     ) -> None:
         """Read from a majority how many words on each zone there were, make known to one that these are the
         next (their turns), then write them: whoever begins after one was stored anywhere is above it, so that
@@ -141,30 +141,30 @@
         not begun; its operator has sent it elsewhere, and has perhaps taken it back since.
 
         :param since: when the call came, whatever was done for it before this
-        :param words: by the keys of evacuations
+        :param states: by the keys of evacuations
         """
-        turns = {key: TURN + key.removeprefix(EVACUATION) for key in words}
+        turns = {key: TURN + key.removeprefix(EVACUATION) for key in states}
 
-        def goes_on() -> bool:
-            return self.now - since < ORDER_S and waits()
+        def in_time() -> bool:
+            return self.now - since < EVACUATION_TIMEOUT_S and still_waiting()
 
         def read(round: Round) -> None:
-            if round.phase is not Phase.DONE or not goes_on():
+            if round.phase is not Phase.DONE or not in_time():
                 done(503, "the registry can't be read now")
                 return
             numbers = {key: self._next_number(round, key, turn) for key, turn in turns.items()}
-            values = {key: Value(number, round.ref, words[key]) for key, number in numbers.items()}
+            values = {key: Value(number, round.ref, states[key]) for key, number in numbers.items()}
 
-            def known(status: int, why: str) -> None:
-                if status == 200 and goes_on():
+            def turns_known(status: int, reason: str) -> None:
+                if status == 200 and in_time():
                     self._write(self.now, values, done)
                 else:
-                    done(503, why or "the order was late here")
+                    done(503, reason or "the order was late here")
 
-            told = {turns[key]: Value(number, round.ref, "") for key, number in numbers.items()}
-            self._write(self.now, told, known)
+            turn_values = {turns[key]: Value(number, round.ref, "") for key, number in numbers.items()}
+            self._write(self.now, turn_values, turns_known)
 
-        self._read(now, [*words, *turns.values()], read, lambda: done(503, "no core is known yet"))
+        self._read(now, [*states, *turns.values()], read, lambda: done(503, "no core is known yet"))
 
     def _next_number(self, round: Round, *keys: str) -> int:
         """Above all that a majority or this process has under these keys."""
@@ -196,7 +196,9 @@
 
         self._read(now, None, found, lambda: done(503, "no core is known yet"))
 
-    def restore(self, now: float, body: bytes, done: Done, waits: Callable[[], bool] = lambda: True) -> None:
+    def restore(
+        self, now: float, body: bytes, done: Done, still_waiting: Callable[[], bool] = lambda: True
+    ) -> None:
         """Put what a snapshot holds. A configuration that is held higher already stays; the evacuations are
         an order given now, with turns like any other (`_order`), once the configuration is held."""
         match snapshot.restored(body.decode(errors="replace")):
@@ -206,33 +208,35 @@
                 return
             case Ok(values):
                 pass
-        words = {key: value.data for key, value in values.items() if key.startswith(EVACUATION)}
-        rest = {key: value for key, value in values.items() if key not in words}
+        evacuations = {key: value.data for key, value in values.items() if key.startswith(EVACUATION)}
+        others = {key: value for key, value in values.items() if key not in evacuations}
 
-        def rest_is_held(status: int, why: str) -> None:
-            if status == 200 and words:
-                self._order(self.now, now, words, done, waits)
+        def others_stored(status: int, reason: str) -> None:
+            if status == 200 and evacuations:
+                self._write_evacuations(self.now, now, evacuations, done, still_waiting)
             else:
-                done(status, why)
+                done(status, reason)
 
-        if CONFIG in rest:
-            self._claim(now, rest[CONFIG], rest_is_held, lambda: self._write(self.now, rest, rest_is_held))
-        elif rest or not words:
-            self._write(now, rest, rest_is_held)
+        if CONFIG in others:
+            self._claim(
+                now, others[CONFIG], others_stored, lambda: self._write(self.now, others, others_stored)
+            )
+        elif others or not evacuations:
+            self._write(now, others, others_stored)
         else:
-            self._order(now, now, words, done, waits)
+            self._write_evacuations(now, now, evacuations, done, still_waiting)
 
     def _version(self, key: str) -> int:
         held = self.subscriber.values.get(key)
         return held.version if held is not None else 0
 
     def _read(
-        self, now: float, keys: list[str] | None, then: Callable[[Round], None], none: Callable[[], None]
+        self, now: float, keys: list[str] | None, then: Callable[[Round], None], no_core: Callable[[], None]
     ) -> None:
         if self.subscriber.core is None:
-            none()
+            no_core()
             return
-        self.start(now, self.coordinator.read(now, self.subscriber.core, keys, READ_S), then)
+        self.start(now, self.coordinator.read(now, self.subscriber.core, keys, READ_TIMEOUT_S), then)
 
     def _write(self, now: float, values: dict[str, Value], done: Done) -> None:
         def written(round: Round) -> None:
@@ -244,11 +248,11 @@
         if self.subscriber.core is None:
             done(503, "no core is known yet")
             return
-        self.start(now, self.coordinator.write(now, self.subscriber.core, values, WRITE_S), written)
+        self.start(now, self.coordinator.write(now, self.subscriber.core, values, WRITE_TIMEOUT_S), written)
 
     def start(self, now: float, round: Round, then: Callable[[Round], None]) -> None:
         """Drive a round until it is done or failed, then call ``then`` with it, once."""
-        self.waiting[round.ref] = (round, then)
+        self.open_rounds[round.ref] = (round, then)
         self._drive(now, round)
 
     def _drive(self, now: float, round: Round) -> None:
@@ -256,29 +260,29 @@
         self.now = now
         for name, message in self.coordinator.drive(now, round):
             self.to_replica(now, name, round.core.all[name], message)
-        if round.phase in (Phase.DONE, Phase.FAILED) and round.ref in self.waiting:
-            _, then = self.waiting.pop(round.ref)
+        if round.phase in (Phase.DONE, Phase.FAILED) and round.ref in self.open_rounds:
+            _, then = self.open_rounds.pop(round.ref)
             if round.phase is Phase.DONE:
-                self._hold(round.values)
+                self._adopt(round.values)
             then(round)
 
-    def beat_rounds(self, now: float) -> None:
+    def tick_rounds(self, now: float) -> None:
         """Every beat: what is under way goes on, what gave way begins anew."""
-        for round, _ in list(self.waiting.values()):
+        for round, _ in list(self.open_rounds.values()):
             self._drive(now, round)
-        due = [begin for at, begin in self.later if at <= now]
-        self.later = [(at, begin) for at, begin in self.later if at > now]
+        due = [begin for at, begin in self.retries if at <= now]
+        self.retries = [(at, begin) for at, begin in self.retries if at > now]
         for begin in due:
             begin()
 
     def renew_rounds(self, core: Core) -> None:
         """The core has changed: what is under way goes on with the new one."""
-        for round, then in list(self.waiting.values()):
+        for round, then in list(self.open_rounds.values()):
             if round.core.epoch < core.epoch and (
                 round.phase in (Phase.READING, Phase.WRITING) or round.decides != CORE
             ):
                 if CORE in round.values and round.phase is Phase.WRITING:
                     continue  # the writing of a core itself, which its replicas take whatever theirs is
-                del self.waiting[round.ref]
+                del self.open_rounds[round.ref]
                 self.coordinator.renew(round, core)
-                self.waiting[round.ref] = (round, then)
+                self.open_rounds[round.ref] = (round, then)
--- a/millfront/control/configuration.py
+++ b/millfront/control/configuration.py
@@ -17,9 +17,9 @@
 from millfront.register.values import digest_of as digest_of
 
 KINDS = ("idempotent", "effectful", "upload", "keyed")
-MOST_OVER_S = 60.0  # a target time so far above its route's deadline is taken for an error
-MOST_RIGHT = 4096
-_right: set[str] = set()  # digests of entries whose form is right
+MAX_TARGET_OVER_DEADLINE_S = 60.0  # a target time so far above its route's deadline is taken for an error
+MAX_VALID_ENTRIES = 4096
+_valid_entries: set[str] = set()  # digests of entries whose form is right
 HEX = frozenset("0123456789abcdef")
 
 
@@ -36,12 +36,12 @@
     prefix: str
     kind: str
     deadline: float
-    target: float
+    target_time: float
     rank: int
-    arms: tuple[tuple[str, float], ...]
+    split: tuple[tuple[str, float], ...]
     max_tries: int
     public: bool
-    homes: frozenset[str]
+    home_regions: frozenset[str]
 
     @property
     def repeatable(self) -> bool:
@@ -72,7 +72,7 @@
     rank: int | None
     rate: float
     burst: float
-    homes: frozenset[str]
+    home_regions: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,19 +95,19 @@
     ['/a/b/', '/a/', '/od', None]
     """
 
-    __slots__ = ("_by_prefix", "_longest", "_odd", "all")
+    __slots__ = ("_by_prefix", "_longest", "_unaligned", "all")
 
     def __init__(self, routes: list[Route]) -> None:
         """Of two with one prefix the first counts."""
         self.all = tuple(routes)
         self._by_prefix: dict[str, Route] = {}
-        odd = []  # prefixes that end within a name: looked through one by one
+        unaligned = []  # prefixes that end within a name: looked through one by one
         for route in routes:
             if route.prefix.endswith("/"):
                 self._by_prefix.setdefault(route.prefix, route)
             else:
-                odd.append(route)
-        self._odd = tuple(sorted(odd, key=lambda route: -len(route.prefix)))
+                unaligned.append(route)
+        self._unaligned = tuple(sorted(unaligned, key=lambda route: -len(route.prefix)))
         self._longest = max(map(len, self._by_prefix), default=0)
 
     def find(self, path: str) -> Route | None:
@@ -115,7 +115,7 @@
         found, end = None, path.rfind("/", 0, self._longest) + 1
         while end and (found := self._by_prefix.get(path[:end])) is None:
             end = path.rfind("/", 0, end - 1) + 1
-        for route in self._odd:
+        for route in self._unaligned:
             if path.startswith(route.prefix) and (found is None or len(found.prefix) < len(route.prefix)):
                 return route
         return found
@@ -148,7 +148,7 @@
         return table.find(path) if table is not None else None
 
 
-def _time(value: Any) -> bool:
+def _is_duration(value: Any) -> bool:
     seconds(value)
     return True
 
@@ -156,7 +156,7 @@
 count: Any = And(int, lambda n: not isinstance(n, bool) and n >= 0)
 number: Any = And(lambda n: isinstance(n, int | float), lambda n: not isinstance(n, bool) and n >= 0)
 names = [str]
-FORMS = {
+ENTRY_SCHEMAS = {
     "routes": Schema(
         {
             "host": And(str, len, error="host: is empty"),
@@ -164,8 +164,10 @@
                 str, lambda p: p.startswith("/"), error="path_prefix: {!r} starts with no slash"
             ),
             "variant_tag": Or(*KINDS, error="variant_tag: {!r} is not known"),
-            "deadline": And(_time, lambda told: seconds(told) > 0.0, error="deadline: {!r} leaves no time"),
-            "target_time": _time,
+            "deadline": And(
+                _is_duration, lambda told: seconds(told) > 0.0, error="deadline: {!r} leaves no time"
+            ),
+            "target_time": _is_duration,
             Optional("rank"): count,
             Optional("target"): str,
             Optional("split"): [Schema({"target": str, "weight": number}, ignore_extra_keys=True)],
@@ -179,7 +181,7 @@
         {
             Optional("health_path"): str,
             Optional("max_conns"): count,
-            Optional("warmup"): _time,
+            Optional("warmup"): _is_duration,
             Optional("warmup_rate_s"): number,
         },
         ignore_extra_keys=True,
@@ -198,13 +200,13 @@
         {
             Optional("max_header_bytes"): count,
             Optional("max_body_bytes"): count,
-            Optional("header_deadline"): _time,
-            Optional("idle_timeout"): _time,
+            Optional("header_deadline"): _is_duration,
+            Optional("idle_timeout"): _is_duration,
         },
         ignore_extra_keys=True,
     ),
 }
-WHOLE = Schema(
+DOCUMENT_SCHEMA = Schema(
     {
         "revision": And(str, lambda v: len(v) == 8 and HEX.issuperset(v.lower()), error="revision: {!r}"),
         "resources": [
@@ -225,34 +227,34 @@
 def checked(text: str) -> Result[Configuration, ConfigurationError]:
     """A document from an operator: its form, then what its entries say of one another."""
     try:
-        document = WHOLE.validate(json.loads(text))
+        document = DOCUMENT_SCHEMA.validate(json.loads(text))
         for resource in document["resources"]:
             try:
-                _entry_checked(resource["variant"], resource["spec"])
+                _check_entry(resource["variant"], resource["spec"])
             except SchemaError as wrong:
                 named = " ".join((resource["variant"], resource["meta"].get("name", ""))).strip()
-                return Err(ConfigurationError(f"{named}: {_said(wrong)}"))
+                return Err(ConfigurationError(f"{named}: {_error_text(wrong)}"))
     except SchemaError as wrong:
-        return Err(ConfigurationError(_said(wrong)))
+        return Err(ConfigurationError(_error_text(wrong)))
     except (ValueError, RecursionError) as wrong:
         return Err(ConfigurationError(f"is not JSON: {wrong}"))
     return compiled(text, document)
 
 
-def _entry_checked(variant: str, spec: dict[str, Any]) -> None:
+def _check_entry(variant: str, spec: dict[str, Any]) -> None:
     """Versions repeat most of their entries: one that was found right is not checked again."""
-    form = FORMS.get(variant)
+    form = ENTRY_SCHEMAS.get(variant)
     if form is None:
         return
     known = digest_of(variant + json.dumps(spec))
-    if known not in _right:
+    if known not in _valid_entries:
         form.validate(spec)
-        if len(_right) >= MOST_RIGHT:
-            _right.clear()
-        _right.add(known)
+        if len(_valid_entries) >= MAX_VALID_ENTRIES:
+            _valid_entries.clear()
+        _valid_entries.add(known)
 
 
-def _said(wrong: SchemaError) -> str:
+def _error_text(wrong: SchemaError) -> str:
     parts = [part for part in wrong.errors if part] or [part for part in wrong.autos if part]
     return "; ".join(dict.fromkeys(parts)).replace("\n", " ")[:400]
 
@@ -299,7 +301,7 @@
             )
     by_host: dict[str, list[Route]] = {}
     for route in routes:
-        for service, _ in route.arms:
+        for service, _ in route.split:
             if service not in services:
                 raise ConfigurationError(f"route {route.name}: unknown service {service}")
         by_host.setdefault(route.host, []).append(route)
@@ -312,15 +314,15 @@
 def _route(name: str, spec: dict[str, Any]) -> Route:
     if not spec["host"]:
         raise ConfigurationError(f"route {name}: host is empty")
-    arms = [(arm["target"], float(arm["weight"])) for arm in spec.get("split") or ()]
-    if arms and sum(weight for _, weight in arms) <= 0.0:
+    split = [(part["target"], float(part["weight"])) for part in spec.get("split") or ()]
+    if split and sum(weight for _, weight in split) <= 0.0:
         raise ConfigurationError(f"route {name}: weights sum to 0")
-    if not arms:
+    if not split:
         if not spec.get("target"):
             raise ConfigurationError(f"route {name}: neither target nor split")
-        arms = [(spec["target"], 1.0)]
-    deadline, target = seconds(spec["deadline"]), seconds(spec["target_time"])
-    if target >= deadline + MOST_OVER_S:
+        split = [(spec["target"], 1.0)]
+    deadline, target_time = seconds(spec["deadline"]), seconds(spec["target_time"])
+    if target_time >= deadline + MAX_TARGET_OVER_DEADLINE_S:
         raise ConfigurationError(f"route {name}: target_time is a minute or more above its deadline")
     return Route(
         name=name,
@@ -328,12 +330,12 @@
         prefix=spec["path_prefix"],
         kind=spec["variant_tag"],
         deadline=deadline,
-        target=target,
+        target_time=target_time,
         rank=int(spec.get("rank") or 0),
-        arms=tuple(arms),
+        split=tuple(split),
         max_tries=max(1, int(spec.get("max_tries") or 1)),
         public=bool(spec.get("public")),
-        homes=frozenset(spec.get("home_regions") or ()),
+        home_regions=frozenset(spec.get("home_regions") or ()),
     )
 
 
--- a/millfront/control/delivery.py
+++ b/millfront/control/delivery.py
@@ -19,23 +19,23 @@
 LEASE_SHARE = (
     0.8  # of revoke_within: the rest is for a clock that runs 1% slow and a request that waits to be sent
 )
-ASK_S = 1.0
-AGAIN_S = 0.45  # a replica that is silent for so long is passed over for another one
-FETCHED = "f "  # with this begins the reference of a subscriber's fetches and of what answers them
+POLL_INTERVAL_S = 1.0
+REPLICA_TIMEOUT_S = 0.45  # a replica that is silent for so long is passed over for another one
+FETCH_REF_PREFIX = "f "  # with this begins the reference of a subscriber's fetches and of what answers them
 Message = dict[str, Any]
 
 
 @dataclass(slots=True)
-class Confirmed:
+class ReplicaAnswers:
     """What one replica has said last."""
 
-    asked: float = -1e9  # when the last question went out that it confirmed by
-    out: float = -1e9  # when a question went out that is not answered yet
-    waiting: float = 0.0  # 0: none is
+    confirmed_at: float = -1e9  # when the last question went out that it confirmed by
+    sent_at: float = -1e9  # when a question went out that is not answered yet
+    waiting_since: float = 0.0  # 0: none is
     stamps: dict[str, list[Any]] | None = None  # of its last answer
     as_of: float = -1e9
-    failed: float = -1e9
-    news: int = 0  # the last numbered push
+    failed_at: float = -1e9
+    last_update: int = 0  # the last numbered push
 
 
 class Subscriber:
@@ -49,15 +49,15 @@
         self.lease_s = lease_s
         self.values: dict[str, Value] = {}
         self.core: Core | None = None
-        self.replicas: dict[str, Confirmed] = {}
+        self.replicas: dict[str, ReplicaAnswers] = {}
         self._fetching: dict[str, float] = {}  # key -> when it was last asked for, or a piece came
         self._arrivals = Arrivals()
         self._archive = Archive()  # for members that are back and reach no replica yet
-        self._floor = -1e9  # a lease that an earlier core has given
+        self._lease_floor = -1e9  # a lease that an earlier core has given
 
     # ---- what is held ----------------------------------------------------------------------------
 
-    def hold(self, found: dict[str, Value]) -> list[str]:
+    def adopt(self, found: dict[str, Value]) -> list[str]:
         """Take what is newer; returns the keys that changed."""
         changed = [k for k, v in found.items() if k not in self.values or v > self.values[k]]
         for key in changed:
@@ -68,23 +68,27 @@
             self._arrivals.held(key, found[key])
         if CORE in changed:
             self._fetching.clear()  # an answer that was meant for the core before is dropped
-            self._floor = self.lease_until()  # nothing newer was acknowledged by then, whoever keeps it since
+            self._lease_floor = (
+                self.lease_until()
+            )  # nothing newer was acknowledged by then, whoever keeps it since
             self.core = Core.of(self.values[CORE])
-            self.replicas = {name: Confirmed() for name in self.core.all}  # what counted there doesn't here
+            self.replicas = {
+                name: ReplicaAnswers() for name in self.core.all
+            }  # what counted there doesn't here
         if changed:
-            for said in self.replicas.values():
-                self._confirm(said)
+            for answers in self.replicas.values():
+                self._confirm(answers)
         return changed
 
     def lease_until(self) -> float:
         """Nothing newer was acknowledged before this time less `lease_s`."""
         if self.core is None:
             return -1e9
-        times = sorted({said.asked for said in self.replicas.values()}, reverse=True)
+        times = sorted({said.confirmed_at for said in self.replicas.values()}, reverse=True)
         for time in times:
-            if self.core.covers(name for name, said in self.replicas.items() if said.asked >= time):
-                return max(time + self.lease_s, self._floor)
-        return self._floor
+            if self.core.covers(name for name, said in self.replicas.items() if said.confirmed_at >= time):
+                return max(time + self.lease_s, self._lease_floor)
+        return self._lease_floor
 
     def confirmed_by_majority(self) -> bool:
         """Whether a majority of the core in force here has answered in its epoch: no lease is renewed in an
@@ -98,66 +102,66 @@
 
     # ---- asking ----------------------------------------------------------------------------------
 
-    def tick(self, now: float, near: list[str]) -> list[tuple[str, Message]]:
+    def tick(self, now: float, preferred: list[str]) -> list[tuple[str, Message]]:
         """Questions to be sent to replicas; `near` is the order of preference, nearest and soundest first."""
         if self.core is None:
             return []
         core = self.core
-        order = [name for name in near if name in self.replicas]
+        order = [name for name in preferred if name in self.replicas]
         order += [name for name in self.replicas if name not in order]
-        for said in self.replicas.values():
-            if said.waiting and now - said.waiting > AGAIN_S:
-                said.failed, said.waiting = now, 0.0
-        order.sort(key=lambda name: now - self.replicas[name].failed < 3.0 * ASK_S)
+        for answers in self.replicas.values():
+            if answers.waiting_since and now - answers.waiting_since > REPLICA_TIMEOUT_S:
+                answers.failed_at, answers.waiting_since = now, 0.0
+        order.sort(key=lambda name: now - self.replicas[name].failed_at < 3.0 * POLL_INTERVAL_S)
         chosen: list[str] = []
         for name in order:
             if core.covers(chosen):
                 break
             chosen.append(name)
         # while the lease is not renewed in time all are asked, and by a member until a majority has answered
-        late = self.lease_until() - self.lease_s < now - 2.0 * ASK_S
+        late = self.lease_until() - self.lease_s < now - 2.0 * POLL_INTERVAL_S
         if late or (self.member in core.all and not self.confirmed_by_majority()):
             chosen = order
         out = []
         for name in chosen:
-            said = self.replicas[name]
-            if now - said.out >= ASK_S * 0.95 or now - said.failed < 0.2:
-                said.out = said.waiting = now
+            answers = self.replicas[name]
+            if now - answers.sent_at >= POLL_INTERVAL_S * 0.95 or now - answers.failed_at < 0.2:
+                answers.sent_at = answers.waiting_since = now
                 out.append((name, {"t": "ask", "r": f"{core.epoch} {now!r} {self.name}", "e": core.epoch}))
         return out
 
-    def take(self, now: float, sender: str, message: Message) -> list[tuple[str, Message]]:
+    def handle_answer(self, now: float, sender: str, message: Message) -> list[tuple[str, Message]]:
         """A replica's answer or push; returns what is to be fetched, and from whom."""
-        said = self.replicas.get(sender)
-        if said is None:
+        answers = self.replicas.get(sender)
+        if answers is None:
             return []
         if message["t"] == "news":
-            said.news = message["n"]
-            return [(sender, {"t": "had", "n": message["n"]}), *self._lacking(now, sender, message["s"])]
-        epoch, asked, life, *_ = [*str(message["r"]).split(" ", 2), "", ""]
-        if life != self.name or self.core is None or epoch != str(self.core.epoch):
+            answers.last_update = message["n"]
+            return [(sender, {"t": "had", "n": message["n"]}), *self._fetch_newer(now, sender, message["s"])]
+        epoch, sent_at, incarnation, *_ = [*str(message["r"]).split(" ", 2), "", ""]
+        if incarnation != self.name or self.core is None or epoch != str(self.core.epoch):
             return []
-        said.waiting = 0.0
+        answers.waiting_since = 0.0
         if message["t"] != "newest":
             return []
-        said.failed = -1e9
-        said.stamps, said.as_of = message["s"], float(asked)
-        self._confirm(said)
-        return self._lacking(now, sender, message["s"])
+        answers.failed_at = -1e9
+        answers.stamps, answers.as_of = message["s"], float(sent_at)
+        self._confirm(answers)
+        return self._fetch_newer(now, sender, message["s"])
 
-    def _ref(self) -> str:
+    def _fetch_ref(self) -> str:
         """Of fetches: of this core and this life of the process alone."""
-        return f"{FETCHED}{self.core.epoch if self.core is not None else 0} {self.name}"
+        return f"{FETCH_REF_PREFIX}{self.core.epoch if self.core is not None else 0} {self.name}"
 
-    def asked(self, sender: str, message: Message) -> bool:
+    def is_own_fetch(self, sender: str, message: Message) -> bool:
         """Whether an answer is to a fetch of this life of the process, from a member of the core in force."""
-        return self.core is not None and sender in self.core.all and message["r"] == self._ref()
+        return self.core is not None and sender in self.core.all and message["r"] == self._fetch_ref()
 
-    def _confirm(self, said: Confirmed) -> None:
-        if said.stamps is not None and not self._newer(said.stamps):
-            said.asked = max(said.asked, said.as_of)
+    def _confirm(self, answers: ReplicaAnswers) -> None:
+        if answers.stamps is not None and not self._newer_keys(answers.stamps):
+            answers.confirmed_at = max(answers.confirmed_at, answers.as_of)
 
-    def _newer(self, stamps: dict[str, list[Any]]) -> list[str]:
+    def _newer_keys(self, stamps: dict[str, list[Any]]) -> list[str]:
         lacking = []
         for key, (version, tie) in stamps.items():
             held = self.values.get(key)
@@ -168,12 +172,12 @@
     # ---- members that are back ------------------------------------------------------------------
 
     @staticmethod
-    def rest(values: dict[str, Value]) -> Message:
+    def handoff(values: dict[str, Value]) -> Message:
         """What one that is back is handed: short values, and the stamps of long ones."""
         short = {key: value.wire() for key, value in values.items() if len(value.data) <= SHORT}
         return {"t": "rest", "v": short, "s": {k: v.stamp for k, v in values.items() if k not in short}}
 
-    def handed(self, message: Message) -> Message:
+    def answer_handoff(self, message: Message) -> Message:
         """The answer to one that asks for what it was told of so: as a replica's, but it confirms nothing."""
         if message["t"] == "piece?":
             value = self.values.get(message["k"], Value(0, "", ""))
@@ -182,43 +186,45 @@
         found, offers = self._archive.parted(values, message["h"])
         return {"t": "found", "v": found, "d": offers}
 
-    def lacking(self, now: float, message: Message) -> list[tuple[str, Message]]:
+    def fetch_handoff(self, now: float, message: Message) -> list[tuple[str, Message]]:
         """What is to be asked of a member that has handed this over."""
-        return self.fetch(now, "", self._newer(message.get("s", {})))
+        return self.fetch(now, "", self._newer_keys(message.get("s", {})))
 
     # ---- fetching ----------------------------------------------------------------------------------
 
-    def _lacking(self, now: float, sender: str, stamps: dict[str, list[Any]]) -> list[tuple[str, Message]]:
-        return self.fetch(now, sender, self._newer(stamps))
+    def _fetch_newer(
+        self, now: float, sender: str, stamps: dict[str, list[Any]]
+    ) -> list[tuple[str, Message]]:
+        return self.fetch(now, sender, self._newer_keys(stamps))
 
     def fetch(self, now: float, sender: str, keys: list[str]) -> list[tuple[str, Message]]:
         """Ask that replica for what is not on its way already, and say which versions are here."""
-        keys = [key for key in keys if now - self._fetching.get(key, -1e9) > AGAIN_S]
+        keys = [key for key in keys if now - self._fetching.get(key, -1e9) > REPLICA_TIMEOUT_S]
         if not keys or self.core is None:
             return []
         for key in keys:
             self._fetching[key] = now
         held = {key: self.values[key].stamp for key in keys if key in self.values}
-        return [(sender, {"t": "fetch", "r": self._ref(), "e": self.core.epoch, "k": keys, "h": held})]
+        return [(sender, {"t": "fetch", "r": self._fetch_ref(), "e": self.core.epoch, "k": keys, "h": held})]
 
-    def found(
+    def handle_fetched(
         self, now: float, sender: str, message: Message
     ) -> tuple[dict[str, Value], list[tuple[str, Message]]]:
         """A replica's answer to a fetch, or a piece. Returns the values that are whole here now, which are to
         be held, and the questions for the next chunks."""
-        told = {key: Value.of(wire) for key, wire in message.get("v", {}).items()}
-        came: list[tuple[str, Value | Message | None]] = []
+        values = {key: Value.of(wire) for key, wire in message.get("v", {}).items()}
+        arrived: list[tuple[str, Value | Message | None]] = []
         if message["t"] == "piece":
-            came.append((message["k"], self._arrivals.piece(message)))
+            arrived.append((message["k"], self._arrivals.piece(message)))
         for key, wire in message.get("d", {}).items():
             offer, held = Offer.of(wire), self.values.get(key)
             if held is None or (held.version, held.tie) < offer.stamp:
-                came.append((key, self._arrivals.offered(key, offer, held)))
+                arrived.append((key, self._arrivals.offered(key, offer, held)))
         out: list[tuple[str, Message]] = []
-        for key, got in came:
+        for key, got in arrived:
             if isinstance(got, Value):
-                told[key] = got
+                values[key] = got
             elif got is not None and self.core is not None:
                 self._fetching[key] = now
-                out.append((sender, got | {"r": self._ref(), "e": self.core.epoch}))
-        return told, out
+                out.append((sender, got | {"r": self._fetch_ref(), "e": self.core.epoch}))
+        return values, out
--- a/millfront/control/event_log.py
+++ b/millfront/control/event_log.py
@@ -8,7 +8,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-MOST = 256
+MAX_ENTRIES = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,23 +24,23 @@
 class EventLog:
     """The last entries.
 
-    >>> log = EventLog(most=2)
+    >>> log = EventLog(max_entries=2)
     >>> for number in range(3):
     ...     log.write(number, "register", f"entry {number}", epoch=2)
-    >>> [(page["text"], page["ago"], page["facts"]) for page in log.pages(3.0)]
+    >>> [(page["text"], page["ago"], page["facts"]) for page in log.entries(3.0)]
     [('entry 1', 2.0, {'epoch': 2}), ('entry 2', 1.0, {'epoch': 2})]
-    >>> log.pages(3.0, part="delivery")
+    >>> log.entries(3.0, part="delivery")
     []
     """
 
-    def __init__(self, most: int = MOST) -> None:
-        self._entries: deque[Entry] = deque(maxlen=most)
+    def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
+        self._entries: deque[Entry] = deque(maxlen=max_entries)
 
     def write(self, at: float, part: str, text: str, **facts: Any) -> None:
         """Append an entry; ``at`` in seconds on the steady clock. The oldest goes where the log is full."""
         self._entries.append(Entry(at, part, text, facts))
 
-    def pages(self, now: float, part: str = "") -> list[dict[str, Any]]:
+    def entries(self, now: float, part: str = "") -> list[dict[str, Any]]:
         """The oldest first, each with how many seconds ago it was; of one part, or of all."""
         return [
             asdict(entry) | {"ago": round(now - entry.at, 3)}
--- a/millfront/control/hinted_handoff.py
+++ b/millfront/control/hinted_handoff.py
@@ -13,7 +13,7 @@
 from millfront.membership.record import Liveness, MemberRecord
 from millfront.register.values import Value
 
-YOUNG_S = 5.0  # a process seen for the first time that is older has been running, and lacks nothing
+FRESH_START_S = 5.0  # a process seen for the first time that is older has been running, and lacks nothing
 Stamps = dict[str, list[Any]]
 
 
@@ -22,29 +22,31 @@
     """Of one other process."""
 
     incarnation: int
-    had: Stamps
+    stamps: Stamps
     missing: bool = False
 
 
 class HintedHandoff:
     """The hints for all other processes.
 
-    >>> record, hints = MemberRecord("n", 7, age=60.0), HintedHandoff()
+    >>> record, hints = MemberRecord("n", 7, uptime=60.0), HintedHandoff()
     >>> values = {"config": Value(1, "", "one")}
-    >>> hints.look([record], values)
+    >>> hints.update([record], values)
     {}
-    >>> record.liveness = Liveness.LOST
-    >>> hints.look([record], values), hints.look([record], values | {"config": Value(2, "", "two")})
+    >>> record.liveness = Liveness.UNREACHABLE
+    >>> hints.update([record], values), hints.update([record], values | {"config": Value(2, "", "two")})
     ({}, {})
     >>> record.liveness = Liveness.UP
-    >>> {name: list(lacks) for name, lacks in hints.look([record], {"config": Value(2, "", "two")}).items()}
+    >>> {name: list(lacks) for name, lacks in hints.update([record], {"config": Value(2, "", "two")}).items()}
     {'n': ['config']}
     """
 
     def __init__(self) -> None:
         self._hints: dict[str, Hint] = {}
 
-    def look(self, records: Iterable[MemberRecord], values: dict[str, Value]) -> dict[str, dict[str, Value]]:
+    def update(
+        self, records: Iterable[MemberRecord], values: dict[str, Value]
+    ) -> dict[str, dict[str, Value]]:
         """Who is back, and what each is to be handed; called each tick with all other processes."""
         due: dict[str, dict[str, Value]] = {}
         hints: dict[str, Hint] = {}
@@ -53,17 +55,19 @@
             up = record.liveness is Liveness.UP and not record.leaving
             if hint is None:
                 hint = Hint(
-                    record.incarnation, {} if record.age < YOUNG_S else _stamps(values), record.age < YOUNG_S
+                    record.incarnation,
+                    {} if record.uptime < FRESH_START_S else _stamps(values),
+                    record.uptime < FRESH_START_S,
                 )
             elif record.incarnation != hint.incarnation:
-                hint.incarnation, hint.had, hint.missing = record.incarnation, {}, True
+                hint.incarnation, hint.stamps, hint.missing = record.incarnation, {}, True
             elif not up:
                 hint.missing = True
             if up and hint.missing and record.incarnation >= 0:
-                due[record.name] = {k: v for k, v in values.items() if hint.had.get(k) != v.stamp}
+                due[record.name] = {k: v for k, v in values.items() if hint.stamps.get(k) != v.stamp}
                 hint.missing = False
             if not hint.missing:
-                hint.had = _stamps(values)
+                hint.stamps = _stamps(values)
             hints[record.name] = hint
         self._hints = hints
         return due
--- a/millfront/dataplane/keyed_requests.py
+++ b/millfront/dataplane/keyed_requests.py
@@ -41,7 +41,7 @@
         pending = self.claims.begin(operation, at_work_s, partial(self._decided, request))
         if pending is not None and not request.over:
             request.claim = pending
-            loop, wait = asyncio.get_running_loop(), CLAIM_SHARE * request.route.target
+            loop, wait = asyncio.get_running_loop(), CLAIM_SHARE * request.route.target_time
             loop.call_later(min(WIDEN_S, wait / 2), self.claims.widen, pending)
             loop.call_later(wait, self.claims.expire, pending)
 
--- a/millfront/dataplane/load_balancer.py
+++ b/millfront/dataplane/load_balancer.py
@@ -256,7 +256,7 @@
 
     def misdirected(self, seen: ServerState) -> None:
         """Another server has its address: it is gone, though the list doesn't say so yet."""
-        seen.server.become(Phase.GONE, seen.answered)
+        seen.server.advance(Phase.GONE, seen.answered)
         peers = self.by_service.get(seen.server.service, [])
         if seen in peers:
             peers.remove(seen)
--- a/millfront/dataplane/proxy.py
+++ b/millfront/dataplane/proxy.py
@@ -105,7 +105,7 @@
             if self.load_balancer.cold(now, seen):
                 region = self.load_balancer.zones.get(seen.server.zone, "")
                 where = region if gatekeeper.membership.live(region) else None
-                mine[ident] = gatekeeper.membership.has_duty(f"cold {ident}", where)
+                mine[ident] = gatekeeper.membership.owns(f"cold {ident}", where)
         self.load_balancer.cold_mine = mine
 
     def changed(self) -> None:
@@ -178,14 +178,14 @@
         request.caller = caller
         now = self.now()
         self.open += 1
-        if not self.gatekeeper.server_list.in_time(now):
+        if not self.gatekeeper.server_list.usable(now):
             self.refuse(request, 503, AGAIN_S)
             return None
         if request.tenant is not None:
             if not self.gatekeeper.trusted(now):
                 self.refuse(request, 503, AGAIN_S)
                 return None
-            wait = ADMIT_SHARE * request.route.target
+            wait = ADMIT_SHARE * request.route.target_time
             then = partial(self._decided, request)
             decision = self.gatekeeper.admission.admit(now, request.tenant, wait, then)
             if decision is None:
@@ -222,9 +222,9 @@
             self.go(request)
 
     def _arm(self, route: Route) -> str:
-        if len(route.arms) == 1:
-            return route.arms[0][0]
-        names, weights = zip(*route.arms, strict=True)
+        if len(route.split) == 1:
+            return route.split[0][0]
+        names, weights = zip(*route.split, strict=True)
         return str(self.random.choices(names, weights)[0])
 
     def retry_budget(self, service: str) -> RetryBudget:
@@ -247,7 +247,7 @@
             if not self.gatekeeper.trusted(self.now()):
                 return False
         route = configuration.route_of(request.host, request.path)
-        return route is not None and any(name == request.service for name, _ in route.arms)
+        return route is not None and any(name == request.service for name, _ in route.split)
 
     def evacuated(self, flow: ServerSideFlow) -> bool:
         """Whether the zone of the server that was chosen is evacuated by now."""
@@ -264,7 +264,7 @@
         if route is None or request.revoked:
             self.give_up(request)
             return
-        if all(name != request.service for name, _ in route.arms):
+        if all(name != request.service for name, _ in route.split):
             request.service = self._arm(route)
         service = configuration.services.get(request.service)
         homes, possible = self.homes(request)
@@ -293,14 +293,14 @@
         self.send(request, number, Sending(seen.server.ident))
         if request.progress.repeatable and not request.over and request.timer is None:
             work = self.load_balancer.work.get(request.service, 0.3)
-            after = max(COPY_SHARE * request.route.target, COPY_WORKS * work)
+            after = max(COPY_SHARE * request.route.target_time, COPY_WORKS * work)
             request.timer = asyncio.get_running_loop().call_later(after, self._copy, request)
 
     def homes(self, request: ClientRequest) -> tuple[frozenset[str], bool]:
         """Regions in which it may be served and stored (none named: all), and whether there can be any."""
-        homes = request.route.homes
-        if request.tenant is not None and request.tenant.homes:
-            homes = homes & request.tenant.homes if homes else request.tenant.homes
+        homes = request.route.home_regions
+        if request.tenant is not None and request.tenant.home_regions:
+            homes = homes & request.tenant.home_regions if homes else request.tenant.home_regions
             return homes, bool(homes)
         return homes, True
 
@@ -309,7 +309,7 @@
         if request.progress.out:
             return
         held_us = self.clock.now() - request.came_us
-        if held_us < HOLD_SHARE * request.route.target * 1e6 and not request.revoked:
+        if held_us < HOLD_SHARE * request.route.target_time * 1e6 and not request.revoked:
             if request.timer is not None:
                 request.timer.cancel()
             request.timer = asyncio.get_running_loop().call_later(HOLD_S, self._again, request)
--- a/millfront/dataplane/router.py
+++ b/millfront/dataplane/router.py
@@ -32,7 +32,7 @@
 
         :raises Ended: with `Ending.NOT_SENT`; nothing was written
         """
-        if not self.proxy.gatekeeper.server_list.in_time(self.proxy.now()):
+        if not self.proxy.gatekeeper.server_list.usable(self.proxy.now()):
             raise Ended(Ending.NOT_SENT, "the list of servers is too old")
         if not member.ready:
             raise Ended(Ending.NOT_SENT, f"{member.id} is draining or gone")
--- a/millfront/discovery/platform_client.py
+++ b/millfront/discovery/platform_client.py
@@ -10,21 +10,21 @@
 
 import h11
 
-from millfront.discovery.polling import MOST_READ_S
-from millfront.discovery.server_list import PlatformList, ReadFailure, told_by_platform
+from millfront.discovery.polling import MAX_READ_S
+from millfront.discovery.server_list import PlatformList, ReadFailure, parse_platform_entries
 from millfront.environment import seconds
 
-MOST_PAGES = 40
-MOST_BYTES = 4 * 1024 * 1024
-READ = 64 * 1024
+MAX_PAGES = 40
+MAX_PAGE_BYTES = 4 * 1024 * 1024
+READ_BYTES = 64 * 1024
 OK, TOO_MANY_REQUESTS = 200, 429
 
 
 class PlatformError(Exception):
     """The platform gave no list."""
 
-    def __init__(self, why: str, failure: ReadFailure = ReadFailure.UNREACHABLE) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, failure: ReadFailure = ReadFailure.UNREACHABLE) -> None:
+        super().__init__(reason)
         self.failure = failure
 
 
@@ -32,36 +32,36 @@
     """The platform has had more calls than it takes."""
 
 
-async def listed(address: str) -> PlatformList:
+async def read_list(address: str) -> PlatformList:
     """All entries, page by page.
 
     :raises PlatformError: there is no whole answer in time
     """
     connection = PlatformConnection(address)
     try:
-        return await asyncio.wait_for(_pages(connection), MOST_READ_S)
-    except TooManyCallsError as wrong:
-        raise PlatformError(repr(wrong), ReadFailure.REFUSED) from None
-    except (OSError, ValueError, KeyError, TypeError, AttributeError, h11.ProtocolError) as wrong:
-        raise PlatformError(repr(wrong)) from None
+        return await asyncio.wait_for(_read_pages(connection), MAX_READ_S)
+    except TooManyCallsError as error:
+        raise PlatformError(repr(error), ReadFailure.REFUSED) from None
+    except (OSError, ValueError, KeyError, TypeError, AttributeError, h11.ProtocolError) as error:
+        raise PlatformError(repr(error)) from None
     finally:
         connection.close()
 
 
-async def _pages(connection: "PlatformConnection") -> PlatformList:
+async def _read_pages(connection: "PlatformConnection") -> PlatformList:
     found = PlatformList([], 0)
     token = ""
-    for _ in range(MOST_PAGES):
+    for _ in range(MAX_PAGES):
         page = await connection.get("/instances" + (f"?page_token={token}" if token else ""))
         found.calls += 1
-        found.entries += told_by_platform(page["instances"], seconds)
+        found.entries += parse_platform_entries(page["instances"], seconds)
         token = page.get("next_token") or ""
         if not token:
             return found
     raise ValueError("pages without an end")
 
 
-class ClosedError(Exception):
+class StaleConnectionError(Exception):
     """A connection that had been kept open ended before an answer began."""
 
 
@@ -81,7 +81,7 @@
         """
         try:
             status, body = await self._call(target)
-        except ClosedError:
+        except StaleConnectionError:
             status, body = await self._call(target)
         if status == TOO_MANY_REQUESTS:
             raise TooManyCallsError(f"status {status}")
@@ -99,22 +99,22 @@
             self._streams = None
 
     async def _call(self, target: str) -> tuple[int, bytearray]:
-        """:raises ClosedError: nothing came, on a connection that had been kept; it is closed"""
-        kept = self._keep()
+        """:raises StaleConnectionError: nothing came, on a connection that had been kept; it is closed"""
+        kept = self._reuse()
         reader, writer = self._streams or await self._open()
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
         writer.write((self._client.send(request) or b"") + (self._client.send(h11.EndOfMessage()) or b""))
         try:
-            first = await reader.read(READ)
+            first = await reader.read(READ_BYTES)
         except OSError:
             first = b""
         if not first and kept:
             self.close()
-            raise ClosedError
+            raise StaleConnectionError
         self._client.receive_data(first)
-        return await self._answer(reader)
+        return await self._read_response(reader)
 
-    def _keep(self) -> bool:
+    def _reuse(self) -> bool:
         """Whether the connection there is can take another call; one that can't is closed."""
         if self._streams is None:
             return False
@@ -130,17 +130,17 @@
         self._streams = await asyncio.open_connection(host, int(port))
         return self._streams
 
-    async def _answer(self, reader: asyncio.StreamReader) -> tuple[int, bytearray]:
+    async def _read_response(self, reader: asyncio.StreamReader) -> tuple[int, bytearray]:
         body, status = bytearray(), 0
         while True:
             event = self._client.next_event()
             if event is h11.NEED_DATA:
-                self._client.receive_data(await reader.read(READ))
+                self._client.receive_data(await reader.read(READ_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MOST_BYTES:
+                if len(body) > MAX_PAGE_BYTES:
                     raise ValueError("a page that is too long")
             elif isinstance(event, h11.EndOfMessage):
                 return status, body
--- a/millfront/discovery/polling.py
+++ b/millfront/discovery/polling.py
@@ -10,16 +10,20 @@
 import math
 from dataclasses import dataclass
 
-MOST_INTERVAL_S = 0.8  # between polls where there is time enough
-LEAST_INTERVAL_S = 0.25
-TELL_S = 0.1  # until all have what one has read: its way, and the reading of it
-LOOK_S = 0.25  # between two looks at whether it is this gatekeeper's turn; it asks at the look nearest to it
-TURNS = 2  # gatekeepers that may be lost in turn with the bound kept
-ALONE_S = 1.0  # after a start without word of anybody a gatekeeper asks by itself
-MOST_READ_S = 0.9  # a longer one is given up; what seems longer is of a process that stood still
-REST_S = 0.5  # after a call that failed, of the first in turn
-REACH_S = 0.3  # from the choice of a server until it has the request, on a link that others use, too
-RATE_SHARE = 0.5  # of the platform's bound on calls that takers-over use
+MAX_INTERVAL_S = 0.8  # between polls where there is time enough
+MIN_INTERVAL_S = 0.25
+PUBLISH_S = 0.1  # until all have what one has read: its way, and the reading of it
+CHECK_INTERVAL_S = (
+    0.25  # between two looks at whether it is this gatekeeper's turn; it asks at the look nearest to it
+)
+TOLERATED_LOSSES = 2  # gatekeepers that may be lost in turn with the bound kept
+SOLO_START_S = 1.0  # after a start without word of anybody a gatekeeper asks by itself
+MAX_READ_S = 0.9  # a longer one is given up; what seems longer is of a process that stood still
+RETRY_DELAY_S = 0.5  # after a call that failed, of the first in turn
+REQUEST_TRANSIT_S = (
+    0.3  # from the choice of a server until it has the request, on a link that others use, too
+)
+TAKEOVER_RATE_SHARE = 0.5  # of the platform's bound on calls that takers-over use
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,9 +34,9 @@
     calls: int = 1
 
     @classmethod
-    def of(cls, seconds: float, calls: int) -> "ReadCost":
+    def clamped(cls, seconds: float, calls: int) -> "ReadCost":
         """What was measured, or told, within what a read may take."""
-        return cls(round(min(max(seconds, 0.0), MOST_READ_S), 3), max(calls, 1))
+        return cls(round(min(max(seconds, 0.0), MAX_READ_S), 3), max(calls, 1))
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,44 +46,46 @@
     >>> timing = PollTiming(drain_within=2.5, rate_per_s=50.0)
     >>> timing.interval(ReadCost(0.1)), timing.interval(ReadCost(0.4, 6)), timing.interval(ReadCost(0.6, 6))
     (0.8, 0.375, 0.25)
-    >>> timing.begins(turn=0, cost=ReadCost(0.1)), timing.begins(turn=2, cost=ReadCost(0.1))
+    >>> timing.poll_age(position=0, cost=ReadCost(0.1)), timing.poll_age(position=2, cost=ReadCost(0.1))
     (0.8, 1.7)
-    >>> timing.steps(turn=10, cost=ReadCost(0.1)), timing.steps(turn=10, cost=ReadCost(0.1, 6))
-    (2, 10)
+    >>> [timing.steps_before(position=10, cost=ReadCost(0.1, calls)) for calls in (1, 6)]
+    [2, 10]
     """
 
     drain_within: float = 3.0
     rate_per_s: float = 10.0
 
-    def step(self, cost: ReadCost) -> float:
+    def takeover_step(self, cost: ReadCost) -> float:
         """Between one gatekeeper's turn and the next one's: the first would have told all by then."""
-        return max(cost.seconds + TELL_S + LOOK_S, cost.calls / (RATE_SHARE * self.rate_per_s))
+        return max(
+            cost.seconds + PUBLISH_S + CHECK_INTERVAL_S, cost.calls / (TAKEOVER_RATE_SHARE * self.rate_per_s)
+        )
 
     def interval(self, cost: ReadCost) -> float:
         """From the moment as of which a list is held until it is asked for again."""
-        spent = TURNS * self.step(cost) + cost.seconds + TELL_S + LOOK_S / 2
-        return max(LEAST_INTERVAL_S, min(MOST_INTERVAL_S, round(self.drain_within - spent, 3)))
+        spent = TOLERATED_LOSSES * self.takeover_step(cost) + cost.seconds + PUBLISH_S + CHECK_INTERVAL_S / 2
+        return max(MIN_INTERVAL_S, min(MAX_INTERVAL_S, round(self.drain_within - spent, 3)))
 
-    def steps(self, turn: int, cost: ReadCost) -> int:
+    def steps_before(self, position: int, cost: ReadCost) -> int:
         """After how many steps the gatekeeper of that turn asks: the first two one by one, then as many at a
         time as the platform bears."""
-        if turn <= 1:
-            return turn
-        at_a_time = int(RATE_SHARE * self.rate_per_s * self.step(cost) / cost.calls)
-        return 1 + math.ceil((turn - 1) / max(1, at_a_time))
+        if position <= 1:
+            return position
+        at_a_time = int(TAKEOVER_RATE_SHARE * self.rate_per_s * self.takeover_step(cost) / cost.calls)
+        return 1 + math.ceil((position - 1) / max(1, at_a_time))
 
-    def begins(self, turn: int, cost: ReadCost) -> float:
+    def poll_age(self, position: int, cost: ReadCost) -> float:
         """Age of a list at which the gatekeeper of that turn asks; 0: the first."""
-        return round(self.interval(cost) + self.steps(turn, cost) * self.step(cost), 3)
+        return round(self.interval(cost) + self.steps_before(position, cost) * self.takeover_step(cost), 3)
 
-    def settles(self, turn: int, cost: ReadCost) -> float:
+    def startup_wait(self, position: int, cost: ReadCost) -> float:
         """From when others are heard of until a gatekeeper that has had no list from them asks itself."""
-        return self.steps(turn, cost) * self.step(cost)
+        return self.steps_before(position, cost) * self.takeover_step(cost)
 
-    def valid(self) -> float:
+    def max_age(self) -> float:
         """Age up to which a list, or the word that the platform gives none, is gone by."""
-        return self.drain_within - REACH_S
+        return self.drain_within - REQUEST_TRANSIT_S
 
-    def rest(self, turn: int) -> float:
+    def retry_delay(self, position: int) -> float:
         """After a call that failed: longer for later turns, so that all of them together stay few."""
-        return REST_S * (1 + turn)
+        return RETRY_DELAY_S * (1 + position)
--- a/millfront/discovery/server_list.py
+++ b/millfront/discovery/server_list.py
@@ -14,10 +14,10 @@
 from enum import Enum, IntEnum
 from typing import Any
 
-from millfront.discovery.polling import ALONE_S, LOOK_S, TURNS, PollTiming, ReadCost
+from millfront.discovery.polling import CHECK_INTERVAL_S, SOLO_START_S, TOLERATED_LOSSES, PollTiming, ReadCost
 
-FORGET_S = 30.0
-ENDED_KEPT_S = 600.0  # so long it is remembered that a life has ended
+GONE_RETENTION_S = 30.0
+ENDED_RETENTION_S = 600.0  # so long it is remembered that a life has ended
 NEVER = -1e9
 
 Message = dict[str, Any]
@@ -42,10 +42,10 @@
     capacity: int
     phase: Phase
     cold_until: float
-    since: float
+    first_seen: float
     gone_at: float = 0.0
 
-    def become(self, phase: Phase, now: float) -> None:
+    def advance(self, phase: Phase, now: float) -> None:
         """The one change of phase: forward only."""
         if phase > self.phase:
             self.phase = phase
@@ -55,7 +55,7 @@
 
 Stamp = tuple[int, str]
 NO_LIST: Stamp = (0, "")
-Told = list[Any]  # ident, service, address, zone, capacity, draining, cold seconds left
+ServerEntry = list[Any]  # ident, service, address, zone, capacity, draining, cold seconds left
 
 
 class ReadFailure(Enum):
@@ -69,24 +69,31 @@
 class PlatformList:
     """What the platform gave: all entries, and how many calls that took."""
 
-    entries: list[Told]
+    entries: list[ServerEntry]
     calls: int = 1
 
 
-def told_by_platform(instances: dict[str, Any], seconds: Any) -> list[Told]:
+def parse_platform_entries(instances: dict[str, Any], parse_seconds: Any) -> list[ServerEntry]:
     """Entries of the platform's answer; one that can't be read is left out.
 
-    :param seconds: reads a time
+    :param parse_seconds: reads a time
     """
-    out: list[Told] = []
+    out: list[ServerEntry] = []
     for ident, entry in instances.items():
         try:
-            cold = seconds(entry.get("warm_left") or "0s")
+            cold = parse_seconds(entry.get("warm_left") or "0s")
             draining = int(entry["phase"] != "ready")
-            told = [ident, entry["target"], entry["address"], entry["zone"], int(entry["capacity"]), draining]
+            fields = [
+                ident,
+                entry["target"],
+                entry["address"],
+                entry["zone"],
+                int(entry["capacity"]),
+                draining,
+            ]
         except (KeyError, TypeError, ValueError, AttributeError):
             continue
-        out.append([*told, cold])
+        out.append([*fields, cold])
     return out
 
 
@@ -98,16 +105,18 @@
         :param now: when it started
         """
         self.name, self.timing = name, timing or PollTiming()
-        self.asks_from = now + ALONE_S  # unless others are heard of before
+        self.polls_from = now + SOLO_START_S  # unless others are heard of before
         self.cost = ReadCost()  # of the last whole read here, or as told
         self.servers: dict[str, Server] = {}
-        self.number = 0  # the fence: of the list held
-        self.asker = ""  # who asked the platform for it: two may ask at once, and give it one number
-        self.heard = NEVER  # as of when it is held: the platform was asked for it then, or later
-        self.silent = NEVER  # as of when the platform is known to have given nothing to whose turn it was
-        self.asked = NEVER  # when the call under way began
-        self.asking = False
-        self.rests_until = NEVER
+        self.list_number = 0  # the fence: of the list held
+        self.poller = ""  # who asked the platform for it: two may ask at once, and give it one number
+        self.as_of = NEVER  # as of when it is held: the platform was asked for it then, or later
+        self.unavailable_as_of = (
+            NEVER  # as of when the platform is known to have given nothing to whose turn it was
+        )
+        self.poll_began = NEVER  # when the call under way began
+        self.polling = False
+        self.backoff_until = NEVER
         self.reads = self.reads_failed = 0
         self.version = 0  # rises with each change of what is known of servers
         self._ended: dict[str, float] = {}  # lives that are over and forgotten, and when that was noted
@@ -115,113 +124,115 @@
     @property
     def stamp(self) -> Stamp:
         """Of the list held: its number, and who asked for it. A list with a higher one replaces it."""
-        return self.number, self.asker
+        return self.list_number, self.poller
 
-    def known(self) -> bool:
+    def has_list(self) -> bool:
         """Whether any list has been received yet."""
-        return self.number > 0
+        return self.list_number > 0
 
     def age(self, now: float) -> float:
         """Seconds since the platform was asked for what is held, at most; infinite where nothing is."""
-        return now - self.heard if self.known() else math.inf
+        return now - self.as_of if self.has_list() else math.inf
 
-    def in_time(self, now: float) -> bool:
+    def usable(self, now: float) -> bool:
         """Whether a request may be sent by this list: no server that it calls ready can drain for too long.
 
         While the platform gives nothing no later list could be had, and what is held goes on."""
-        return self.known() and now - max(self.heard, self.silent) <= self.timing.valid()
+        return self.has_list() and now - max(self.as_of, self.unavailable_as_of) <= self.timing.max_age()
 
-    def late(self, now: float) -> bool:
+    def overdue(self, now: float) -> bool:
         """Whether the first two in turn have missed their polls, as far as heard here."""
-        return self.age(now) > self.timing.begins(TURNS, self.cost)
+        return self.age(now) > self.timing.poll_age(TOLERATED_LOSSES, self.cost)
 
-    def others_heard(self, now: float) -> None:
+    def members_known(self, now: float) -> None:
         """Who there is is known: from now on it goes by turns."""
-        self.asks_from = min(self.asks_from, now)
+        self.polls_from = min(self.polls_from, now)
 
-    def due(self, now: float, turn: Callable[[], int]) -> bool:
+    def due(self, now: float, position: Callable[[], int]) -> bool:
         """Whether this process is to ask the platform now.
 
-        :param turn: tells how many are to ask before this one; not called while nobody is due
+        :param position: tells how many are to ask before this one; not called while nobody is due
         """
-        if self.asking or now < self.rests_until:
+        if self.polling or now < self.backoff_until:
             return False
-        if not self.known():
-            waited = now - self.asks_from
-            return waited >= 0.0 and waited >= self.timing.settles(turn(), self.cost)
-        age = self.age(now) + LOOK_S / 2
-        return age >= self.timing.interval(self.cost) and age >= self.timing.begins(turn(), self.cost)
+        if not self.has_list():
+            waited = now - self.polls_from
+            return waited >= 0.0 and waited >= self.timing.startup_wait(position(), self.cost)
+        age = self.age(now) + CHECK_INTERVAL_S / 2
+        return age >= self.timing.interval(self.cost) and age >= self.timing.poll_age(position(), self.cost)
 
-    def begin(self, now: float) -> int:
+    def begin_poll(self, now: float) -> int:
         """A call to the platform begins; returns its number."""
-        self.asking, self.asked = True, now
-        return self.number + 1
+        self.polling, self.poll_began = True, now
+        return self.list_number + 1
 
-    def failed(
-        self, now: float, turn: int = 0, failure: ReadFailure = ReadFailure.UNREACHABLE
+    def poll_failed(
+        self, now: float, position: int = 0, failure: ReadFailure = ReadFailure.UNREACHABLE
     ) -> Message | None:
         """The read gave nothing: this process rests before it asks again.
 
         :return: what the others are to be told; None: it says nothing of the platform, since others used up
             its calls, or it was hardly this one's turn, and the cause may lie here
         """
-        self.asking, self.rests_until = False, now + self.timing.rest(turn)
+        self.polling, self.backoff_until = False, now + self.timing.retry_delay(position)
         self.reads_failed += 1
-        if failure is ReadFailure.REFUSED or turn > TURNS:
+        if failure is ReadFailure.REFUSED or position > TOLERATED_LOSSES:
             return None
-        self.silent = max(self.silent, self.asked)
-        return {"t": "unlisted", "a": round(now - self.asked, 3)}
+        self.unavailable_as_of = max(self.unavailable_as_of, self.poll_began)
+        return {"t": "unlisted", "a": round(now - self.poll_began, 3)}
 
-    def take_silence(self, now: float, message: Message) -> None:
+    def handle_unavailable(self, now: float, message: Message) -> None:
         """Another process's word that the platform gave it nothing."""
-        self.silent = max(self.silent, now - message["a"])
+        self.unavailable_as_of = max(self.unavailable_as_of, now - message["a"])
 
-    def polled(self, now: float, number: int, entries: list[Told], calls: int = 1) -> Message | None:
+    def poll_succeeded(
+        self, now: float, number: int, entries: list[ServerEntry], calls: int = 1
+    ) -> Message | None:
         """The platform's whole answer to the read of that number: what the others are to be told.
 
         :param calls: that it took
         """
-        self.asking = False
+        self.polling = False
         self.reads += 1
-        self.cost = ReadCost.of(now - self.asked, calls)
-        if number <= self.number:
+        self.cost = ReadCost.clamped(now - self.poll_began, calls)
+        if number <= self.list_number:
             return None  # somebody else's came in between
-        before, had = self.stamp, {s.ident: (s.phase, s.cold_until > now) for s in self._listed()}
-        gone = self._replace(now, (number, self.name), entries, self.asked)
+        before, earlier = self.stamp, {s.ident: (s.phase, s.cold_until > now) for s in self._present()}
+        gone = self._replace(now, (number, self.name), entries, self.poll_began)
         changed = []
         for entry in entries:
             server = self.servers.get(entry[0])
             if server is None:
                 continue
-            if had.get(entry[0]) != (server.phase, server.cold_until > now):
+            if earlier.get(entry[0]) != (server.phase, server.cold_until > now):
                 changed.append(entry)
-        told = {"t": "list", "f": number, "w": self.name, "p": before[0], "q": before[1]}
+        message = {"t": "list", "f": number, "w": self.name, "p": before[0], "q": before[1]}
         cost = {"d": self.cost.seconds, "l": self.cost.calls}
-        return told | cost | {"e": changed, "g": gone, "a": round(now - self.asked, 3)}
+        return message | cost | {"e": changed, "g": gone, "a": round(now - self.poll_began, 3)}
 
-    def whole(self, now: float) -> Message:
+    def full_list(self, now: float) -> Message:
         """For one that has missed something; it says how old it is."""
         entries = [
             [s.ident, s.service, s.address, s.zone, s.capacity, int(s.phase), max(0.0, s.cold_until - now)]
-            for s in self._listed()
+            for s in self._present()
         ]
-        age = round(now - self.heard, 3)
-        told = {"t": "list", "f": self.number, "w": self.asker, "p": 0, "q": ""}
+        age = round(now - self.as_of, 3)
+        message = {"t": "list", "f": self.list_number, "w": self.poller, "p": 0, "q": ""}
         cost = {"d": self.cost.seconds, "l": self.cost.calls}
-        return told | cost | {"e": entries, "g": [], "a": age}
+        return message | cost | {"e": entries, "g": [], "a": age}
 
-    def question(self, whole: bool = False) -> Message:
+    def list_request(self, whole: bool = False) -> Message:
         """To another process: its list, if that is newer than this one.
 
         :param whole: in any case; a change could not be applied here
         """
-        return {"t": "list?"} if whole else {"t": "list?", "f": self.number, "w": self.asker}
+        return {"t": "list?"} if whole else {"t": "list?", "f": self.list_number, "w": self.poller}
 
-    def newer_than(self, question: Message) -> bool:
+    def newer_than(self, request: Message) -> bool:
         """Whether there is something to hand over to who asks."""
-        return self.known() and self.stamp > (question.get("f", -1), question.get("w", ""))
+        return self.has_list() and self.stamp > (request.get("f", -1), request.get("w", ""))
 
-    def take(self, now: float, message: Message) -> bool:
+    def handle_list(self, now: float, message: Message) -> bool:
         """What another process was told; False: this one lacks what came before, and asks for the whole."""
         # An earlier version, beside which this one is started, names nobody and tells no age and no cost
         stamp, before = (message["f"], message.get("w", "")), (message["p"], message.get("q", ""))
@@ -230,46 +241,48 @@
             return True
         if before not in (NO_LIST, self.stamp):
             return False
-        self.cost = ReadCost.of(message.get("d", self.cost.seconds), message.get("l", self.cost.calls))
+        self.cost = ReadCost.clamped(message.get("d", self.cost.seconds), message.get("l", self.cost.calls))
         if before != NO_LIST:
             for entry in message["e"]:
-                self._entry(now, entry)
+                self._apply_entry(now, entry)
             for ident in message["g"]:
                 if ident in self.servers:
-                    self._become(self.servers[ident], Phase.GONE, now)
-            self._note(now, stamp, as_of)
+                    self._advance(self.servers[ident], Phase.GONE, now)
+            self._set_stamp(now, stamp, as_of)
         else:
-            self._replace(now, stamp, message["e"], max(as_of, self.heard) if stamp == self.stamp else as_of)
+            self._replace(now, stamp, message["e"], max(as_of, self.as_of) if stamp == self.stamp else as_of)
         return True
 
-    def _listed(self) -> list[Server]:
+    def _present(self) -> list[Server]:
         return [s for s in self.servers.values() if s.phase is not Phase.GONE]
 
-    def _replace(self, now: float, stamp: Stamp, entries: list[Told], as_of: float) -> list[str]:
+    def _replace(self, now: float, stamp: Stamp, entries: list[ServerEntry], as_of: float) -> list[str]:
         """Hold that list in place of the one before; returns the idents of servers that are gone by it."""
         for entry in entries:
-            self._entry(now, entry)
+            self._apply_entry(now, entry)
         named = {entry[0] for entry in entries}
-        gone = [server for server in self._listed() if server.ident not in named]
+        gone = [server for server in self._present() if server.ident not in named]
         for server in gone:
-            self._become(server, Phase.GONE, now)
-        self._note(now, stamp, as_of)
+            self._advance(server, Phase.GONE, now)
+        self._set_stamp(now, stamp, as_of)
         return [server.ident for server in gone]
 
-    def _become(self, server: Server, phase: Phase, now: float) -> None:
+    def _advance(self, server: Server, phase: Phase, now: float) -> None:
         self.version += phase > server.phase
-        server.become(phase, now)
+        server.advance(phase, now)
 
-    def _note(self, now: float, stamp: Stamp, as_of: float) -> None:
-        (self.number, self.asker), self.heard = stamp, as_of
-        for ident in [s.ident for s in self.servers.values() if s.gone_at and now - s.gone_at > FORGET_S]:
+    def _set_stamp(self, now: float, stamp: Stamp, as_of: float) -> None:
+        (self.list_number, self.poller), self.as_of = stamp, as_of
+        for ident in [
+            s.ident for s in self.servers.values() if s.gone_at and now - s.gone_at > GONE_RETENTION_S
+        ]:
             del self.servers[ident]
             self._ended[ident] = now
             self.version += 1
-        while self._ended and now - self._ended[first := next(iter(self._ended))] > ENDED_KEPT_S:
+        while self._ended and now - self._ended[first := next(iter(self._ended))] > ENDED_RETENTION_S:
             del self._ended[first]
 
-    def _entry(self, now: float, entry: Told) -> None:
+    def _apply_entry(self, now: float, entry: ServerEntry) -> None:
         ident, service, address, zone, capacity, draining, cold = entry
         server = self.servers.get(ident)
         if ident in self._ended:
@@ -280,5 +293,5 @@
             self.version += 1
         elif server.phase is Phase.GONE and not draining:
             return  # an old list: this life has ended
-        self._become(server, Phase(min(int(draining), 1)), now)
+        self._advance(server, Phase(min(int(draining), 1)), now)
         server.cold_until = now + cold if cold > 0 else min(server.cold_until, now)
--- a/millfront/gatekeeper/api.py
+++ b/millfront/gatekeeper/api.py
@@ -109,7 +109,7 @@
             call.answer(200, json.dumps(status.of(gatekeeper, now)))
         elif path == "/v1/gatekeeper/events" and "ctl" in self.serves and method == "GET":
             part = parse_qs(query).get("part", [""])[0]
-            call.answer(200, json.dumps({"pages": gatekeeper.event_log.pages(now, part)}))
+            call.answer(200, json.dumps({"pages": gatekeeper.event_log.entries(now, part)}))
         elif path == "/v1/gatekeeper/tenants" and "ctl" in self.serves and method == "GET":
             call.answer(200, json.dumps(status.tenants(gatekeeper)))
         elif path == "/v1/register" and "ctl" in self.serves and method == "GET":
--- a/millfront/gatekeeper/directory.py
+++ b/millfront/gatekeeper/directory.py
@@ -31,7 +31,7 @@
         """
         near, all_ = [], []
         for record in self.membership.live():
-            own = record is self.membership.me
+            own = record is self.membership.own_record
             if not (ready if own else self._serves_clients(now, record)):
                 continue
             if record.identity is None or not record.identity["plain"]:
@@ -48,13 +48,13 @@
         """Whether clients may be sent to another gatekeeper, by its newest record here."""
         if not record.ready or record.liveness is not Liveness.UP:
             return False
-        if now - record.written > self.settings.bounds.contact + NAMED_S:
+        if now - record.written_at > self.settings.bounds.contact + NAMED_S:
             return False
         near = (record.identity or {}).get("region") == self.settings.region
-        return not near or self.membership.silent(now, record) < FRESH_S
+        return not near or self.membership.ticks_overdue(now, record) < FRESH_S
 
     def _named(self, now: float, record: MemberRecord) -> None:
-        age = now - record.written
+        age = now - record.written_at
         self.oldest_s = max(self.oldest_s, age)
         bound = self.settings.bounds.contact + NAMED_SLACK_S
         detail = f"{record.name} is named {age:.1f} s after its record"
--- a/millfront/gatekeeper/metrics.py
+++ b/millfront/gatekeeper/metrics.py
@@ -54,7 +54,7 @@
 
 def _discovery(gatekeeper: Gatekeeper, now: float) -> Iterator[tuple[str, float]]:
     server_list = gatekeeper.server_list
-    if server_list.known():
+    if server_list.has_list():
         yield "server_list_age_seconds", round(server_list.age(now), 3)
     yield "server_list_oldest_seconds", round(gatekeeper.discovery.oldest_s, 3)
     yield "platform_reads_total", float(server_list.reads)
--- a/millfront/gatekeeper/node.py
+++ b/millfront/gatekeeper/node.py
@@ -14,7 +14,7 @@
 
 from millfront.control import configuration as configurations
 from millfront.control.admin import EVACUATION, AdminOperations
-from millfront.control.delivery import FETCHED, LEASE_SHARE, Subscriber
+from millfront.control.delivery import FETCH_REF_PREFIX, LEASE_SHARE, Subscriber
 from millfront.control.event_log import EventLog
 from millfront.control.hinted_handoff import HintedHandoff
 from millfront.dataplane.admission import Admission
@@ -28,7 +28,7 @@
 from millfront.gatekeeper.server_discovery import KINDS as DISCOVERY_KINDS
 from millfront.gatekeeper.server_discovery import ServerDiscovery
 from millfront.invariants import Invariant, Invariants
-from millfront.membership.gossip import Membership, holders
+from millfront.membership.gossip import Membership, owners
 from millfront.membership.record import Liveness
 from millfront.operations.messages import PREFIX as OPERATION
 from millfront.register.coordinator import Coordinator
@@ -111,7 +111,7 @@
         self.operations = Operations(self, rows, life)
         self.reconfiguration = Reconfiguration(self)
         if self.replica is not None and self.replica.votes:
-            self._hold(dict(self.replica.values))
+            self._adopt(dict(self.replica.values))
 
     def _posts(self, seeds: Iterable[str]) -> list[str]:
         """Where the system's own processes on those machines are reached: all have the same ports."""
@@ -149,10 +149,10 @@
         """What it takes to be ready and is not there, in the order in which a start gets to it."""
         checks = (
             (self.configuration is not None, "a configuration"),
-            (self.server_list.known(), "a list of servers"),
-            (self.server_list.in_time(now), "a list of servers that is in time"),
+            (self.server_list.has_list(), "a list of servers"),
+            (self.server_list.usable(now), "a list of servers that is in time"),
             (self.trusted(now), "a lease"),
-            (not self.membership.me.leaving, "to stay: it leaves"),
+            (not self.membership.own_record.leaving, "to stay: it leaves"),
         )
         return [name for well, name in checks if not well]
 
@@ -160,9 +160,9 @@
         """Whether this process may serve clients: `lacks` names nothing."""
         return not self.lacks(now)
 
-    def _hold(self, found: dict[str, Value]) -> None:
+    def _adopt(self, found: dict[str, Value]) -> None:
         """The one way in for values: what is newer is in force from here on, and nothing goes back."""
-        changed = self.subscriber.hold({k: value for k, value in found.items() if not inner(k)})
+        changed = self.subscriber.adopt({k: value for k, value in found.items() if not inner(k)})
         for key in changed:
             value = self.subscriber.values[key]
             if key == CONFIG:
@@ -199,10 +199,10 @@
 
     def _stand(self, now: float) -> None:
         """Ready, a whole copy or not: members, who send clients or change the core, learn it at once."""
-        me = self.membership.me
+        me = self.membership.own_record
         ready, keeps = self.ready(now), self.reconfiguration.keeps()
-        if (ready, keeps) != (me.ready, me.keeps) and self.membership.ticks:
-            me.ready, me.keeps = ready, keeps
+        if (ready, keeps) != (me.ready, me.has_full_copy) and self.membership.ticks:
+            me.ready, me.has_full_copy = ready, keeps
             self.flush(now)
 
     # ---- time ------------------------------------------------------------------------------------
@@ -216,7 +216,7 @@
         self.beats += 1
         if self.beats % TICK_BEATS == 1:
             self._tick(now)
-        self.beat_rounds(now)
+        self.tick_rounds(now)
         self.reconfiguration.beat(now)
         self.quotas.beat(now)
         self.operations.beat(now)
@@ -238,8 +238,8 @@
 
     def flush(self, now: float) -> None:
         """This process's record has changed in what others act on at once."""
-        me = self.membership.me
-        me.totals, me.age = self.admission.totals(), now - self.membership.born
+        me = self.membership.own_record
+        me.totals, me.uptime = self.admission.totals(), now - self.membership.started_at
         # Of few tenants all are named: that one has not moved lowers what it is taken to send
         moved = self.admission.moved(now, FLUSHED_S) if len(me.totals) > WHOLE else None
         for address, message in self.membership.flush(moved):
@@ -261,7 +261,7 @@
         identity = record.identity if record is not None else None
         if record is None or identity is None:
             return Distance(lost=False, far=True, other_zone=True, other_process=True)
-        lost = record.liveness is Liveness.LOST or record.leaving
+        lost = record.liveness is Liveness.UNREACHABLE or record.leaving
         far = identity["region"] != self.settings.region
         return Distance(lost, far, identity["zone"] != self.settings.zone, other_process=True)
 
@@ -269,14 +269,14 @@
         if self.to:
             self.note("delivery", f"news {self.pushed} was had by {len(self.had)} of {self.to}")
             self.to = 0
-        me = self.membership.me
+        me = self.membership.own_record
         me.ready, me.totals = self.ready(now), self.admission.totals()
-        me.version = self.configuration.version if self.configuration is not None else 0
+        me.config_version = self.configuration.version if self.configuration is not None else 0
         sparse = len(me.totals) > WHOLE and self.membership.ticks > 3 and self.membership.ticks % WHOLE_TICKS
         moved = self.admission.moved(now, MOVED_S) if sparse else None
         for address, message in self.membership.tick(now, moved):
             self.io.datagram(address, message)
-        self.admission.tick(now, *self.membership.may_run(now, self._gone_after()))
+        self.admission.tick(now, *self.membership.possibly_running(now, self._gone_after()))
         self.quotas.tick(now)
         self.reconfiguration.tick(now)
         self._hand_over()
@@ -286,7 +286,7 @@
         """Who is heard of again gets what it has missed, from one of its region by duty, one without
         a disk, where there is one, so that the core is asked last."""
         known = [record for record in self.membership.others() if record.identity is not None]
-        for name, values in self.hinted_handoff.look(known, self.subscriber.values).items():
+        for name, values in self.hinted_handoff.update(known, self.subscriber.values).items():
             still = self.membership.records[name].identity
             assert still is not None
             others = [
@@ -297,11 +297,11 @@
             near = [record for record in others if record.identity["region"] == still["region"]]  # type: ignore[index]
             plain = [record for record in near if not record.identity["core"]]  # type: ignore[index]
             names = [record.name for record in plain or near or others]
-            if not values or holders(f"rest {name}", names) != [self.name]:
+            if not values or owners(f"rest {name}", names) != [self.name]:
                 continue
-            self.io.line(still["post"], self.subscriber.rest(values))
-            if self.server_list.known():
-                self.io.line(still["post"], self.server_list.whole(self.now))
+            self.io.line(still["post"], self.subscriber.handoff(values))
+            if self.server_list.has_list():
+                self.io.line(still["post"], self.server_list.full_list(self.now))
 
     def _note_others(self, now: float) -> None:
         """For the event log alone: who is heard of, and whose the list is."""
@@ -309,7 +309,7 @@
         for name, word in configurations.items():
             before = self._standing.get(name, "new")
             if word != before and "suspect" not in (word, before):
-                heard = round(now - self.membership.records[name].written, 2)
+                heard = round(now - self.membership.records[name].written_at, 2)
                 self.event_log.write(now, "membership", f"{name} is {word}", before=before, heard_ago=heard)
         kept = {name: word for name, word in self._standing.items() if configurations.get(name) == "suspect"}
         self._standing = configurations | kept
@@ -359,7 +359,7 @@
             else:
                 self._answer(now, to, message)
         if well and replica.votes:
-            self._hold(dict(replica.values))
+            self._adopt(dict(replica.values))
             if any(not inner(key) for key in persist.values):
                 self._push()
 
@@ -379,10 +379,10 @@
             case str() as kind if kind.startswith(OPERATION):
                 self.operations.message(via, message)
             case "fetch" | "piece?" if message["r"] == REST:
-                self.io.back(via, self.subscriber.handed(message) | {"r": REST})
+                self.io.back(via, self.subscriber.answer_handoff(message) | {"r": REST})
             case "found" | "piece" if message["r"] == REST:
-                values, further = self.subscriber.found(now, "", message)
-                self._hold(values)
+                values, further = self.subscriber.handle_fetched(now, "", message)
+                self._adopt(values)
                 self._ask_neighbour(via, further)
             case "store" | "fetch" | "piece?" | "ask" | "found?" | "recover" | "promise?" | "accept?":
                 self._keep(now, via, message)
@@ -392,8 +392,8 @@
                 self.discovery.message(now, via, message)
                 self._stand(now)
             case "rest":
-                self._hold({key: Value.of(value) for key, value in message["v"].items()})
-                self._ask_neighbour(via, self.subscriber.lacking(now, message))
+                self._adopt({key: Value.of(value) for key, value in message["v"].items()})
+                self._ask_neighbour(via, self.subscriber.fetch_handoff(now, message))
             case _:
                 self._reply(now, message)
 
@@ -405,10 +405,10 @@
             self.reconfiguration.agreed(now, sender, message["r"])
         elif kind == "found" and message["r"].startswith(("lives ", "heir ")):
             self.reconfiguration.recovery.take(now, sender, message)
-        elif kind in ("found", "piece") and str(message["r"]).startswith(FETCHED):
-            if self.subscriber.asked(sender, message):
-                values, further = self.subscriber.found(now, sender, message)
-                self._hold(values)
+        elif kind in ("found", "piece") and str(message["r"]).startswith(FETCH_REF_PREFIX):
+            if self.subscriber.is_own_fetch(sender, message):
+                values, further = self.subscriber.handle_fetched(now, sender, message)
+                self._adopt(values)
                 self._ask_replicas(now, further)
         elif kind in ("found", "stored", "promised", "accepted") or self.coordinator.round_of(
             message.get("r")
@@ -416,7 +416,7 @@
             if (round := self.coordinator.take(now, sender, message)) is not None:
                 self._drive(now, round)
         else:
-            self._ask_replicas(now, self.subscriber.take(now, sender, message))
+            self._ask_replicas(now, self.subscriber.handle_answer(now, sender, message))
 
     def _ask_neighbour(self, via: Any, asked: list[tuple[str, Message]]) -> None:
         for _, out in asked:
@@ -440,7 +440,7 @@
     def _hear_of_core(self, wire: Any) -> None:
         core = Value.of(wire)
         if core.version >= FOUNDED:
-            self._hold({CORE: core})
+            self._adopt({CORE: core})
 
     def datagram(self, now: float, back: str, message: Message) -> None:
         """Something came from another process, whose address is `back`."""
@@ -456,13 +456,13 @@
         if kind in QUOTA_KINDS:
             self.quotas.message(back, message)
             return
-        received = self.membership.take(now, back, message, self._held_up(now))
+        received = self.membership.handle_message(now, back, message, self._held_up(now))
         for address, answer in received.out:
             self.io.datagram(address, answer)
-        if received.taken:
+        if received.newer:
             self.discovery.others_heard(now)
-        for told in received.taken:
-            self.admission.heard(now, told.name, told.incarnation, told.age, told.totals)
+        for told in received.newer:
+            self.admission.heard(now, told.name, told.incarnation, told.uptime, told.totals)
 
     def _held_up(self, now: float) -> float:
         """Seconds that what is read now may have waited here: this process did nothing since its last beat,
--- a/millfront/gatekeeper/operations.py
+++ b/millfront/gatekeeper/operations.py
@@ -75,7 +75,7 @@
     def reachable(self, name: str) -> bool:
         """Whether a member can be expected to answer."""
         record = self.gatekeeper.membership.records.get(name)
-        return name == self.name or (record is not None and record.liveness is not Liveness.LOST)
+        return name == self.name or (record is not None and record.liveness is not Liveness.UNREACHABLE)
 
     def send(self, name: str, message: Message) -> None:
         """To the replica of a member, which may be this process's own; it may be lost."""
--- a/millfront/gatekeeper/process.py
+++ b/millfront/gatekeeper/process.py
@@ -16,7 +16,7 @@
 
 from millfront.control.configuration import Configuration, ConfigurationError, checked
 from millfront.dataplane.proxy import Proxy
-from millfront.discovery.platform_client import PlatformError, listed
+from millfront.discovery.platform_client import PlatformError, read_list
 from millfront.discovery.server_list import PlatformList, ReadFailure
 from millfront.environment import VARIABLE, Settings, load
 from millfront.gatekeeper import api
@@ -159,7 +159,7 @@
     async def _poll(self, number: int) -> None:
         found: PlatformList | ReadFailure = ReadFailure.UNREACHABLE
         try:
-            found = await listed(self.settings.cloud)
+            found = await read_list(self.settings.cloud)
         except PlatformError as fault:
             found = fault.failure
             logger.info("discovery: the platform's list can't be had: {}", fault)
--- a/millfront/gatekeeper/quota_grants.py
+++ b/millfront/gatekeeper/quota_grants.py
@@ -91,7 +91,9 @@
         names = [
             name
             for name in core.all
-            if name == gatekeeper.name or name not in records or records[name].liveness is not Liveness.LOST
+            if name == gatekeeper.name
+            or name not in records
+            or records[name].liveness is not Liveness.UNREACHABLE
         ]
         names.sort(key=lambda name: (gatekeeper.distance(name), weight(gatekeeper.name, name)))
         return [Owner(name, gatekeeper.distance(name).far) for name in names]
--- a/millfront/gatekeeper/server_discovery.py
+++ b/millfront/gatekeeper/server_discovery.py
@@ -43,17 +43,17 @@
     def beat(self, now: float) -> None:
         """Ask the platform at this one's turn; a list that is late here may be had from others."""
         if self.server_list.due(now, self.turn):
-            self.gatekeeper.io.poll(self.server_list.begin(now))
-        elif self.server_list.late(now):
+            self.gatekeeper.io.poll(self.server_list.begin_poll(now))
+        elif self.server_list.overdue(now):
             self._ask_another()
         if now - self.started > self.gatekeeper.settings.bounds.drain_within:
             self._note_age(now)
 
     def others_heard(self, now: float) -> None:
         """There is word of other gatekeepers: who has no list yet need not wait for its next beat."""
-        if self.server_list.known():
+        if self.server_list.has_list():
             return
-        self.server_list.others_heard(now)
+        self.server_list.members_known(now)
         if now - self._asked_another >= ASK_AGAIN_S:
             self._ask_another()
 
@@ -63,23 +63,23 @@
         serving = [
             record
             for record in membership.live()
-            if record is not membership.me and record.ready and record.liveness is Liveness.UP
+            if record is not membership.own_record and record.ready and record.liveness is Liveness.UP
         ]
         with_disk = [record for record in serving if record.identity and record.identity["core"]]
         if serving:
             self._asked_another = self.gatekeeper.now
             asked = membership.random.choice(with_disk or serving)
-            self.gatekeeper.io.line(asked.identity["post"], self.server_list.question())  # type: ignore[index]
+            self.gatekeeper.io.line(asked.identity["post"], self.server_list.list_request())  # type: ignore[index]
 
     def _note_age(self, now: float) -> None:
         """In the log, once each time that the list is too old to send by, or in time again."""
         held = self.server_list
-        if held.known():
+        if held.has_list():
             self.oldest_s = max(self.oldest_s, held.age(now))
-        if (too_old := not held.in_time(now)) is not self._too_old:
+        if (too_old := not held.usable(now)) is not self._too_old:
             self._too_old = too_old
             text = f"the list of servers is {'too old' if too_old else 'in time again'}"
-            facts = {"asker": held.asker, "number": held.number, "turn": self.turn()}
+            facts = {"asker": held.poller, "number": held.list_number, "turn": self.turn()}
             self.gatekeeper.note("discovery", text, **facts)
 
     def note_turn(self, now: float) -> None:
@@ -87,14 +87,14 @@
         if (first := self.turn() == 0) is not self._first:
             self._first = first
             text = f"the list of servers is {'this one' if first else 'another'}'s duty"
-            self.gatekeeper.event_log.write(now, "discovery", text, fence=self.server_list.number)
+            self.gatekeeper.event_log.write(now, "discovery", text, fence=self.server_list.list_number)
 
     def polled(self, now: float, number: int, found: PlatformList | ReadFailure) -> None:
         """The platform's answer to the read of that number, or why there is none."""
         if isinstance(found, ReadFailure):
-            news = self.server_list.failed(now, self.turn(), found)
+            news = self.server_list.poll_failed(now, self.turn(), found)
         else:
-            news = self.server_list.polled(now, number, found.entries, found.calls)
+            news = self.server_list.poll_succeeded(now, number, found.entries, found.calls)
         self._tell_of_changes()
         if news is not None:
             self._tell_others(news)
@@ -102,20 +102,20 @@
     def _tell_others(self, news: Message) -> None:
         membership = self.gatekeeper.membership
         for record in membership.live():
-            if record is not membership.me and record.identity is not None:
+            if record is not membership.own_record and record.identity is not None:
                 self.gatekeeper.io.line(record.identity["post"], news)
 
     def message(self, now: float, via: Any, message: Message) -> None:
         """A message of `KINDS` on a held connection; answers go back on it."""
         match message["t"]:
             case kind if kind == UNLISTED:
-                self.server_list.take_silence(now, message)
+                self.server_list.handle_unavailable(now, message)
             case kind if kind == QUESTION:
                 if self.server_list.newer_than(message):
-                    self.gatekeeper.io.back(via, self.server_list.whole(now))
+                    self.gatekeeper.io.back(via, self.server_list.full_list(now))
             case _:
-                if not self.server_list.take(now, message):
-                    self.gatekeeper.io.back(via, self.server_list.question(whole=True))
+                if not self.server_list.handle_list(now, message):
+                    self.gatekeeper.io.back(via, self.server_list.list_request(whole=True))
                 self._tell_of_changes()
 
     def _tell_of_changes(self) -> None:
--- a/millfront/gatekeeper/status.py
+++ b/millfront/gatekeeper/status.py
@@ -33,7 +33,7 @@
                 "keys": sorted(round.values),
                 "had_by": sorted(round.answered),
             }
-            for round, _ in gatekeeper.waiting.values()
+            for round, _ in gatekeeper.open_rounds.values()
         ],
         "news": {"number": gatekeeper.pushed, "pushed_to": gatekeeper.to, "had_by": len(gatekeeper.had)},
         "duties": _duties(gatekeeper),
@@ -85,7 +85,7 @@
     first, core = gatekeeper.discovery.holder(), gatekeeper.subscriber.core
     replica, epoch = (gatekeeper.reconfiguration.holder(core), core.epoch) if core is not None else ("", 0)
     return {
-        "list": {"holder": first, "fence": gatekeeper.server_list.number},
+        "list": {"holder": first, "fence": gatekeeper.server_list.list_number},
         "core": {"holder": replica, "fence": epoch},
     }
 
@@ -100,7 +100,7 @@
 
 
 def _roster(gatekeeper: Gatekeeper, now: float, version: int) -> list[dict[str, Any]]:
-    me = gatekeeper.membership.me
+    me = gatekeeper.membership.own_record
     return [
         {
             "name": record.name,
@@ -110,8 +110,8 @@
             "liveness": record.liveness.value,
             "ready": gatekeeper.ready(now) if record is me else record.ready,
             "leaving": record.leaving,
-            "version": f"{version if record is me else record.version:08x}",
-            "heard_ago": 0.0 if record is me else round(now - record.written, 2),
+            "version": f"{version if record is me else record.config_version:08x}",
+            "heard_ago": 0.0 if record is me else round(now - record.written_at, 2),
         }
         for record in sorted(gatekeeper.membership.records.values(), key=lambda record: record.name)
     ]
--- a/millfront/membership/record.py
+++ b/millfront/membership/record.py
@@ -2,7 +2,7 @@
 
 A record is told first by its own process and then passed on by others, minutes later where somebody asks for
 the whole roster. So a record that is passed on says how long ago it was written, as far as the teller knows
-(`ToldRecord.silence`), and who takes it dates it by that and never by its arrival. Each hop leaves out its
+(`WireRecord.staleness`), and who takes it dates it by that and never by its arrival. Each hop leaves out its
 way on the wire, so a date is at most that much too late, and never too early.
 """
 
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-READY, LEAVING, PART, KEEPS = 1, 2, 4, 8  # flags of a record
+READY, LEAVING, PARTIAL, FULL_COPY = 1, 2, 4, 8  # flags of a record
 Totals = dict[str, list[float]]
 Message = dict[str, Any]
 
@@ -20,37 +20,37 @@
 
     UP = "up"
     SUSPECT = "suspect"
-    LOST = "lost"
+    UNREACHABLE = "lost"
 
 
-class ToldRecord(NamedTuple):
+class WireRecord(NamedTuple):
     """A record as it came over the wire; a tuple, since thousands come each second.
 
-    >>> told = ToldRecord.of(["n", 7, 3, READY, 2.5, {}, 12, 1.25])
-    >>> told.stamp, told.ready, told.leaving, told.silence
+    >>> told = WireRecord.from_wire(["n", 7, 3, READY, 2.5, {}, 12, 1.25])
+    >>> told.stamp, told.ready, told.leaving, told.staleness
     ((7, 3), True, False, 1.25)
-    >>> ToldRecord.of(["n", 7, 3, READY, 2.5, {}, 12]).silence
+    >>> WireRecord.from_wire(["n", 7, 3, READY, 2.5, {}, 12]).staleness
     0.0
     """
 
     name: str
     incarnation: int
-    number: int
+    sequence: int
     flags: int
-    age: float  # seconds that its process had run when it was written
+    uptime: float  # seconds that its process had run when it was written
     totals: Totals
-    version: int = 0
-    silence: float = 0.0  # seconds since it was written, at the least
+    config_version: int = 0
+    staleness: float = 0.0  # seconds since it was written, at the least
 
     @classmethod
-    def of(cls, wire: list[Any]) -> "ToldRecord":
+    def from_wire(cls, wire: list[Any]) -> "WireRecord":
         """Read a record; what a later version adds behind is left out."""
         return cls(*wire[:RECORD_FIELDS])
 
     @property
     def stamp(self) -> tuple[int, int]:
         """(incarnation, number): of two records of one process the higher is the newer."""
-        return self.incarnation, self.number
+        return self.incarnation, self.sequence
 
     @property
     def ready(self) -> bool:
@@ -63,17 +63,17 @@
         return bool(self.flags & LEAVING)
 
     @property
-    def keeps(self) -> bool:
+    def has_full_copy(self) -> bool:
         """Its process's replica votes and has caught up."""
-        return bool(self.flags & KEEPS)
+        return bool(self.flags & FULL_COPY)
 
     @property
-    def part(self) -> bool:
+    def partial(self) -> bool:
         """Its totals are not all there are."""
-        return bool(self.flags & PART)
+        return bool(self.flags & PARTIAL)
 
 
-RECORD_FIELDS = len(ToldRecord._fields)
+RECORD_FIELDS = len(WireRecord._fields)
 
 
 @dataclass(slots=True)
@@ -82,50 +82,58 @@
 
     name: str
     incarnation: int
-    number: int = 0
+    sequence: int = 0
     ready: bool = False
     leaving: bool = False
-    keeps: bool = False  # its replica votes and has caught up
-    version: int = 0  # of the configuration in force there
+    has_full_copy: bool = False  # its replica votes and has caught up
+    config_version: int = 0  # of the configuration in force there
     totals: Totals = field(default_factory=dict)
-    age: float = 0.0  # seconds that its process had run when it was written
+    uptime: float = 0.0  # seconds that its process had run when it was written
     identity: Message | None = None  # what never changes: post, zone, region, plain, core
-    written: float = 0.0  # on the clock here, as late as it can have been
+    written_at: float = 0.0  # on the clock here, as late as it can have been
     liveness: Liveness = Liveness.UP
-    told: int = -1  # number when last passed on by us
-    part: bool = False  # not all of its totals were heard in this life
+    forwarded: int = -1  # number when last passed on by us
+    partial: bool = False  # not all of its totals were heard in this life
 
     @property
     def stamp(self) -> tuple[int, int]:
         """(incarnation, number): of two records of one process the higher is the newer."""
-        return self.incarnation, self.number
+        return self.incarnation, self.sequence
 
-    def take(self, told: ToldRecord, written: float) -> None:
+    def update(self, received: WireRecord, written_at: float) -> None:
         """Be brought up to a newer record, which was written at that time at the latest."""
-        if told.incarnation != self.incarnation:
-            self.told, self.part, self.totals = -1, True, {}
-        self.incarnation, self.number, self.age = told.incarnation, told.number, told.age
-        self.ready, self.leaving, self.keeps = told.ready, told.leaving, told.keeps
-        self.part = self.part and told.part
-        self.totals = self.totals | told.totals if told.part else told.totals
-        self.version = told.version
-        self.written = written
-
-    def wire(self, silence: float = 0.0, moved: Totals | None = None) -> list[Any]:
+        if received.incarnation != self.incarnation:
+            self.forwarded, self.partial, self.totals = -1, True, {}
+        self.incarnation, self.sequence, self.uptime = (
+            received.incarnation,
+            received.sequence,
+            received.uptime,
+        )
+        self.ready, self.leaving, self.has_full_copy = (
+            received.ready,
+            received.leaving,
+            received.has_full_copy,
+        )
+        self.partial = self.partial and received.partial
+        self.totals = self.totals | received.totals if received.partial else received.totals
+        self.config_version = received.config_version
+        self.written_at = written_at
+
+    def to_wire(self, staleness: float = 0.0, changed: Totals | None = None) -> list[Any]:
         """The record as it is told.
 
-        :param silence: seconds since it was written; 0: this process's own
-        :param moved: of its totals these alone
+        :param staleness: seconds since it was written; 0: this process's own
+        :param changed: of its totals these alone
         """
-        flags = READY * self.ready | LEAVING * self.leaving | PART * (self.part or moved is not None)
-        flags |= KEEPS * self.keeps
-        totals, age = self.totals if moved is None else moved, round(self.age, 3)
-        wire = [self.name, self.incarnation, self.number, flags, age, totals, self.version]
-        return [*wire, round(silence, 3)] if silence else wire
+        flags = READY * self.ready | LEAVING * self.leaving | PARTIAL * (self.partial or changed is not None)
+        flags |= FULL_COPY * self.has_full_copy
+        totals, age = self.totals if changed is None else changed, round(self.uptime, 3)
+        wire = [self.name, self.incarnation, self.sequence, flags, age, totals, self.config_version]
+        return [*wire, round(staleness, 3)] if staleness else wire
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class UnreachableMark:
     """A member was judged lost: its (incarnation, number) then, and when that was."""
 
     stamp: tuple[int, int]
--- a/millfront/operations/claims.py
+++ b/millfront/operations/claims.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from millfront.invariants import Invariant, Invariants
-from millfront.membership.gossip import holders
+from millfront.membership.gossip import owners
 from millfront.operations.messages import (
     Claim,
     Claimed,
@@ -235,7 +235,7 @@
             for name in (core.all if core is not None else ())
             if self.peers.reachable(name) and (not regions or self.peers.region_of(name) in regions)
         ]
-        return holders(operation, names, COPIES)
+        return owners(operation, names, COPIES)
 
     def finished(self, sender: str, finished: Finished) -> None:
         """A replica has synced how an operation ended."""
--- a/millfront/register/reconfiguration.py
+++ b/millfront/register/reconfiguration.py
@@ -21,7 +21,7 @@
 
 from millfront.control.delivery import Subscriber
 from millfront.environment import Settings
-from millfront.membership.gossip import SUSPECT_TICKS, TICK_S, Membership, holders
+from millfront.membership.gossip import SUSPECT_TICKS, TICK_S, Membership, owners
 from millfront.membership.record import Liveness
 from millfront.register.coordinator import Coordinator, Phase, Round
 from millfront.register.placement import Choice, Seat, chosen, fewest
@@ -225,9 +225,9 @@
         ballot = promised is not None and promised.version // BALLOTS == core.epoch
         if core.old or ballot or self.change is not Change.NONE or self._can_shrink(core):
             return True
-        me = self.gatekeeper.membership.me
+        me = self.gatekeeper.membership.own_record
         stay = [record for record in self.gatekeeper.membership.live() if record is not me]
-        sound = [r for r in stay if r.name in core.members and r.keeps and r.liveness is Liveness.UP]
+        sound = [r for r in stay if r.name in core.members and r.has_full_copy and r.liveness is Liveness.UP]
         if len(sound) < write_quorum(len(core.members)):
             return True
         return any(r.identity is not None and r.identity["core"] and r.name not in core.members for r in stay)
@@ -269,7 +269,7 @@
 
     def _look(self, now: float, core: Core) -> None:
         """Who with a disk is heard of since when and stays, and which members are not, or have left."""
-        records, me = self.gatekeeper.membership.records, self.gatekeeper.membership.me
+        records, me = self.gatekeeper.membership.records, self.gatekeeper.membership.own_record
         stay = {
             record.name
             for record in self.gatekeeper.membership.live()
@@ -280,24 +280,24 @@
         self._missed = {
             name: self._missed.get(name, now)
             for name in core.members
-            if name not in stay and (name not in records or records[name].liveness is Liveness.LOST)
+            if name not in stay and (name not in records or records[name].liveness is Liveness.UNREACHABLE)
         }
         ending = {name for name in core.members if name in records and records[name].leaving}
         self._left = (self._left | ending) & (core.members.keys() - stay)
 
     def _seats(self, now: float, core: Core) -> dict[str, Seat]:
         """How the members stand, as far as this process knows."""
-        others, me = self.gatekeeper.membership, self.gatekeeper.membership.me
+        others, me = self.gatekeeper.membership, self.gatekeeper.membership.own_record
         records = others.records
 
         def seat(name: str) -> Seat:
             if name in self._left:
-                there = name in records and records[name].liveness is not Liveness.LOST
+                there = name in records and records[name].liveness is not Liveness.UNREACHABLE
                 return Seat.LEAVING if there else Seat.LEFT
             if name == me.name:
-                return Seat.SOUND if me.keeps else Seat.BEHIND
-            if name in self._known and others.silent(now, records[name]) <= SUSPECT_TICKS:
-                return Seat.SOUND if records[name].keeps else Seat.BEHIND
+                return Seat.SOUND if me.has_full_copy else Seat.BEHIND
+            if name in self._known and others.ticks_overdue(now, records[name]) <= SUSPECT_TICKS:
+                return Seat.SOUND if records[name].has_full_copy else Seat.BEHIND
             lost = name in self._missed and now - self._missed[name] >= RELIEVED_S
             return Seat.LOST if lost else Seat.DARK
 
@@ -306,8 +306,8 @@
     def holder(self, core: Core) -> str:
         """Whose duty the core's changes are: cut by key over the members that are up, stay, and say that
         their replicas have caught up; nobody's where there is none."""
-        keep = {record.name for record in self.gatekeeper.membership.live() if record.keeps}
-        return "".join(holders("core", [name for name in core.all if name in self._known and name in keep]))
+        keep = {record.name for record in self.gatekeeper.membership.live() if record.has_full_copy}
+        return "".join(owners("core", [name for name in core.all if name in self._known and name in keep]))
 
     def _due(self, now: float, core: Core) -> bool:
         if self.change is not Change.NONE or now - self._tried < BETWEEN_S:
@@ -428,7 +428,7 @@
             record.identity["ctl"] for record in gatekeeper.membership.live() if record.identity is not None
         }
         known = len(heard.intersection(seeds))
-        if first is not gatekeeper.membership.me or 2 * known <= len(seeds):
+        if first is not gatekeeper.membership.own_record or 2 * known <= len(seeds):
             return  # two parts of a fleet that is cut can't both see most of the seeds
         if known < len(seeds) and now - gatekeeper.born < PATIENT_S:
             return
--- a/tests/register_model.py
+++ b/tests/register_model.py
@@ -152,7 +152,7 @@
                 self.part.take(0.0, sender, message)
                 return list(self.persists)
             if self.part.stage is Stage.FETCHING:
-                for key, wire in message["v"].items():  # as `Subscriber.hold` has it
+                for key, wire in message["v"].items():  # as `Subscriber.adopt` has it
                     value = Value.of(wire)
                     self.subscriber.values[key] = max(value, self.subscriber.values.get(key, value))
                 self.beat()
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -89,7 +89,10 @@
                 ):
                     self.took[number] = self.env.now - since
                     del self.back[number]
-                elif gatekeeper.membership.me.keeps or gatekeeper.reconfiguration.change is not Change.NONE:
+                elif (
+                    gatekeeper.membership.own_record.has_full_copy
+                    or gatekeeper.reconfiguration.change is not Change.NONE
+                ):
                     self.fallen = f"{node.name} holds a duty with {held_by(node)} of {version}"
                 elif number in self.wiped and gatekeeper.replica.votes:
                     self.fallen = f"{node.name} votes with {held_by(node)} of {version}"
--- a/tests/test_control_calls.py
+++ b/tests/test_control_calls.py
@@ -236,18 +236,18 @@
     mine = ear.refs("ask")[-1]
     gatekeeper, epoch = node.gatekeeper, node.gatekeeper.subscriber.core.epoch
     said = node.gatekeeper.subscriber.replicas["ba-02"]
-    before = said.asked
+    before = said.confirmed_at
     for ref in (*refs, mine.replace(f"{epoch} ", f"{epoch - 1} ", 1)):
         hear(node, "ba-02", {"t": "newest", "r": ref, "s": stamps})
     assert (
-        said.asked == before
+        said.confirmed_at == before
         and gatekeeper.subscriber.lease_until() <= node.now() + gatekeeper.subscriber.lease_s
     )
     assert gatekeeper.subscriber.lease_s == LEASE_SHARE * world.bounds.revoke_within
     hear(node, "bb-03", {"t": "newest", "r": mine, "s": stamps})  # no member
     assert "bb-03" not in gatekeeper.subscriber.replicas
     hear(node, "ba-02", {"t": "newest", "r": mine, "s": stamps})
-    assert said.asked > before  # and its own does
+    assert said.confirmed_at > before  # and its own does
 
 
 def test_what_was_fetched_is_held_if_it_was_asked_for_here_and_now() -> None:
--- a/tests/test_departed_members.py
+++ b/tests/test_departed_members.py
@@ -112,24 +112,24 @@
 def polled(at: float) -> ServerList:
     """A list that the platform gave at that time."""
     server_list = ServerList()
-    server_list.polled(at + 0.1, server_list.begin(at), SERVERS)
+    server_list.poll_succeeded(at + 0.1, server_list.begin_poll(at), SERVERS)
     return server_list
 
 
 def test_a_list_of_servers_is_as_old_at_who_is_handed_it_as_at_who_hands_it_over() -> None:
     old = polled(at=10.0)
     new = ServerList()
-    assert new.take(40.0, old.whole(40.0))
-    assert new.known() and new.due(40.0, later_turn)
-    new.take(10.5, old.whole(10.5))  # the same list once more confirms nothing
+    assert new.handle_list(40.0, old.full_list(40.0))
+    assert new.has_list() and new.due(40.0, later_turn)
+    new.handle_list(10.5, old.full_list(10.5))  # the same list once more confirms nothing
     assert new.due(40.0, later_turn)
 
 
 def test_the_platforms_answer_is_as_old_as_the_question() -> None:
     """A process that stood still between them reads an answer from before."""
     server_list = ServerList()
-    server_list.polled(41.0, server_list.begin(1.0), SERVERS)
+    server_list.poll_succeeded(41.0, server_list.begin_poll(1.0), SERVERS)
     assert server_list.due(41.0, later_turn)
     fresh = polled(at=41.0)
     assert not fresh.due(41.0 + fresh.timing.interval(fresh.cost) / 2, lambda: 0)
-    assert not fresh.due(41.0 + fresh.timing.begins(1, fresh.cost) / 2, lambda: 1)
+    assert not fresh.due(41.0 + fresh.timing.poll_age(1, fresh.cost) / 2, lambda: 1)
--- a/tests/test_discovery_at_size.py
+++ b/tests/test_discovery_at_size.py
@@ -45,13 +45,13 @@
     made.platform.rate_per_s = RATE_PER_S
     made.put(0, document(1))
     made.run(2.0)
-    assert all(gatekeeper.server_list.known() for gatekeeper in made.gatekeepers())
+    assert all(gatekeeper.server_list.has_list() for gatekeeper in made.gatekeepers())
     return made
 
 
 def pollers(made: World) -> list[Node]:
     """Who asked for the lists that are held now."""
-    askers = {gatekeeper.server_list.asker for gatekeeper in made.gatekeepers()}
+    askers = {gatekeeper.server_list.poller for gatekeeper in made.gatekeepers()}
     return [n for n in made.nodes if n.gatekeeper is not None and n.gatekeeper.server_list.name in askers]
 
 
@@ -68,7 +68,7 @@
         gatekeeper.name
         for gatekeeper in made.gatekeepers()
         if gatekeeper.name not in left_out
-        and gatekeeper.server_list.known()
+        and gatekeeper.server_list.has_list()
         and gatekeeper.server_list.servers[ident].phase is Phase.READY
     ]
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_all_have_the_list_soon_after_they_start_together(seed: int) -> None:
     made = world(seed).run(STARTED_S)
-    assert [g.name for g in made.gatekeepers() if not g.server_list.known()] == []
+    assert [g.name for g in made.gatekeepers() if not g.server_list.has_list()] == []
     calls = made.platform.calls
     made.run(5.0)
     assert made.platform.calls - calls <= 5.0 * RATE_PER_S  # one asks, and not the whole fleet
@@ -103,7 +103,7 @@
     ident = drain(made, 0)
     made.run(DRAIN_WITHIN_S - REACH_S)
     assert unaware(made, ident) == []
-    assert all(node.gatekeeper.server_list.in_time(node.now()) for node in made.nodes if node.gatekeeper)
+    assert all(node.gatekeeper.server_list.usable(node.now()) for node in made.nodes if node.gatekeeper)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -119,7 +119,7 @@
         ident = drain(made, number)
         made.run(DRAIN_WITHIN_S - REACH_S)
         assert unaware(made, ident, herd if number < 40 else ()) == [], number
-    assert all(gatekeeper.server_list.known() for gatekeeper in made.gatekeepers())
+    assert all(gatekeeper.server_list.has_list() for gatekeeper in made.gatekeepers())
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -129,7 +129,7 @@
     calls = made.platform.calls
     for _ in range(32):
         made.run(0.25)
-        late = [n.name for n in made.nodes if n.gatekeeper and not n.gatekeeper.server_list.in_time(n.now())]
+        late = [n.name for n in made.nodes if n.gatekeeper and not n.gatekeeper.server_list.usable(n.now())]
         assert late == []
     assert made.platform.calls - calls < 8.0 * RATE_PER_S
     ident = drain(made, 0)
--- a/tests/test_gatekeeper_calls.py
+++ b/tests/test_gatekeeper_calls.py
@@ -13,7 +13,7 @@
 import pytest
 
 from millfront.cli import gatekeeper as cli
-from millfront.discovery.platform_client import PlatformError, listed
+from millfront.discovery.platform_client import PlatformError, read_list
 from millfront.discovery.server_list import ServerList
 from millfront.environment import Bounds, Settings
 from millfront.gatekeeper import process
@@ -324,7 +324,7 @@
             service.persist = sync  # type: ignore[method-assign]
             for persist in held:
                 service.persist(persist)
-            await made.until(lambda: not service.gatekeeper.waiting)
+            await made.until(lambda: not service.gatekeeper.open_rounds)
             assert not service.gatekeeper.evacuated
             assert (await made.ask("POST", "/v1/evacuation/ba", b"", made.ctl))[0] == 200
             assert sorted(service.gatekeeper.evacuated) == ["ba"]
@@ -599,7 +599,7 @@
             async with asyncio.timeout(8):
                 await made.came.wait()
                 made.service.ending.set()
-                await made.until(lambda: made.service.gatekeeper.membership.me.leaving)
+                await made.until(lambda: made.service.gatekeeper.membership.own_record.leaving)
                 assert (await made.ask("GET", "/v1/readiness", at=made.ctl))[0] == 503
                 writer.write(b"x" * 160_000)
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -671,7 +671,7 @@
                 seen.rests_until = proxy.now() + 0.12  # no server takes it for a moment: it is held
             asked = asyncio.get_running_loop().create_task(made.ask("POST", "/p/a1", b"order", more=KEY))
             await made.until(lambda: proxy.open == 1)
-            gatekeeper.server_list.in_time = lambda now: False  # type: ignore[method-assign]
+            gatekeeper.server_list.usable = lambda now: False  # type: ignore[method-assign]
             assert (await asked)[0] == 503
             assert (await made.ask("POST", "/p/a1", b"order", more=KEY))[0] == 503
             assert made.seen == [] and not gatekeeper.ready(proxy.now())
@@ -708,7 +708,7 @@
 
     async def story() -> None:
         server = await asyncio.start_server(paging, "127.0.0.1", 0)
-        found = await listed(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+        found = await read_list(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         assert [entry[0] for entry in found.entries] == ["i-0", "i-1", "i-2", "i-3"] and found.calls == 4
         assert connections == (1 if ends == "kept" else 4)
         server.close()
@@ -728,13 +728,15 @@
     async def story() -> None:
         server = await asyncio.start_server(refusing, "127.0.0.1", 0)
         with pytest.raises(PlatformError, match="429"):
-            await listed(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+            await read_list(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         server.close()
 
     play(story)
     server_list = ServerList()
-    server_list.polled(1.0, server_list.begin(1.0), [["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]])
-    server_list.begin(2.0)
-    server_list.failed(2.0)
+    server_list.poll_succeeded(
+        1.0, server_list.begin_poll(1.0), [["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]]
+    )
+    server_list.begin_poll(2.0)
+    server_list.poll_failed(2.0)
     assert server_list.servers["i-1"].phase.name == "READY"  # what was known stays
     assert not server_list.due(2.1, lambda: 0) and server_list.due(2.6, lambda: 0)  # and the platform rests
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -227,7 +227,7 @@
     assert node.gatekeeper is not None
     for _ in range(2000):
         world.run(0.001)
-        if sum(said.waiting > 0 for said in node.gatekeeper.subscriber.replicas.values()) >= 2:
+        if sum(said.waiting_since > 0 for said in node.gatekeeper.subscriber.replicas.values()) >= 2:
             break
     node.freeze()
     world.run(6.0)
@@ -251,7 +251,7 @@
 
 def test_a_lease_counted_from_the_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """A planted fault of point 1."""
-    take = Subscriber.take
+    take = Subscriber.handle_answer
 
     def counted(self: Subscriber, now: float, sender: str, message: dict[str, Any]) -> Any:
         out = take(self, now, sender, message)
@@ -260,7 +260,7 @@
             self._confirm(said)
         return out
 
-    monkeypatch.setattr(Subscriber, "take", counted)
+    monkeypatch.setattr(Subscriber, "handle_answer", counted)
     assert frozen_with_a_question_under_way()
 
 
@@ -464,7 +464,7 @@
     gatekeeper = world.nodes[5].gatekeeper
     return gatekeeper is not None and any(
         round.phase.value == "writing" and EVACUATION + "bb" in round.values
-        for round, _ in gatekeeper.waiting.values()
+        for round, _ in gatekeeper.open_rounds.values()
     )
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 import pytest
 
 from millfront.membership import gossip
-from millfront.membership.gossip import RELAYS, holders
+from millfront.membership.gossip import RELAYS, owners
 from millfront.membership.record import Liveness
 from millfront.quotas.allowance import allowance_of
 from millfront.quotas.requester import ADMITTED, Decision
@@ -32,15 +32,15 @@
     world.run(6.0)
     name = world.nodes[17].name
     assert {gatekeeper.membership.records[name].liveness for gatekeeper in world.gatekeepers()} == {
-        Liveness.LOST
+        Liveness.UNREACHABLE
     }
 
 
 def test_a_region_larger_than_a_mesh_passes_cards_on_and_takes_nobody_for_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(gossip, "MESH", 6)
-    monkeypatch.setattr(gossip, "VIEW", 3)
+    monkeypatch.setattr(gossip, "MAX_MESH", 6)
+    monkeypatch.setattr(gossip, "VIEW_SIZE", 3)
     world = World(32, 4).start().run(12.0)
     world.loss = 0.02
     for _ in range(8):
@@ -49,7 +49,7 @@
             c
             for o in world.gatekeepers()
             for c in o.membership.records.values()
-            if c.liveness is Liveness.LOST
+            if c.liveness is Liveness.UNREACHABLE
         ]
         assert not lost
 
@@ -62,7 +62,7 @@
     gatekeeper = node.gatekeeper
     assert gatekeeper is not None and gatekeeper.configuration is not None
     there = [other for other in world.nodes if other.zone[0] == "b"]
-    relays = holders(f"relay {node.name}", [other.name for other in there], RELAYS)
+    relays = owners(f"relay {node.name}", [other.name for other in there], RELAYS)
     next(other for other in there if other.name == relays[0]).kill()
     decisions: list[Decision] = []
     for _ in range(3):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 import pytest
 
 from millfront.membership import gossip
-from millfront.membership.gossip import LOST_TICKS, TICK_S
+from millfront.membership.gossip import TICK_S, UNREACHABLE_TICKS
 from millfront.register import placement, reconfiguration
 from millfront.register.placement import Seat, chosen, fewest
 from millfront.register.recovery import Recovery
@@ -94,7 +94,7 @@
             hears(world)
             spare.start()
         case "relieved":
-            world.run(RELIEVED_S + LOST_TICKS * TICK_S + 1.0)
+            world.run(RELIEVED_S + UNREACHABLE_TICKS * TICK_S + 1.0)
     world.spares -= {n.number for n in world.nodes if n.gatekeeper is not None}
     world.run(SYNC_TIME_S)
     return spare if repair == "replaced" else node
@@ -350,7 +350,7 @@
     world.run(2.5)
     assert members(world) == {(0, 1, 2)} and node.gatekeeper is not None
     assert "its seat waits for a successor before it ends" in [
-        page["text"] for page in node.gatekeeper.event_log.pages(node.now(), "register")
+        page["text"] for page in node.gatekeeper.event_log.entries(node.now(), "register")
     ]
     world.nodes[5].start()
     gone(world, node)
@@ -576,7 +576,7 @@
 
 def vain(monkeypatch: pytest.MonkeyPatch) -> None:
     """One that leaves keeps the duty."""
-    first = gossip.holders
+    first = gossip.owners
     monkeypatch.setattr(
         reconfiguration.Reconfiguration, "holder", lambda self, core: first("core", list(core.all))[0]
     )
--- a/tests/test_rules_together.py
+++ b/tests/test_rules_together.py
@@ -303,7 +303,7 @@
 def test_an_evacuation_that_is_dropped_when_it_comes_with_a_configuration_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    hold = Gatekeeper._hold
+    hold = Gatekeeper._adopt
 
     def dropping(self: Gatekeeper, found: dict[str, Value]) -> None:
         held, before, tell = self.subscriber.values, self.evacuated, self.changed
@@ -318,13 +318,13 @@
         hold(self, found)
         self.changed = tell
 
-    monkeypatch.setattr(Gatekeeper, "_hold", dropping)
+    monkeypatch.setattr(Gatekeeper, "_adopt", dropping)
     story = Story(11, 4, 1).tell(8.0).lose_power()
     assert found(story, "EVAC") and found(story, "LOST")
 
 
 def test_nodes_that_go_back_to_the_configuration_before_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    hold = Gatekeeper._hold
+    hold = Gatekeeper._adopt
 
     def returning(self: Gatekeeper, found: dict[str, Value]) -> None:
         before = self.configuration
@@ -333,7 +333,7 @@
             self.configuration = before
             self.changed()
 
-    monkeypatch.setattr(Gatekeeper, "_hold", returning)
+    monkeypatch.setattr(Gatekeeper, "_adopt", returning)
     story = Story(11, 4, 1).tell(8.0).lose_power()
     assert found(story, "MIXED") and found(story, "CONFIG")
 
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from millfront.discovery.polling import REACH_S, PollTiming
+from millfront.discovery.polling import REQUEST_TRANSIT_S, PollTiming
 from millfront.discovery.server_list import Phase, ReadFailure, ServerList
 
 PROCESSES, SERVERS, STEPS = 4, 6, 400
@@ -43,8 +43,8 @@
 
     def poll(self, number: int) -> None:
         polled = self.lists[number]
-        call = polled.begin(self.now)
-        told = polled.polled(self.now, call, self.platform())
+        call = polled.begin_poll(self.now)
+        told = polled.poll_succeeded(self.now, call, self.platform())
         if told is not None:
             for to in range(PROCESSES):
                 if to != number:
@@ -58,17 +58,17 @@
         if self.now - sent > WAY_S or self.random.random() < 0.1:
             return
         if message["t"] == "list?":
-            self.send(to, sender, self.lists[to].whole(self.now))
-        elif not self.lists[to].take(self.now, message):
+            self.send(to, sender, self.lists[to].full_list(self.now))
+        elif not self.lists[to].handle_list(self.now, message):
             self.send(to, sender, {"t": "list?"})
 
     def faults(self) -> list[str]:
         """Servers that a process holds as ready, and the platform showed as draining long enough before."""
         return [
-            f"process {number} holds {ident} as ready as of {held.heard:.2f}, draining since {since:.2f}"
+            f"process {number} holds {ident} as ready as of {held.as_of:.2f}, draining since {since:.2f}"
             for number, held in enumerate(self.lists)
             for ident, since in self.draining.items()
-            if since <= held.heard - HOPS * WAY_S and held.servers[ident].phase is Phase.READY
+            if since <= held.as_of - HOPS * WAY_S and held.servers[ident].phase is Phase.READY
         ]
 
 
@@ -85,36 +85,36 @@
     """Both lists have one number; the second one's next change is no change of the first one's list."""
     one, other, third = (ServerList(name) for name in ("one", "other", "third"))
     ready, draining = [["i-1", "shop", "10.0.2.1:80", "aa", 3, phase, 0.0] for phase in (0, 1)]
-    first = one.polled(1.0, one.begin(1.0), [ready])
-    assert first is not None and third.take(1.1, first)
-    assert other.polled(1.2, other.begin(1.2), [draining]) is not None  # of the same number
-    later = other.polled(2.0, other.begin(2.0), [draining])  # nothing has changed there
+    first = one.poll_succeeded(1.0, one.begin_poll(1.0), [ready])
+    assert first is not None and third.handle_list(1.1, first)
+    assert other.poll_succeeded(1.2, other.begin_poll(1.2), [draining]) is not None  # of the same number
+    later = other.poll_succeeded(2.0, other.begin_poll(2.0), [draining])  # nothing has changed there
     assert later is not None
-    if not third.take(2.1, later):
-        assert third.take(2.2, other.whole(2.2))
+    if not third.handle_list(2.1, later):
+        assert third.handle_list(2.2, other.full_list(2.2))
     assert third.servers["i-1"].phase is Phase.DRAINING
 
 
 def test_a_life_that_ended_is_not_learnt_again_from_an_old_list_after_it_is_forgotten() -> None:
     held, old = ServerList("held"), ServerList("old")
     entry = ["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]
-    assert old.polled(1.0, old.begin(1.0), [entry]) is not None
-    assert held.take(1.1, old.whole(1.1))
+    assert old.poll_succeeded(1.0, old.begin_poll(1.0), [entry]) is not None
+    assert held.handle_list(1.1, old.full_list(1.1))
     for at in range(2, 80):
-        assert held.polled(float(at), held.begin(float(at)), []) is not None
+        assert held.poll_succeeded(float(at), held.begin_poll(float(at)), []) is not None
     assert "i-1" not in held.servers
-    old.number = held.number + 1  # one that was away, and numbers its list anew
-    assert held.take(80.0, old.whole(80.0))
+    old.list_number = held.list_number + 1  # one that was away, and numbers its list anew
+    assert held.handle_list(80.0, old.full_list(80.0))
     assert "i-1" not in held.servers
-    assert held.polled(81.0, held.begin(81.0), [entry]) is not None
+    assert held.poll_succeeded(81.0, held.begin_poll(81.0), [entry]) is not None
     assert "i-1" not in held.servers
 
 
 def test_a_list_is_gone_by_until_a_server_could_have_drained_for_too_long() -> None:
     held = ServerList("held", PollTiming(drain_within=2.5, rate_per_s=50.0))
-    assert not held.in_time(0.0)
-    held.polled(10.2, held.begin(10.0), [["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]])
-    assert held.in_time(10.0 + 2.5 - REACH_S) and not held.in_time(10.01 + 2.5 - REACH_S)
+    assert not held.usable(0.0)
+    held.poll_succeeded(10.2, held.begin_poll(10.0), [["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]])
+    assert held.usable(10.0 + 2.5 - REQUEST_TRANSIT_S) and not held.usable(10.01 + 2.5 - REQUEST_TRANSIT_S)
 
 
 @pytest.mark.parametrize(
@@ -130,15 +130,18 @@
     failure: ReadFailure, turn: int, goes_on: bool
 ) -> None:
     held, other = ServerList("held"), ServerList("other")
-    assert held.polled(10.2, held.begin(10.0), [["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]]) is not None
-    assert other.take(10.3, held.whole(10.3))
-    held.begin(12.0)
-    told = held.failed(12.9, turn, failure)
+    assert (
+        held.poll_succeeded(10.2, held.begin_poll(10.0), [["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]])
+        is not None
+    )
+    assert other.handle_list(10.3, held.full_list(10.3))
+    held.begin_poll(12.0)
+    told = held.poll_failed(12.9, turn, failure)
     assert (told is not None) is goes_on
     if told is not None:
-        other.take_silence(13.0, told)
-    assert held.in_time(14.0) is goes_on and other.in_time(14.0) is goes_on
-    assert not held.in_time(16.0) and not other.in_time(16.0)
+        other.handle_unavailable(13.0, told)
+    assert held.usable(14.0) is goes_on and other.usable(14.0) is goes_on
+    assert not held.usable(16.0) and not other.usable(16.0)
 
 
 def test_a_read_of_the_platform_takes_whatever_it_names_and_never_fails() -> None:
@@ -154,14 +157,14 @@
                 [f"i-{n}", "shop", f"10.0.2.{n}:80", "aa", 3, rng.randrange(2), rng.choice((0.0, 2.0))]
                 for n in named
             ]
-            call = read.begin(now)
+            call = read.begin_poll(now)
             if rng.random() < 0.1:
-                read.failed(now)
+                read.poll_failed(now)
                 continue
-            told = read.polled(now, call, entries)
+            told = read.poll_succeeded(now, call, entries)
             assert told is not None
             listed = {s.ident for s in read.servers.values() if s.phase is not Phase.GONE}
             assert listed <= {entry[0] for entry in entries} and listed.isdisjoint(told["g"])
-            if not follows.take(now, told):
-                assert follows.take(now, read.whole(now))
+            if not follows.handle_list(now, told):
+                assert follows.handle_list(now, read.full_list(now))
             assert {s.ident for s in follows.servers.values() if s.phase is not Phase.GONE} == listed
--- a/tests/test_system_parts.py
+++ b/tests/test_system_parts.py
@@ -241,7 +241,7 @@
     made.evacuated = frozenset({"aa"})
     assert all(made.seen[i].server.zone != "aa" for i in picks(made, 1.0, 50))
     for seen in made.seen.values():
-        seen.server.become(Phase.DRAINING, 1.0)
+        seen.server.advance(Phase.DRAINING, 1.0)
     made.listed([seen.server for seen in made.seen.values()])
     assert picks(made, 1.0, 5) == []
 
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -160,7 +160,9 @@
     world.cut = lambda a, b: 6 in (a.number, b.number) and min(a.number, b.number) < 4
     node.start()  # its seeds are replicas, too: the others look for it
     world.run(5.0)
-    assert version_of(world, 6) == 7 and node.gatekeeper is not None and node.gatekeeper.server_list.known()
+    assert (
+        version_of(world, 6) == 7 and node.gatekeeper is not None and node.gatekeeper.server_list.has_list()
+    )
     assert not node.gatekeeper.trusted(node.now())  # but that it is the newest only replicas can say
 
 
@@ -183,7 +185,9 @@
     server_list = world.nodes[6].gatekeeper.server_list  # type: ignore[union-attr]
     world.servers[0] = ["i-2", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]
     world.run(2.0)
-    server_list.take(0.0, {"t": "list", "f": 1, "w": "", "p": 0, "q": "", "e": [entry], "g": [], "a": 0.0})
+    server_list.handle_list(
+        0.0, {"t": "list", "f": 1, "w": "", "p": 0, "q": "", "e": [entry], "g": [], "a": 0.0}
+    )
     assert (
         server_list.servers["i-1"].phase.name == "GONE" and server_list.servers["i-2"].phase.name == "READY"
     )
@@ -196,11 +200,11 @@
     world.nodes[5].start()
     gatekeeper = world.nodes[5].gatekeeper
     assert gatekeeper is not None
-    gatekeeper.membership.me.incarnation = 0  # as if the time of day were years ago
+    gatekeeper.membership.own_record.incarnation = 0  # as if the time of day were years ago
     world.run(4.0)
     seen = [o.membership.records[gatekeeper.name] for o in world.gatekeepers() if o is not gatekeeper]
     assert {record.liveness.name for record in seen} == {"UP"}
-    assert {record.incarnation for record in seen} == {gatekeeper.membership.me.incarnation}
+    assert {record.incarnation for record in seen} == {gatekeeper.membership.own_record.incarnation}
 
 
 @pytest.mark.parametrize("seed", range(12))
