--- a/millfront/dataplane/keyed_requests.py
+++ b/millfront/dataplane/keyed_requests.py
@@ -103,7 +103,7 @@
 
 def _stored(answer: Message) -> StoredAnswer:
     assert isinstance(answer.start, int)
-    pairs = zip(answer.fields, answer.raw, strict=True)
+    pairs = zip(answer.fields, answer.raw_fields, strict=True)
     kept = [raw for (name, _), raw in pairs if name != ATTEMPT_ID]
     fields = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in kept)
     return StoredAnswer(answer.start, fields, answer.body)
--- a/millfront/dataplane/proxy.py
+++ b/millfront/dataplane/proxy.py
@@ -19,12 +19,18 @@
 from millfront.dataplane.retries import RequestProgress, RetryBudget
 from millfront.dataplane.router import Router
 from millfront.invariants import Invariant
-from millfront.node.bodies import EACH, PART, ROOM_PART, Room, Ways
+from millfront.node.bodies import (
+    BODIES_MEMORY_DIVISOR,
+    BODY_BUFFER_BYTES,
+    RESPONSES_MEMORY_DIVISOR,
+    BodySlots,
+    BufferBudget,
+)
 from millfront.node.clients import VirtualServer
 from millfront.node.config import Address
 from millfront.node.endings import Ending
 from millfront.node.host import Caller, Clock
-from millfront.node.http import Fields, Message, passed_on
+from millfront.node.http import Fields, Message, end_to_end_fields
 from millfront.node.members import Members, PoolMember
 from millfront.node.stages import relay
 from millfront.node.stages.send import Send, ServerSideFlow
@@ -63,15 +69,15 @@
         sockets = max(64, settings.fd_limit - SPARE_SOCKETS)
         self.members = Members(self.clock, CONNECT_US, KEEPALIVE_US, sockets // 3)
         memory = settings.ram_mb * 1024 * 1024
-        ways = Ways(max(4, memory // 2 // PART // EACH))
+        ways = BodySlots(max(4, memory // 2 // BODIES_MEMORY_DIVISOR // BODY_BUFFER_BYTES))
         self.send = Send(
             self.clock, self.members, Router(self), self.book, ways, self.begin, self.judge, self.fields
         )
         self.send.rest_s = 3.0
         self.send.part_may_run = True  # servers begin work when they like
         self.server = VirtualServer(self.clock, self, self.take_in, self.admit, None, sockets * 2 // 3)
-        self.server.room = Room(memory // ROOM_PART)
-        self.server.may_promise = lambda request: request.progress.promises()
+        self.server.buffer_budget = BufferBudget(memory // RESPONSES_MEMORY_DIVISOR)
+        self.server.may_send_408 = lambda request: request.progress.promises()
         self.keyed = KeyedRequests(self, gatekeeper.operations.claims)
         self.retry_budgets: dict[str, RetryBudget] = {}
         self.sizes: dict[str, float] = {}  # by route: bytes of an answer
@@ -122,10 +128,10 @@
         self.share_cold()
         if (configuration := self.gatekeeper.configuration) is not None:
             idle = configuration.limits.idle_timeout
-            self.server.at_rest_us = int(idle * 1e6)
-            self.server.most_body = configuration.limits.max_body
+            self.server.idle_timeout_us = int(idle * 1e6)
+            self.server.max_body = configuration.limits.max_body
             self.server.keep_alive = b"timeout=%d" % (idle - 1.0) if idle >= 2.0 else b""  # a second to spare
-            self.server.partial_us = int(configuration.limits.header_deadline * 1e6) + 300_000
+            self.server.request_read_timeout_us = int(configuration.limits.header_deadline * 1e6) + 300_000
 
     # ---- a request comes ---------------------------------------------------------------------------
 
@@ -160,7 +166,17 @@
         arrival = Arrival(message, max(1000, int(wait * 1e6)))
         attempt = fields.get(ATTEMPT_ID, b"")
         request = ClientRequest(
-            arrival, attempt, route, "", host, path, key, tenant, came_us, progress, whole=not message.more
+            arrival,
+            attempt,
+            route,
+            "",
+            host,
+            path,
+            key,
+            tenant,
+            came_us,
+            progress,
+            whole=not message.body_incomplete,
         )
         if route.kind == KIND:
             request.operation_key = fields.get(KEY, b"")
@@ -353,7 +369,7 @@
         if NOT_RUN in fields or status == 421:
             if status == 421 and seen is not None:
                 self.load_balancer.misdirected(seen)
-            return Ending.TURNED_AWAY
+            return Ending.NOT_STARTED
         if 200 <= status < 300:
             if SEAL not in fields or b"content-encoding" in fields:
                 return Ending.MALFORMED
@@ -371,7 +387,7 @@
         """The header of a request as it goes to a server."""
         request: ClientRequest = flow.opened
         left_ms = max(1, (flow.ends_us - self.clock.now()) // 1000)
-        fields = passed_on(message, *OWN_FIELDS)
+        fields = end_to_end_fields(message, *OWN_FIELDS)
         fields.append((b"Millfront-Deadline-Ms", b"%d" % left_ms))
         fields.append((b"Millfront-Target-Instance", str(member.id).encode()))
         if request.tenant is not None:
@@ -451,9 +467,9 @@
         seen.links = len(member.idle) if member is not None else 0
         if ending in (Ending.SERVED, Ending.ERRORED):
             self.load_balancer.answered(now, seen, took, False)
-        elif ending is Ending.TURNED_AWAY:
+        elif ending is Ending.NOT_STARTED:
             self.load_balancer.answered(now, seen, took, True)
-        elif ending is Ending.UNCONNECTED:
+        elif ending is Ending.CONNECT_FAILED:
             self.load_balancer.failed(now, seen, 3)
         elif ending in (Ending.BROKEN, Ending.MALFORMED, Ending.TIMED_OUT):
             self.load_balancer.failed(now, seen, 1)
@@ -461,9 +477,9 @@
     def next_try(self, request: ClientRequest, ending: Ending) -> None:
         """Nothing is under way any more, and no answer came."""
         message = request.arrival.message
-        kept = message.upload is None or not message.upload.moved
+        kept = message.upload is None or not message.upload.forwarded
         left_us = request.deadline_us - self.clock.now()
-        free = ending in (Ending.UNCONNECTED, Ending.NOT_SENT)  # it did not arrive anywhere
+        free = ending in (Ending.CONNECT_FAILED, Ending.NOT_SENT)  # it did not arrive anywhere
         if kept and left_us > 50_000 and request.progress.may_go_on() and not request.revoked:
             if free and request.progress.arrivals == 0 and len(request.progress.tried) < 5:
                 self.go(request)
@@ -505,7 +521,7 @@
         """
         fields: Fields = [(b"Retry-After", b"%.3f" % after_s)] if after_s > 0 else []
         self.finish(request)
-        request.caller.give(relay.own(status, b"", fields))
+        request.caller.send_response(relay.own(status, b"", fields))
 
     def finish(self, request: ClientRequest) -> None:
         """Its one answer is about to go out."""
@@ -517,13 +533,13 @@
 
     # ---- what the clients' side tells ------------------------------------------------------------------
 
-    def whole(self, request: ClientRequest) -> None:
+    def body_complete(self, request: ClientRequest) -> None:
         """The body's last byte has come."""
         request.whole = True
         for flow in list(request.flows.values()):
             flow.whole()
 
-    def leave(self, request: ClientRequest) -> None:
+    def client_left(self, request: ClientRequest) -> None:
         """The client went away. What may be repeated is given up; a request with an effect is left to end."""
         if request.over:
             return
--- a/millfront/dataplane/retries.py
+++ b/millfront/dataplane/retries.py
@@ -26,8 +26,8 @@
     UNKNOWN = "unknown"
 
 
-NEVER_RAN = frozenset((Ending.TURNED_AWAY, Ending.UNCONNECTED, Ending.NOT_SENT))
-ARRIVED = frozenset(Ending) - {Ending.UNCONNECTED, Ending.NOT_SENT}
+NEVER_RAN = frozenset((Ending.NOT_STARTED, Ending.CONNECT_FAILED, Ending.NOT_SENT))
+ARRIVED = frozenset(Ending) - {Ending.CONNECT_FAILED, Ending.NOT_SENT}
 
 
 @dataclass(slots=True)
--- a/millfront/dataplane/router.py
+++ b/millfront/dataplane/router.py
@@ -3,7 +3,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from millfront.node.endings import Ended, Ending
+from millfront.node.endings import Ending, ExchangeError
 from millfront.node.members import PoolMember
 
 if TYPE_CHECKING:
@@ -19,26 +19,26 @@
     def __call__(self, backend: Any) -> PoolMember:
         """The member for a chosen server.
 
-        :raises Ended: with `Ending.NOT_SENT`; it is unknown, or not ready
+        :raises ExchangeError: with `Ending.NOT_SENT`; it is unknown, or not ready
         """
         member = self.proxy.members.get(backend)
         if member is None:
-            raise Ended(Ending.NOT_SENT, "no such server")
+            raise ExchangeError(Ending.NOT_SENT, "no such server")
         self.check(member)
         return member
 
     def check(self, member: PoolMember, flow: Any = None) -> None:
         """Refuse a member that is not ready, or a request that is no longer allowed to it.
 
-        :raises Ended: with `Ending.NOT_SENT`; nothing was written
+        :raises ExchangeError: with `Ending.NOT_SENT`; nothing was written
         """
         if not self.proxy.gatekeeper.server_list.in_time(self.proxy.now()):
-            raise Ended(Ending.NOT_SENT, "the list of servers is too old")
+            raise ExchangeError(Ending.NOT_SENT, "the list of servers is too old")
         if not member.ready:
-            raise Ended(Ending.NOT_SENT, f"{member.id} is draining or gone")
+            raise ExchangeError(Ending.NOT_SENT, f"{member.id} is draining or gone")
         if flow is None:
             return
         if not self.proxy.still_allowed(flow.opened):
-            raise Ended(Ending.NOT_SENT, "not allowed any more")
+            raise ExchangeError(Ending.NOT_SENT, "not allowed any more")
         if self.proxy.evacuated(flow):
-            raise Ended(Ending.NOT_SENT, f"the zone of {member.id} is evacuated")
+            raise ExchangeError(Ending.NOT_SENT, f"the zone of {member.id} is evacuated")
--- a/millfront/gatekeeper/api.py
+++ b/millfront/gatekeeper/api.py
@@ -34,7 +34,7 @@
     def __init__(self, first: bytes, done: Callable[[bytes], None]) -> None:
         self.data, self.done = bytearray(first), done
 
-    def passes(self, data: bytes, last: bool) -> bool:
+    def write_body(self, data: bytes, last: bool) -> bool:
         """Keep the next bytes of the body; always True, as more may follow at once."""
         self.data += data
         if last:
@@ -58,7 +58,7 @@
             fields = list(kind) if body else []
             if status == 503:
                 fields.append((b"Retry-After", b"0.3"))
-            self.caller.give(Message(status, fields, fields, body))  # type: ignore[attr-defined]
+            self.caller.send_response(Message(status, fields, fields, body))  # type: ignore[attr-defined]
 
 
 class ControlApi:
@@ -71,17 +71,17 @@
         self.gatekeeper, self.now, self.serves, self.check = gatekeeper, now, serves, check
         self.clock = Clock()
         self.server = VirtualServer(self.clock, self, lambda message, _: message, self.take, None, CLIENTS)
-        self.server.partial_us = 5_000_000
+        self.server.request_read_timeout_us = 5_000_000
 
     def listen(self, address: str) -> None:
         """:raises OSError: the address can't be listened at"""
         self.server.listen(Address.parse(address, "bindings"))
 
-    def whole(self, call: Call) -> None:
+    def body_complete(self, call: Call) -> None:
         """Part of the virtual server's interface: a body is gathered by `Gather` instead."""
         pass
 
-    def leave(self, call: Call) -> None:
+    def client_left(self, call: Call) -> None:
         """The caller has closed its connection: an answer that comes later is dropped."""
         call.over = True
 
--- a/millfront/gatekeeper/process.py
+++ b/millfront/gatekeeper/process.py
@@ -239,19 +239,19 @@
         self.gatekeeper.reconfiguration.leave(self.now())
         server = self.proxy.server
         await asyncio.sleep(LEAVE_S * grace * 0.5)
-        server.send_away(True)
+        server.set_closing(True)
         await asyncio.sleep(LEAVE_S * grace * 0.3)
         server.stop_accepting()
         looks = 0  # in a row at which nothing was under way: a request may still come on a kept connection
         while self.now() < end and looks < LAST_LOOKS:
-            server.close_at_rest()
+            server.close_idle()
             looks = 0 if self._under_way() else looks + 1
             await asyncio.sleep(LOOK_S)
 
     def _under_way(self) -> bool:
         """Whether something is open that is to end before this process does."""
         server = self.proxy.server
-        if self.proxy.open > 0 or server.unanswered() or server.untaken():
+        if self.proxy.open > 0 or server.unanswered_count() or server.unsent_count():
             return True
         return not self.gatekeeper.reconfiguration.may_go(self.now())
 
--- a/millfront/http2/clients.py
+++ b/millfront/http2/clients.py
@@ -20,10 +20,17 @@
 from millfront.http2.conduct import Conduct
 from millfront.http2.turns import Turns, urgency_of
 from millfront.logs import Log
-from millfront.node.clients import AT_REST_US, HEALTH, LINGER_US, UNREAD_US, Answering, VirtualServer
+from millfront.node.clients import (
+    HEALTH_REQUESTS,
+    IDLE_TIMEOUT_US,
+    LINGER_US,
+    RESPONSE_STALL_TIMEOUT_US,
+    MessageCaller,
+    VirtualServer,
+)
 from millfront.node.endings import Ending
 from millfront.node.host import OpenRequest
-from millfront.node.http import HOP_BY_HOP, MOST_BODY, MOST_HEAD, Fields, Message
+from millfront.node.http import HOP_BY_HOP, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Fields, Message
 from millfront.node.link import Link
 from millfront.node.stages import relay
 from millfront.node.stages.take_in import NotTaken
@@ -42,7 +49,7 @@
 Codes = h2.errors.ErrorCodes
 
 
-class ClientStream(Answering):
+class ClientStream(MessageCaller):
     """One request and its answer: the host's Caller."""
 
     __slots__ = (
@@ -76,7 +83,7 @@
         self.since_us = 0  # since when the client has given no window for it
         self.urgency = 3
 
-    def give(self, answer: Message) -> None:
+    def send_response(self, answer: Message) -> None:
         if not self.answered:
             self.answered = True
             self.opened = None
@@ -98,7 +105,7 @@
             client=False,
             initial_values={
                 h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: streams,
-                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MOST_HEAD,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEAD_BYTES,
                 h2.settings.SettingCodes.ENABLE_PUSH: 0,
             },
         )
@@ -107,11 +114,12 @@
         self.conduct = Conduct(now)
         self.ending = Ending.CLOSED
         self.over = False
-        self.asked = False  # a request came whole
-        self.spent_us = 0  # since when nothing more goes out
-        self.rests_since_us = now
-        self.begun_us = 0  # of a request that is not whole: told by its stream, not by the connection
-        self.deaf = False
+        self.had_request = False  # a request came whole
+        self.finished_us = 0  # since when nothing more goes out
+        self.idle_since_us = now
+        # of a request that is not whole: told by its stream, not by the connection
+        self.request_started_us = 0
+        self.input_closed = False
         self.held = 0  # bytes of unfinished bodies
         self.heard_us = now
         self.pinged_us = 0
@@ -134,21 +142,21 @@
     # ---- in: what the link tells -------------------------------------------------------------
 
     def received(self, data: bytes) -> None:
-        if self.deaf:
+        if self.input_closed:
             return
         self.heard_us = self.server.clock.now()
         self.pinged_us = 0
         try:
             for event in self.h2.receive_data(data):
                 self.take(event)
-                if self.deaf:
+                if self.input_closed:
                     break
         except h2.exceptions.ProtocolError as wrong:
             code = getattr(wrong, "error_code", Codes.PROTOCOL_ERROR)
             closed = self.h2.state_machine.state is h2.connection.ConnectionState.CLOSED
             self.turn_out(code, str(wrong), told=closed)
             return
-        if not self.deaf:
+        if not self.input_closed:
             self.check_hoard()
         self.pump()
 
@@ -185,7 +193,7 @@
                     self.close()
 
     def bears(self, kind: str, now: int) -> None:
-        if not self.deaf and not self.conduct.bears(kind, now):
+        if not self.input_closed and not self.conduct.bears(kind, now):
             self.turn_out(Codes.ENHANCE_YOUR_CALM, f"too many of a kind: {kind}")
 
     def begin(self, event: h2.events.RequestReceived, now: int) -> None:
@@ -216,7 +224,7 @@
         why = unfit(stream.start, stream.fields)
         if why:
             self.bears("refused", now)
-            stream.give(relay.own(400, why + b"\n"))
+            stream.send_response(relay.own(400, why + b"\n"))
 
     def body(self, event: h2.events.DataReceived, now: int) -> None:
         number, data = event.stream_id or 0, event.data or b""
@@ -224,14 +232,14 @@
         stream = self.streams.get(number)
         if not data and event.stream_ended is None:
             self.bears("empty", now)
-        if self.deaf:
+        if self.input_closed:
             return
         if stream is not None and not stream.answered:
             stream.body += data
             self.held += len(data)
-            if len(stream.body) > MOST_BODY:
+            if len(stream.body) > MAX_BUFFERED_BODY_BYTES:
                 self.let_go(stream)
-                stream.give(relay.own(413, b"body too long\n"))
+                stream.send_response(relay.own(413, b"body too long\n"))
             elif self.held > MOST_HELD:
                 self.let_go(stream)
                 self.leave(stream)
@@ -245,7 +253,7 @@
 
     def whole(self, stream: ClientStream) -> None:
         """The client has ended its side: the request is taken."""
-        stream.whole = self.asked = True
+        stream.whole = self.had_request = True
         if stream.answered:
             self.forget_if_done(stream)
             return
@@ -260,14 +268,14 @@
             self.bears("refused", self.heard_us)
             return
         message = Message(stream.start, stream.fields, stream.fields, body)
-        if message.start in HEALTH:
-            stream.give(self.server.health())
+        if message.start in HEALTH_REQUESTS:
+            stream.send_response(self.server.health())
             return
         try:
             opened = self.server.admit(self.server.take_in(message, stream.begun_us), stream)
         except NotTaken as wrong:
             self.bears("refused", self.heard_us)
-            stream.give(relay.own(wrong.status, f"{wrong}\n".encode()))
+            stream.send_response(relay.own(wrong.status, f"{wrong}\n".encode()))
             return
         if opened is not None and not opened.over:
             stream.opened = opened
@@ -289,10 +297,10 @@
         stream.pending, stream.answered = None, True
         opened, stream.opened = stream.opened, None
         if opened is not None:
-            self.server.host.leave(opened)
+            self.server.host.client_left(opened)
 
     def ended(self, why: str) -> None:
-        if why and not self.deaf:
+        if why and not self.input_closed:
             self.ending = Ending.BROKEN
         self.close()
 
@@ -304,7 +312,9 @@
             return
         assert isinstance(answer.start, int)
         fields = [(b":status", b"%d" % answer.start)]
-        fields += [(name.lower(), value) for name, value in answer.raw if name.lower() not in HOP_BY_HOP]
+        fields += [
+            (name.lower(), value) for name, value in answer.raw_fields if name.lower() not in HOP_BY_HOP
+        ]
         fields.append((b"content-length", b"%d" % len(answer.body)))
         body = b"" if stream.headless else answer.body
         try:
@@ -347,10 +357,10 @@
                 if len(self.turns) > 1:
                     self.flush()
             self.flush()
-            if self.spent_us and not self.link.unsent:
-                self.link.finish_sending()  # behind the last frame, never before it
+            if self.finished_us and not self.link.unsent:
+                self.link.shutdown_write()  # behind the last frame, never before it
         except OSError:
-            self.end(Ending.UNCONNECTED)
+            self.end(Ending.CONNECT_FAILED)
         finally:
             self._pumping = False
 
@@ -397,8 +407,8 @@
 
     def rest(self) -> None:
         if not self.streams:
-            self.rests_since_us = self.server.clock.now()
-            self.server.rested(self)
+            self.idle_since_us = self.server.clock.now()
+            self.server.connection_idle(self)
             if self.leaving == 2:
                 self.linger()
 
@@ -415,7 +425,7 @@
     def turn_out(self, code: int, why: str, told: bool = False) -> None:
         """A connection error: GOAWAY with the code, and nothing more is taken. Open requests are left."""
         log.warning("a client's HTTP/2 connection is ended", why=why, code=int(code))
-        self.deaf = True
+        self.input_closed = True
         self.ending = Ending.MALFORMED
         if not told:
             self.goaway(self.last, code)
@@ -434,50 +444,50 @@
             self.flush()
             self.link.write(data)
         except OSError:
-            self.end(Ending.UNCONNECTED)
+            self.end(Ending.CONNECT_FAILED)
 
     def drain(self) -> None:
         """The first of two steps: no number is named yet, for requests may be on the way."""
-        if not self.leaving and not self.deaf:
+        if not self.leaving and not self.input_closed:
             self.leaving = 1
             self.goaway(LAST_STREAM)
 
-    def close_at_rest(self) -> None:
+    def close_if_idle(self) -> None:
         """The second step: what is above the last stream taken will be refused, and may be asked
         elsewhere."""
-        if self.deaf:
+        if self.input_closed:
             return
         if self.leaving < 2:
             self.leaving = 2
             self.goaway(self.last)
-        if not self.streams and not self.spent_us:
+        if not self.streams and not self.finished_us:
             self.linger()
 
     def linger(self) -> None:
         """Say that nothing more comes and let the client close first."""
         if self.over:
             return
-        self.deaf = True
-        self.spent_us = self.spent_us or self.server.clock.now()
+        self.input_closed = True
+        self.finished_us = self.finished_us or self.server.clock.now()
         self.pump()
 
-    def expire(self, now_us: int, partial_us: int) -> None:
-        if self.spent_us:
-            if self.spent_us < now_us - LINGER_US:
+    def check_timeouts(self, now_us: int, read_timeout_us: int) -> None:
+        if self.finished_us:
+            if self.finished_us < now_us - LINGER_US:
                 self.close()
             return
         for stream in list(self.streams.values()):
-            if not stream.whole and not stream.answered and stream.begun_us < now_us - partial_us:
-                stream.give(relay.own(408, b"request not finished in time\n"))
-            elif stream.pending is not None and stream.since_us < now_us - UNREAD_US:
+            if not stream.whole and not stream.answered and stream.begun_us < now_us - read_timeout_us:
+                stream.send_response(relay.own(408, b"request not finished in time\n"))
+            elif stream.pending is not None and stream.since_us < now_us - RESPONSE_STALL_TIMEOUT_US:
                 self.leave(stream)
                 self.reset(stream.id, Codes.CANCEL)  # a window that never opens: guards memory
-        if self.unread_us and self.unread_us < now_us - UNREAD_US:
+        if self.unread_us and self.unread_us < now_us - RESPONSE_STALL_TIMEOUT_US:
             self.end(Ending.TIMED_OUT)
-        elif not self.asked and not self.streams and self.rests_since_us < now_us - partial_us:
+        elif not self.had_request and not self.streams and self.idle_since_us < now_us - read_timeout_us:
             self.end(Ending.TIMED_OUT)  # it says nothing, or plays with frames alone
-        elif not self.streams and self.rests_since_us < now_us - AT_REST_US:
-            self.close_at_rest()
+        elif not self.streams and self.idle_since_us < now_us - IDLE_TIMEOUT_US:
+            self.close_if_idle()
         elif self.streams and self.heard_us < now_us - PING_US:
             if not self.pinged_us:
                 self.pinged_us = now_us
@@ -487,7 +497,7 @@
         if not self.over:
             self.pump()
 
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         return not self.streams
 
     def end(self, ending: Ending) -> None:
@@ -501,8 +511,8 @@
         self.over = True
         self.link.close()
         if any(stream.opened is not None for stream in self.streams.values()):
-            self.ending = Ending.LEFT
-        self.server.gone(self)
+            self.ending = Ending.CLIENT_LEFT
+        self.server.connection_closed(self)
         for stream in list(self.streams.values()):
             self.leave(stream)
 
@@ -514,7 +524,7 @@
     blocks = connection.incoming_buffer._headers_buffer
     if len(waiting) >= 3 and int.from_bytes(waiting[:3]) > connection.max_inbound_frame_size:
         return Codes.FRAME_SIZE_ERROR, "a frame longer than allowed"
-    if sum(len(block.data) for block in blocks) > 2 * MOST_HEAD:
+    if sum(len(block.data) for block in blocks) > 2 * MAX_HEAD_BYTES:
         return Codes.ENHANCE_YOUR_CALM, "a header block without end"
     return None
 
--- a/millfront/http2/members.py
+++ b/millfront/http2/members.py
@@ -18,8 +18,8 @@
 from millfront.http2.fleet import Choice, Do, Seen, choose, retire
 from millfront.logs import Log
 from millfront.node.bodies import Upload
-from millfront.node.endings import Ended, Ending
-from millfront.node.http import HOP_BY_HOP, MOST_BODY, MOST_HEAD, Fields, Message
+from millfront.node.endings import Ending, ExchangeError
+from millfront.node.http import HOP_BY_HOP, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Fields, Message
 from millfront.node.link import Link
 from millfront.node.members import Flow, MemberId, Members, PoolMember, Up
 
@@ -50,9 +50,9 @@
     def request(
         self, start: tuple[bytes, bytes], fields: Fields, body: bytes, upload: Upload | None = None
     ) -> None:
-        """:raises Ended: UNCONNECTED, nothing of it was written"""
+        """:raises ExchangeError: CONNECT_FAILED, nothing of it was written"""
         if upload is not None:
-            raise Ended(Ending.NOT_SENT, "a body too long for HTTP/2 to members")
+            raise ExchangeError(Ending.NOT_SENT, "a body too long for HTTP/2 to members")
         self.connection.begin(self, start, fields, body)
 
     # Bodies are gathered here, both ways: nothing of them is ever under way.
@@ -106,7 +106,7 @@
             client=True,
             initial_values={
                 h2.settings.SettingCodes.ENABLE_PUSH: 0,
-                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MOST_HEAD,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEAD_BYTES,
             },
         )
         # h2 takes no frame after a GOAWAY; streams at or below its last go on (RFC 9113, 6.8)
@@ -127,7 +127,7 @@
         self.reserved -= 1
         if self.over or self.draining:
             stream.over = True
-            raise Ended(Ending.UNCONNECTED, "the connection is draining", again=True)
+            raise ExchangeError(Ending.CONNECT_FAILED, "the connection is draining", retryable=True)
         method, path = start
         told = [(b":method", method), (b":scheme", b"http"), (b":path", path)]
         host = next((value for name, value in fields if name.lower() == b"host"), str(self.address).encode())
@@ -140,7 +140,7 @@
             self.h2.send_headers(stream.id, told, end_stream=not body)
         except h2.exceptions.ProtocolError as wrong:  # the member allows fewer by now, or numbers are used up
             stream.over = True
-            raise Ended(Ending.UNCONNECTED, str(wrong), again=True) from None
+            raise ExchangeError(Ending.CONNECT_FAILED, str(wrong), retryable=True) from None
         self.requests += 1
         stream.written = True
         self.streams[stream.id] = stream
@@ -239,8 +239,8 @@
         if stream is None or stream.flow is None:
             return
         stream.body += event.data or b""
-        if len(stream.body) > MOST_BODY:
-            stream.flow.nonsense(f"an answer of over {MOST_BODY} bytes")
+        if len(stream.body) > MAX_BUFFERED_BODY_BYTES:
+            stream.flow.nonsense(f"an answer of over {MAX_BUFFERED_BODY_BYTES} bytes")
 
     def ended_well(self, number: int) -> None:
         stream = self.streams.pop(number, None)
@@ -255,7 +255,7 @@
             status, fields = stream.head
             flow.answered(Message(status, fields, fields, bytes(stream.body)))
         elif flow is not None:
-            flow.broken(Ended(Ending.MALFORMED, "no answer's head"))
+            flow.broken(ExchangeError(Ending.MALFORMED, "no answer's head"))
         self.rest()
 
     def was_reset(self, number: int, code: int) -> None:
@@ -264,7 +264,7 @@
             return
         stream.over = True
         if stream.flow is not None:
-            stream.flow.broken(Ended(reset_ending(code), f"reset with {code}"))
+            stream.flow.broken(ExchangeError(reset_ending(code), f"reset with {code}"))
         self.rest()
 
     def _told_to_go(self, frame: Any) -> tuple[list[Any], list[Any]]:
@@ -275,7 +275,9 @@
             stream = self.streams.pop(number)
             stream.over = True
             if stream.flow is not None:
-                stream.flow.broken(Ended(Ending.UNCONNECTED, "above the last stream told", again=True))
+                stream.flow.broken(
+                    ExchangeError(Ending.CONNECT_FAILED, "above the last stream told", retryable=True)
+                )
         asyncio.get_running_loop().call_soon(self.rest)
         return [], []
 
@@ -291,7 +293,7 @@
         for stream in streams.values():
             stream.over = True
             if stream.flow is not None:
-                stream.flow.broken(Ended(ending, why))
+                stream.flow.broken(ExchangeError(ending, why))
 
     def close(self) -> None:
         if not self.over:
@@ -319,7 +321,7 @@
 
 def reset_ending(code: int) -> Ending:
     """REFUSED_STREAM says that it never ran (RFC 9113, 8.7); any other reset may come after it did."""
-    return Ending.TURNED_AWAY if code == Codes.REFUSED_STREAM else Ending.BROKEN
+    return Ending.NOT_STARTED if code == Codes.REFUSED_STREAM else Ending.BROKEN
 
 
 class Http2Members:
@@ -336,19 +338,19 @@
     def take(self, member: PoolMember, up: Up) -> "MemberStream | Callable[[], None]":
         """A stream at once, or what gives the wait for one up.
 
-        :raises Ended: NOT_SENT, all connections are full
+        :raises ExchangeError: NOT_SENT, all connections are full
         """
         choice = self._choose(member)
         if choice.do is Do.USE:
             return self._stream(member, choice)
         if choice.do is Do.FULL:
-            raise Ended(Ending.NOT_SENT, "all streams are in use")
+            raise ExchangeError(Ending.NOT_SENT, "all streams are in use")
         waiting = self.waiting.setdefault(member.id, [])
         waiting.append(up)
         if choice.do is Do.DIAL:
             try:
                 self._dial(member)
-            except Ended:
+            except ExchangeError:
                 waiting.remove(up)
                 raise
 
@@ -369,7 +371,7 @@
         return MemberStream(connection)
 
     def _dial(self, member: PoolMember) -> None:
-        def up(sock: socket.socket | None, ended: Ended | None) -> None:
+        def up(sock: socket.socket | None, ended: ExchangeError | None) -> None:
             self.dialling[member.id] -= 1
             if sock is not None:
                 made = MemberConnection2(self, member, sock)
--- a/millfront/http2/part.py
+++ b/millfront/http2/part.py
@@ -32,7 +32,7 @@
     async def start(self) -> None:
         if self.told.shared:
             self.node.server.preface = PREFACE
-            self.node.server.upgraded = self._upgraded
+            self.node.server.on_preface = self._upgraded
         if self.told.members:
             from millfront.http2.members import Http2Members
 
@@ -42,10 +42,10 @@
         if self.told.listen is None:
             return
         main = self.node.server
-        if self.told.connections >= main.most:
-            why = f"{self.told.connections} are not below the {main.most} that clients may hold"
+        if self.told.connections >= main.max_connections:
+            why = f"{self.told.connections} are not below the {main.max_connections} that clients may hold"
             raise ConfigError(f"http2.connections: {why}")
-        main.most -= self.told.connections  # descriptors are bounded for all together
+        main.max_connections -= self.told.connections  # descriptors are bounded for all together
         self.server = VirtualServer(
             main.clock, main.host, main.take_in, main.admit, main.ready, self.told.connections, self._made
         )
@@ -86,5 +86,5 @@
         return {
             "address": str(self.server.address) if self.server is not None else None,
             "member_connections": sum(map(len, self.members.connections.values())) if self.members else 0,
-            "connections": self.server.connected() if self.server is not None else 0,
+            "connections": self.server.connection_count() if self.server is not None else 0,
         }
--- a/millfront/node/counter.py
+++ b/millfront/node/counter.py
@@ -11,7 +11,7 @@
 from millfront import interface as api
 from millfront.logs import Log
 from millfront.node.config import Address
-from millfront.node.endings import COUNT_OUTCOMES, Ended, Ending
+from millfront.node.endings import COUNT_OUTCOMES, Ending, ExchangeError
 from millfront.node.host import Host
 from millfront.node.http import dial
 
@@ -67,7 +67,7 @@
 
     def _late(self, call: Call) -> None:
         """Past its time. Written, it may have been added, and its answer is still to be consumed."""
-        self._end(call, Ending.TIMED_OUT if call.written else Ending.UNCONNECTED)
+        self._end(call, Ending.TIMED_OUT if call.written else Ending.CONNECT_FAILED)
 
     def _end(self, call: Call, ending: Ending, total: float = 0.0) -> None:
         if not call.ended:
@@ -82,9 +82,9 @@
                 continue
             try:
                 stream = await dial(self.address, self.connect_us)
-            except Ended:
+            except ExchangeError:
                 while self._queued:
-                    self._end(self._queued.popleft(), Ending.UNCONNECTED)
+                    self._end(self._queued.popleft(), Ending.CONNECT_FAILED)
                 continue
             try:
                 async with anyio.create_task_group() as tasks:
@@ -133,7 +133,7 @@
                 await stream.send(b"".join(call.line for call in calls))
             except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 for call in calls:  # failed before their last byte was written: nothing added
-                    self._end(call, Ending.UNCONNECTED)
+                    self._end(call, Ending.CONNECT_FAILED)
                 return
 
     async def _read(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
@@ -144,24 +144,24 @@
                 for line in lines:
                     self._answer(line.strip())
                 if len(rest) > MOST_LINE:
-                    raise Ended(Ending.MALFORMED, "a line too long")
+                    raise ExchangeError(Ending.MALFORMED, "a line too long")
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             pass
-        except Ended as ended:
+        except ExchangeError as ended:
             log.warning("the counter answered nonsense", why=ended)
         scope.cancel()
 
     def _answer(self, line: bytes) -> None:
         if not self._written:
-            raise Ended(Ending.MALFORMED, f"an answer to no call: {line[:40]!r}")
+            raise ExchangeError(Ending.MALFORMED, f"an answer to no call: {line[:40]!r}")
         word, _, total = line.partition(b" ")
-        ending, value = Ending.TURNED_AWAY, 0.0
+        ending, value = Ending.NOT_STARTED, 0.0
         if word == b"ok":
             if not TOTAL.fullmatch(total) or not math.isfinite(value := float(total)):
-                raise Ended(Ending.MALFORMED, f"no total: {line[:40]!r}")
+                raise ExchangeError(Ending.MALFORMED, f"no total: {line[:40]!r}")
             ending = Ending.SERVED
         elif word == b"error":
             ending = Ending.ERRORED
         elif word != b"busy":
-            raise Ended(Ending.MALFORMED, f"no answer: {line[:40]!r}")
+            raise ExchangeError(Ending.MALFORMED, f"no answer: {line[:40]!r}")
         self._end(self._written.popleft(), ending, value)
--- a/millfront/node/drain.py
+++ b/millfront/node/drain.py
@@ -6,8 +6,10 @@
 
 from enum import Flag
 
-ACCEPT_US = 420_000  # the front brings new connections for so long, and keeps the ones it has until told
-AT_REST_US = 100_000  # later: answers have said `Connection: close` meanwhile
+ACCEPT_PERIOD_US = (
+    420_000  # the front brings new connections for so long, and keeps the ones it has until told
+)
+IDLE_CLOSE_DELAY_US = 100_000  # later: answers have said `Connection: close` meanwhile
 
 
 class Reason(Flag):
@@ -22,16 +24,16 @@
     def __init__(self) -> None:
         self.reasons = Reason.NONE
         self.since_us = 0  # when the first of the reasons in force came up
-        self.end_us = 0  # when the end was planned
+        self.end_planned_us = 0  # when the end was planned
 
-    def on(self, reason: Reason, now_us: int) -> None:
+    def add_reason(self, reason: Reason, now_us: int) -> None:
         if not self.reasons:
             self.since_us = now_us
         if reason & Reason.END and not self.ending:
-            self.end_us = now_us
+            self.end_planned_us = now_us
         self.reasons |= reason
 
-    def off(self, reason: Reason) -> None:
+    def remove_reason(self, reason: Reason) -> None:
         """:raises ValueError: an end can't be called off"""
         if reason & Reason.END:
             raise ValueError("a planned end is for good")
@@ -42,18 +44,18 @@
         return bool(self.reasons & Reason.END)
 
     @property
-    def wanted(self) -> bool:
+    def accepts_clients(self) -> bool:
         """What the front is told: whether it is to bring clients."""
         return not self.reasons
 
-    def sends_away(self, now_us: int) -> bool:
+    def closes_after_response(self, now_us: int) -> bool:
         """Answers ask clients to go elsewhere."""
-        return bool(self.reasons) and now_us >= self.since_us + ACCEPT_US
+        return bool(self.reasons) and now_us >= self.since_us + ACCEPT_PERIOD_US
 
-    def closes_at_rest(self, now_us: int) -> bool:
+    def closes_idle(self, now_us: int) -> bool:
         """Connections without a request are closed."""
-        return bool(self.reasons) and now_us >= self.since_us + ACCEPT_US + AT_REST_US
+        return bool(self.reasons) and now_us >= self.since_us + ACCEPT_PERIOD_US + IDLE_CLOSE_DELAY_US
 
-    def takes_no_more(self, now_us: int) -> bool:
+    def stops_accepting(self, now_us: int) -> bool:
         """Nobody new is brought any more. Counted from the signal, however long a drain was on before."""
-        return self.ending and now_us >= self.end_us + ACCEPT_US + AT_REST_US
+        return self.ending and now_us >= self.end_planned_us + ACCEPT_PERIOD_US + IDLE_CLOSE_DELAY_US
--- a/millfront/node/endings.py
+++ b/millfront/node/endings.py
@@ -8,15 +8,15 @@
 class Ending(Enum):
     SERVED = "answered well"
     ERRORED = "answered with an error"
-    TURNED_AWAY = "answered that it was never started"
-    UNCONNECTED = "did not come up, or broke before the last byte was written"
+    NOT_STARTED = "answered that it was never started"
+    CONNECT_FAILED = "did not come up, or broke before the last byte was written"
     BROKEN = "broke or ended after the last byte was written"
     MALFORMED = "answered with something that is no answer"
     TIMED_OUT = "did not answer in time"
     CANCELLED = "given up by the module"
     NOT_SENT = "never tried: the request was over, its time was up, or nobody was there to send it to"
     # Of a client's connection alone: the module is told of a request that is gone, or of nothing.
-    LEFT = "left by the client with a request open"
+    CLIENT_LEFT = "left by the client with a request open"
     CLOSED = "closed between exchanges"
 
 
@@ -24,8 +24,8 @@
 FLOW_OUTCOMES = {
     Ending.SERVED: Outcome.OK,
     Ending.ERRORED: Outcome.ERROR,
-    Ending.TURNED_AWAY: Outcome.FULL,
-    Ending.UNCONNECTED: Outcome.CONNECT_FAILED,
+    Ending.NOT_STARTED: Outcome.FULL,
+    Ending.CONNECT_FAILED: Outcome.CONNECT_FAILED,
     Ending.BROKEN: Outcome.RESET,
     Ending.MALFORMED: Outcome.ERROR,  # the member is there and has answered: its connections are well
     Ending.TIMED_OUT: Outcome.TIMEOUT,
@@ -37,19 +37,23 @@
 COUNT_OUTCOMES = {
     Ending.SERVED: Outcome.OK,
     Ending.ERRORED: Outcome.ERROR,
-    Ending.TURNED_AWAY: Outcome.FULL,
-    Ending.UNCONNECTED: Outcome.CONNECT_FAILED,
+    Ending.NOT_STARTED: Outcome.FULL,
+    Ending.CONNECT_FAILED: Outcome.CONNECT_FAILED,
     Ending.BROKEN: Outcome.RESET,
     Ending.MALFORMED: Outcome.RESET,
     Ending.TIMED_OUT: Outcome.TIMEOUT,
 }
 
 
-class Ended(Exception):
+class ExchangeError(Exception):
     """A connection has ended, and how."""
 
-    def __init__(self, ending: Ending, detail: str = "", again: bool = False, part: bool = False) -> None:
+    def __init__(
+        self, ending: Ending, detail: str = "", retryable: bool = False, partially_sent: bool = False
+    ) -> None:
         super().__init__(f"{ending.value}: {detail}" if detail else ending.value)
         self.ending = ending
-        self.again = again  # only this connection broke, and nothing ran: another may do at once
-        self.part = part  # the kernel had taken some of the request, so the member may have seen it
+        self.retryable = retryable  # only this connection broke, and nothing ran: another may do at once
+        self.partially_sent = (
+            partially_sent  # the kernel had taken some of the request, so the member may have seen it
+        )
--- a/millfront/node/host.py
+++ b/millfront/node/host.py
@@ -288,7 +288,7 @@
         )
         return opened
 
-    def whole(self, opened: OpenRequest) -> None:
+    def body_complete(self, opened: OpenRequest) -> None:
         """Its last byte has come: its time begins."""
         opened.whole, opened.came_us = True, self.clock.now()
         if opened.over:
@@ -325,7 +325,7 @@
     def is_open(self, name: bytes) -> bool:
         return name in self._names
 
-    def leave(self, opened: OpenRequest) -> None:
+    def client_left(self, opened: OpenRequest) -> None:
         """The client went away: no answer is owed any more."""
         if self._finish(opened.id):
             self.tell(api.RequestGone(opened.id))
--- a/millfront/node/http1.py
+++ b/millfront/node/http1.py
@@ -11,13 +11,13 @@
 
 import h11
 
-from millfront.node.endings import Ended, Ending
+from millfront.node.endings import Ending, ExchangeError
 from millfront.node.http import (
     FRAMING,
-    MOST_AHEAD,
-    MOST_BODY,
-    MOST_HEAD,
-    MOST_STREAMED,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_INTERIM_RESPONSES,
+    MAX_STREAMED_BODY_BYTES,
     Fields,
     Message,
 )
@@ -25,23 +25,23 @@
 
 FIELDS = rb"((?:[A-Za-z0-9-]+: [!-~](?:[ -~]*[!-~])?\r\n)*)\r\n"
 REQUEST = re.compile(rb"(GET|POST) (/[!-~]*) HTTP/1\.1\r\n" + FIELDS)
-ANSWER = re.compile(rb"HTTP/1\.1 ([2-5][0-9][0-9]) [ -~]*\r\n" + FIELDS)
+RESPONSE = re.compile(rb"HTTP/1\.1 ([2-5][0-9][0-9]) [ -~]*\r\n" + FIELDS)
 FIELD = re.compile(rb"([A-Za-z0-9-]+): ([!-~](?:[ -~]*[!-~])?)\r\n")
 LENGTH = re.compile(rb"[0-9]{1,8}")
 # Fields that change how a message is read or what comes after it: not for the fast path.
-SPECIAL = frozenset((b"connection", b"expect", b"te", b"trailer", b"transfer-encoding", b"upgrade"))
+FALLBACK_FIELDS = frozenset((b"connection", b"expect", b"te", b"trailer", b"transfer-encoding", b"upgrade"))
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, reason) for code, reason in REASONS.items()}
 
 
-def parsed_fields(block: bytes) -> tuple[Fields, Fields, int | None, int] | None:
+def parse_fields(block: bytes) -> tuple[Fields, Fields, int | None, int] | None:
     """Fields as (lower-case, as they came), the content length and the number of hosts; None: not for the
     fast path."""
     raw: Fields = FIELD.findall(block)
     fields = [(name.lower(), value) for name, value in raw]
     names = [name for name, _ in fields]
-    if not SPECIAL.isdisjoint(names):
-        spoken = [field for field in fields if field[0] in SPECIAL]
+    if not FALLBACK_FIELDS.isdisjoint(names):
+        spoken = [field for field in fields if field[0] in FALLBACK_FIELDS]
         if any(name != b"connection" or value.lower() != b"keep-alive" for name, value in spoken):
             return None
     length = None
@@ -53,61 +53,61 @@
     return fields, raw, length, names.count(b"host")
 
 
-def may_begin(data: bytes, *beginnings: bytes) -> bool:
+def may_match_fast_path(data: bytes, *beginnings: bytes) -> bool:
     """Whether a head that is not whole yet may still be one for the fast path."""
     begins = any(data.startswith(b) or b.startswith(data) for b in beginnings)
-    return begins and len(data) <= MOST_HEAD and data.count(b"\n") == data.count(b"\r\n")
+    return begins and len(data) <= MAX_HEAD_BYTES and data.count(b"\n") == data.count(b"\r\n")
 
 
-ABSOLUTE = re.compile(rb"https?://[^/?#@]*(?=[/?]|$)", re.IGNORECASE)
+ABSOLUTE_FORM = re.compile(rb"https?://[^/?#@]*(?=[/?]|$)", re.IGNORECASE)
 
 
 def origin_form(target: bytes) -> bytes:
     """RFC 9112, 3.2.2: a server takes the absolute form too; what goes on is its path and query."""
-    found = ABSOLUTE.match(target)
+    found = ABSOLUTE_FORM.match(target)
     return target if found is None else target[found.end() :] or b"/"
 
 
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
-TOO_LONG = f"an answer of over {MOST_STREAMED} bytes"
+RESPONSE_TOO_LONG = f"an answer of over {MAX_STREAMED_BODY_BYTES} bytes"
 
 
-class Requests:
+class ServerCodec:
     """What a client sends, one request after another, and the bytes that answer it."""
 
     __slots__ = (
         "_body",
+        "_body_received",
         "_buffer",
         "_chunked",
         "_h11",
         "_head",
-        "_headless",
-        "_left",
-        "_most",
+        "_is_head_request",
+        "_max_body",
+        "_remaining",
         "_request",
-        "_size",
-        "under_way",
+        "body_pending",
     )
 
-    def __init__(self, most: int = MOST_STREAMED) -> None:
+    def __init__(self, max_body: int = MAX_STREAMED_BODY_BYTES) -> None:
         """:param most: bytes of a body"""
-        self._most = most
-        self.under_way = False  # a body whose beginning was taken by next(); the rest is for piece()
-        self._left = 0  # bytes of it that are to come, on the fast path
-        self._size = 0  # bytes of it that came, on h11
+        self._max_body = max_body
+        self.body_pending = False  # a body whose beginning was taken by next(); the rest is for piece()
+        self._remaining = 0  # bytes of it that are to come, on the fast path
+        self._body_received = 0  # bytes of it that came, on h11
         self._chunked = False  # the answer under way
         self._buffer = b""
         self._head: tuple[tuple[bytes, bytes], Fields, Fields, int, int] | None = None
         self._h11: h11.Connection | None = None
         self._request: h11.Request | None = None
         self._body = bytearray()
-        self._headless = False
+        self._is_head_request = False
 
     @property
     def buffered(self) -> int:
@@ -120,7 +120,7 @@
         return self._head is not None or self._request is not None
 
     @property
-    def asks_to_go_on(self) -> bool:
+    def awaits_continue(self) -> bool:
         """Whether the client waits for 100 (Continue) before its body (RFC 9110, 10.1.1)."""
         return self._h11 is not None and self._h11.they_are_waiting_for_100_continue
 
@@ -130,110 +130,114 @@
         else:
             self._buffer = self._buffer + data if self._buffer else data
 
-    def next(self) -> Message | None:
+    def next_request(self) -> Message | None:
         """A request that is whole, or none yet.
 
         :raises NotTaken: it can't be read to its end; nothing more can be taken from this connection
         """
         if self._h11 is None:
-            if (found := self._fast()) is not None:
+            if (found := self._parse_fast()) is not None:
                 return found
             if self._h11 is None:
                 return None
         try:
-            return self._slow(self._h11)
-        except h11.RemoteProtocolError as wrong:
-            raise NotTaken(wrong.error_status_hint, str(wrong)) from None
+            return self._parse_with_h11(self._h11)
+        except h11.RemoteProtocolError as error:
+            raise NotTaken(error.error_status_hint, str(error)) from None
 
-    def _fast(self) -> Message | None:
+    def _parse_fast(self) -> Message | None:
         buffer = self._buffer
         if not buffer:
             return None
         if self._head is None:
             end = buffer.find(b"\r\n\r\n")
             if end < 0:
-                if not may_begin(buffer, b"GET /", b"POST /"):
-                    self._hand_over()
+                if not may_match_fast_path(buffer, b"GET /", b"POST /"):
+                    self._switch_to_h11()
                 return None
             match = REQUEST.match(buffer)
             read = None
-            if match is not None and match.end() == end + 4 <= MOST_HEAD:
-                read = parsed_fields(match[3])
-            if match is None or read is None or read[3] != 1 or (read[2] or 0) > self._most:
-                self._hand_over()
+            if match is not None and match.end() == end + 4 <= MAX_HEAD_BYTES:
+                read = parse_fields(match[3])
+            if match is None or read is None or read[3] != 1 or (read[2] or 0) > self._max_body:
+                self._switch_to_h11()
                 return None
             fields, raw, length, _ = read
             self._head = ((match[1], match[2]), fields, raw, length or 0, end + 4)
         start, fields, raw, size, at = self._head
         if len(buffer) < at + size:
-            if size <= MOST_BODY:
+            if size <= MAX_BUFFERED_BODY_BYTES:
                 return None
-            self._head, self._headless, self._buffer = None, False, b""
-            self._left, self.under_way = at + size - len(buffer), True
-            return Message(start, fields, raw, buffer[at:], more=True, length=size)
+            self._head, self._is_head_request, self._buffer = None, False, b""
+            self._remaining, self.body_pending = at + size - len(buffer), True
+            return Message(start, fields, raw, buffer[at:], body_incomplete=True, length=size)
         self._head = None
-        self._headless = False
+        self._is_head_request = False
         self._buffer = buffer[at + size :]
         return Message(start, fields, raw, buffer[at : at + size])
 
-    def _hand_over(self) -> None:
-        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+    def _switch_to_h11(self) -> None:
+        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._h11.receive_data(self._buffer)
         self._buffer, self._head = b"", None
 
-    def piece(self) -> bytes:
+    def read_body(self) -> bytes:
         """What has come of the body under way.
 
         :raises NotTaken: the rest of it can't be read
         """
         if self._h11 is None:
-            data, self._buffer = self._buffer[: self._left], self._buffer[self._left :]
-            self._left -= len(data)
-            self.under_way = self._left > 0
+            data, self._buffer = self._buffer[: self._remaining], self._buffer[self._remaining :]
+            self._remaining -= len(data)
+            self.body_pending = self._remaining > 0
             return data
         try:
-            while self.under_way:
+            while self.body_pending:
                 event = self._h11.next_event()
                 if isinstance(event, h11.Data):
-                    self._take(event)
+                    self._handle_event(event)
                 elif isinstance(event, h11.EndOfMessage):
-                    self.under_way, self._request = False, None
+                    self.body_pending, self._request = False, None
                 else:
                     break
-        except h11.RemoteProtocolError as wrong:
-            raise NotTaken(wrong.error_status_hint, str(wrong)) from None
+        except h11.RemoteProtocolError as error:
+            raise NotTaken(error.error_status_hint, str(error)) from None
         data, self._body = bytes(self._body), bytearray()
         return data
 
-    def _slow(self, connection: h11.Connection) -> Message | None:
+    def _parse_with_h11(self, connection: h11.Connection) -> Message | None:
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return None
-            if (found := self._take(event)) is not None:
+            if (found := self._handle_event(event)) is not None:
                 return found
 
-    def _take(self, event: Any) -> Message | None:
+    def _handle_event(self, event: Any) -> Message | None:
         if isinstance(event, h11.Request):
             self._request = event
-            self._headless = event.method == b"HEAD"
+            self._is_head_request = event.method == b"HEAD"
             framing = {name: value for name, value in event.headers if name in FRAMING}
             # Passed on, the one could hide a second request in the body that the other shows
             if len(framing) > 1 or (b"transfer-encoding" in framing and event.http_version < b"1.1"):
                 raise NotTaken(400, "Content-Length or HTTP/1.0 with Transfer-Encoding")
             length = int(framing.get(b"content-length", b"0"))
-            if length > self._most:
+            if length > self._max_body:
                 raise NotTaken(413, "body too long")
-            self._size = 0
-            if length > MOST_BODY:
-                return self._begun(event, length)
+            self._body_received = 0
+            if length > MAX_BUFFERED_BODY_BYTES:
+                return self._begin_streaming(event, length)
         elif isinstance(event, h11.Data):
             self._body += event.data
-            self._size += len(event.data)
-            if self._size > self._most:
+            self._body_received += len(event.data)
+            if self._body_received > self._max_body:
                 raise NotTaken(413, "body too long")
-            if not self.under_way and self._size > MOST_BODY and self._request is not None:
-                return self._begun(self._request, None)
+            if (
+                not self.body_pending
+                and self._body_received > MAX_BUFFERED_BODY_BYTES
+                and self._request is not None
+            ):
+                return self._begin_streaming(self._request, None)
         elif isinstance(event, h11.EndOfMessage) and self._request is not None:
             request, body = self._request, bytes(self._body)
             self._request, self._body = None, bytearray()
@@ -245,34 +249,38 @@
             )
         return None
 
-    def _begun(self, head: h11.Request, length: int | None) -> Message:
-        self.under_way = True
+    def _begin_streaming(self, head: h11.Request, length: int | None) -> Message:
+        self.body_pending = True
         body, self._body = bytes(self._body), bytearray()
         start = (head.method, origin_form(head.target))
-        return Message(start, list(head.headers), head.headers.raw_items(), body, more=True, length=length)
+        return Message(
+            start, list(head.headers), head.headers.raw_items(), body, body_incomplete=True, length=length
+        )
 
-    def go_on(self) -> bytes:
+    def encode_continue(self) -> bytes:
         """100 (Continue)."""
         assert self._h11 is not None
         return self._h11.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
-    def answer(self, answer: Message, close: bool) -> tuple[bytes, bool]:
+    def encode_response(self, response: Message, close: bool) -> tuple[bytes, bool]:
         """The bytes of an answer, and whether the connection takes another request after it."""
-        assert isinstance(answer.start, int)
-        close = close or self.under_way  # answered before its end: what still comes is no request
+        assert isinstance(response.start, int)
+        close = close or self.body_pending  # answered before its end: what still comes is no request
         if self._h11 is None:
-            return written(answer, close), not close
+            return response_bytes(response, close), not close
         connection = self._h11
-        fields = [*answer.raw, (b"Content-Length", b"%d" % len(answer.body))]
+        fields = [*response.raw_fields, (b"Content-Length", b"%d" % len(response.body))]
         if close:
             fields.append((b"Connection", b"close"))
-        head = h11.Response(status_code=answer.start, headers=fields, reason=REASONS.get(answer.start, b""))
-        body = b"" if self._headless else answer.body  # HEAD is told a length and sent nothing
+        head = h11.Response(
+            status_code=response.start, headers=fields, reason=REASONS.get(response.start, b"")
+        )
+        body = b"" if self._is_head_request else response.body  # HEAD is told a length and sent nothing
         events: list[h11.Event] = [head, h11.Data(data=body), h11.EndOfMessage()]
         data = b"".join(connection.send(event) or b"" for event in events)
-        return data, self._goes_on(connection)
+        return data, self._end_exchange(connection)
 
-    def _goes_on(self, connection: h11.Connection) -> bool:
+    def _end_exchange(self, connection: h11.Connection) -> bool:
         if connection.our_state is not h11.DONE or connection.their_state is not h11.DONE:
             return False
         self._h11, self._buffer = None, connection.trailing_data[0]  # the next one may be a usual one again
@@ -280,42 +288,44 @@
 
     # An answer that is passed on as it comes: begin(), body() for each part, finish().
 
-    def begin(self, answer: Message, close: bool) -> bytes:
+    def encode_head(self, response: Message, close: bool) -> bytes:
         """Its head."""
-        assert isinstance(answer.start, int)
-        close = close or self.under_way
-        framing = (b"Content-Length", b"%d" % (answer.length or 0))
-        if answer.length is None:
+        assert isinstance(response.start, int)
+        close = close or self.body_pending
+        framing = (b"Content-Length", b"%d" % (response.length or 0))
+        if response.length is None:
             framing = (b"Transfer-Encoding", b"chunked")
         if self._h11 is None:
-            self._chunked = answer.length is None
-            return head_of(answer, framing, close)
-        fields = [*answer.raw, framing, *([(b"Connection", b"close")] if close else [])]
-        reason = REASONS.get(answer.start, b"")
+            self._chunked = response.length is None
+            return response_head_bytes(response, framing, close)
+        fields = [*response.raw_fields, framing, *([(b"Connection", b"close")] if close else [])]
+        reason = REASONS.get(response.start, b"")
         # To HTTP/1.0 it goes without a length and up to the close: h11 sees to that
-        return self._h11.send(h11.Response(status_code=answer.start, headers=fields, reason=reason)) or b""
+        return self._h11.send(h11.Response(status_code=response.start, headers=fields, reason=reason)) or b""
 
-    def body(self, data: bytes) -> bytes:
+    def encode_body(self, data: bytes) -> bytes:
         if self._h11 is not None:
             return self._h11.send(h11.Data(data=data)) or b""
-        return chunk(data) if self._chunked else data
+        return encode_chunk(data) if self._chunked else data
 
-    def finish(self) -> tuple[bytes, bool]:
+    def encode_end(self) -> tuple[bytes, bool]:
         """The last bytes, and whether the connection may take another request."""
         if self._h11 is None:
-            return (LAST_CHUNK if self._chunked else b""), not self.under_way
+            return (LAST_CHUNK if self._chunked else b""), not self.body_pending
         data = self._h11.send(h11.EndOfMessage()) or b""
-        return data, self._goes_on(self._h11)
+        return data, self._end_exchange(self._h11)
 
 
-def written(answer: Message, close: bool) -> bytes:
-    return head_of(answer, (b"Content-Length", b"%d" % len(answer.body)), close) + answer.body
+def response_bytes(response: Message, close: bool) -> bytes:
+    return (
+        response_head_bytes(response, (b"Content-Length", b"%d" % len(response.body)), close) + response.body
+    )
 
 
-def head_of(answer: Message, framing: tuple[bytes, bytes], close: bool) -> bytes:
-    assert isinstance(answer.start, int)
-    parts = [STATUS_LINES.get(answer.start) or b"HTTP/1.1 %d \r\n" % answer.start]
-    parts += [b"%s: %s\r\n" % field for field in (*answer.raw, framing)]
+def response_head_bytes(response: Message, framing: tuple[bytes, bytes], close: bool) -> bytes:
+    assert isinstance(response.start, int)
+    parts = [STATUS_LINES.get(response.start) or b"HTTP/1.1 %d \r\n" % response.start]
+    parts += [b"%s: %s\r\n" % field for field in (*response.raw_fields, framing)]
     parts.append(b"Connection: close\r\n\r\n" if close else b"\r\n")
     return b"".join(parts)
 
@@ -329,21 +339,21 @@
     return b"".join(parts)
 
 
-class Answers:
+class ResponseParser:
     """What a pool member sends on one connection, an answer to each request."""
 
     __slots__ = (
-        "_ahead",
         "_body",
+        "_body_received",
         "_buffer",
         "_h11",
         "_head",
-        "_left",
+        "_interim_count",
         "_method",
+        "_remaining",
         "_response",
-        "_size",
+        "body_pending",
         "reusable",
-        "under_way",
     )
 
     def __init__(self) -> None:
@@ -360,158 +370,166 @@
         self._h11 = None
         self._response: h11.Response | None = None
         self._body = bytearray()
-        self._ahead = 0
-        self._left = self._size = 0
-        self.under_way = False  # a body whose beginning was taken; the rest is for piece()
+        self._interim_count = 0
+        self._remaining = self._body_received = 0
+        self.body_pending = False  # a body whose beginning was taken; the rest is for piece()
         self._method = method
         self.reusable = False
         if method == b"HEAD":  # its answer tells a length and has no body
-            self._hand_over()
+            self._switch_to_h11()
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         return bool(self._buffer) or self._h11 is not None
 
     def feed(self, data: bytes) -> Message | None:
         """The answer once it is whole.
 
-        :raises Ended: MALFORMED, it is no answer or too long
+        :raises ExchangeError: MALFORMED, it is no answer or too long
         """
         if self._h11 is None:
             self._buffer = self._buffer + data if self._buffer else data
-            if (found := self._fast()) is not None:
+            if (found := self._parse_fast()) is not None:
                 return found
             if self._h11 is None:
                 return None
         else:
             self._h11.receive_data(data)
-        return self._slow(self._h11)
+        return self._parse_with_h11(self._h11)
 
-    def piece(self, data: bytes) -> bytes:
+    def read_body(self, data: bytes) -> bytes:
         """What these bytes bring of the body under way; without any, what was there already, or the end.
 
-        :raises Ended: the rest of it can't be read, or does not come
+        :raises ExchangeError: the rest of it can't be read, or does not come
         """
         if self._h11 is None:
-            data, over = data[: self._left], len(data) > self._left
-            self._left -= len(data)
-            self.under_way = self._left > 0
-            self.reusable = not self.under_way and not over
+            data, over = data[: self._remaining], len(data) > self._remaining
+            self._remaining -= len(data)
+            self.body_pending = self._remaining > 0
+            self.reusable = not self.body_pending and not over
             return data
         if data:  # nothing at all would be the connection's end
             self._h11.receive_data(data)
-        self._slow(self._h11)
+        self._parse_with_h11(self._h11)
         data, self._body = bytes(self._body), bytearray()
         return data
 
-    def begun_so_far(self) -> Message | None:
+    def partial_response(self) -> Message | None:
         """The beginning of an answer that tells no length: it is not to wait for 64 KiB of it."""
         head = self._response
-        if head is None or self.under_way or any(name == b"content-length" for name, _ in head.headers):
+        if head is None or self.body_pending or any(name == b"content-length" for name, _ in head.headers):
             return None
-        return self._begun(head, None)
+        return self._begin_streaming(head, None)
 
-    def end(self) -> Message | None:
+    def end_of_stream(self) -> Message | None:
         """The member has ended its sending: an answer that lasts until then is whole.
 
-        :raises Ended: BROKEN, there is none or a part of one
+        :raises ExchangeError: BROKEN, there is none or a part of one
         """
         if self._h11 is None:
-            self._hand_over()
+            self._switch_to_h11()
         assert self._h11 is not None
         self._h11.receive_data(b"")
-        found = self._slow(self._h11)
+        found = self._parse_with_h11(self._h11)
         if found is None:
-            raise Ended(Ending.BROKEN, "ended before an answer")
+            raise ExchangeError(Ending.BROKEN, "ended before an answer")
         return found
 
-    def _fast(self) -> Message | None:
+    def _parse_fast(self) -> Message | None:
         buffer = self._buffer
         if self._head is None:
             end = buffer.find(b"\r\n\r\n")
             if end < 0:
-                if not may_begin(buffer, b"HTTP/1.1 "):
-                    self._hand_over()
+                if not may_match_fast_path(buffer, b"HTTP/1.1 "):
+                    self._switch_to_h11()
                 return None
-            match = ANSWER.match(buffer)
+            match = RESPONSE.match(buffer)
             read = None
-            if match is not None and match.end() == end + 4 <= MOST_HEAD and match[1] not in (b"204", b"304"):
-                read = parsed_fields(match[2])
+            if (
+                match is not None
+                and match.end() == end + 4 <= MAX_HEAD_BYTES
+                and match[1] not in (b"204", b"304")
+            ):
+                read = parse_fields(match[2])
             if match is None or read is None or read[2] is None:
-                self._hand_over()
+                self._switch_to_h11()
                 return None
             fields, raw, length, _ = read
             assert length is not None
-            if length > MOST_STREAMED:
-                raise Ended(Ending.MALFORMED, TOO_LONG)
+            if length > MAX_STREAMED_BODY_BYTES:
+                raise ExchangeError(Ending.MALFORMED, RESPONSE_TOO_LONG)
             self._head = (int(match[1]), fields, raw, length, end + 4)
         status, fields, raw, size, at = self._head
         if len(buffer) < at + size:
-            if size <= MOST_BODY:
+            if size <= MAX_BUFFERED_BODY_BYTES:
                 return None
-            self._left, self.under_way, self._buffer = at + size - len(buffer), True, b""
-            return Message(status, fields, raw, buffer[at:], more=True, length=size)
+            self._remaining, self.body_pending, self._buffer = at + size - len(buffer), True, b""
+            return Message(status, fields, raw, buffer[at:], body_incomplete=True, length=size)
         self.reusable = len(buffer) == at + size  # bytes that answer nothing: the next could not be trusted
         return Message(status, fields, raw, buffer[at : at + size])
 
-    def _hand_over(self) -> None:
-        connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
+    def _switch_to_h11(self) -> None:
+        connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         connection.send(h11.Request(method=self._method, target=b"/", headers=[(b"Host", b"a")]))
         connection.send(h11.EndOfMessage())
         if self._buffer:
             connection.receive_data(self._buffer)
         self._h11, self._buffer = connection, b""
 
-    def _slow(self, connection: h11.Connection) -> Message | None:
+    def _parse_with_h11(self, connection: h11.Connection) -> Message | None:
         try:
-            return self._rest(connection)
-        except h11.RemoteProtocolError as wrong:
+            return self._read_events(connection)
+        except h11.RemoteProtocolError as error:
             # h11 words an end inside a message as a fault of protocol: it is a break like any other
             cut = connection.trailing_data[1]
-            raise Ended(Ending.BROKEN if cut else Ending.MALFORMED, str(wrong)) from None
+            raise ExchangeError(Ending.BROKEN if cut else Ending.MALFORMED, str(error)) from None
 
-    def _rest(self, connection: h11.Connection) -> Message | None:
+    def _read_events(self, connection: h11.Connection) -> Message | None:
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
                 return None
             if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                raise Ended(Ending.BROKEN, "ended before an answer")
+                raise ExchangeError(Ending.BROKEN, "ended before an answer")
             if isinstance(event, h11.InformationalResponse):
-                self._ahead += 1
-                if self._ahead > MOST_AHEAD:
-                    raise Ended(Ending.MALFORMED, "no answer's head")
+                self._interim_count += 1
+                if self._interim_count > MAX_INTERIM_RESPONSES:
+                    raise ExchangeError(Ending.MALFORMED, "no answer's head")
             elif isinstance(event, h11.Response):
-                if (length := self._begin(event)) > MOST_BODY:
-                    return self._begun(event, length)
+                if (length := self._check_framing(event)) > MAX_BUFFERED_BODY_BYTES:
+                    return self._begin_streaming(event, length)
             elif isinstance(event, h11.Data):
                 self._body += event.data
-                self._size += len(event.data)
-                if self._size > MOST_STREAMED:
-                    raise Ended(Ending.MALFORMED, TOO_LONG)
-                if not self.under_way and self._size > MOST_BODY and self._response is not None:
-                    return self._begun(self._response, None)
+                self._body_received += len(event.data)
+                if self._body_received > MAX_STREAMED_BODY_BYTES:
+                    raise ExchangeError(Ending.MALFORMED, RESPONSE_TOO_LONG)
+                if (
+                    not self.body_pending
+                    and self._body_received > MAX_BUFFERED_BODY_BYTES
+                    and self._response is not None
+                ):
+                    return self._begin_streaming(self._response, None)
             elif isinstance(event, h11.EndOfMessage) and self._response is not None:
                 head = self._response
-                self.under_way = False
+                self.body_pending = False
                 done = connection.our_state is h11.DONE and connection.their_state is h11.DONE
                 self.reusable = done and not connection.trailing_data[0]
                 fields = list(head.headers)
                 return Message(head.status_code, fields, head.headers.raw_items(), bytes(self._body))
 
-    def _begun(self, head: h11.Response, length: int | None) -> Message:
-        self.under_way = True
+    def _begin_streaming(self, head: h11.Response, length: int | None) -> Message:
+        self.body_pending = True
         body, self._body = bytes(self._body), bytearray()
         raw = head.headers.raw_items()
-        return Message(head.status_code, list(head.headers), raw, body, more=True, length=length)
+        return Message(head.status_code, list(head.headers), raw, body, body_incomplete=True, length=length)
 
-    def _begin(self, head: h11.Response) -> int:
+    def _check_framing(self, head: h11.Response) -> int:
         """Its length, 0 where none is told."""
         names = [name for name, _ in head.headers if name in FRAMING]
         if len(names) > 1:
-            raise Ended(Ending.MALFORMED, "Content-Length and Transfer-Encoding")
+            raise ExchangeError(Ending.MALFORMED, "Content-Length and Transfer-Encoding")
         length = max((int(value) for name, value in head.headers if name == b"content-length"), default=0)
-        if length > MOST_STREAMED:
-            raise Ended(Ending.MALFORMED, TOO_LONG)
+        if length > MAX_STREAMED_BODY_BYTES:
+            raise ExchangeError(Ending.MALFORMED, RESPONSE_TOO_LONG)
         self._response = head
         return length
--- a/millfront/node/link.py
+++ b/millfront/node/link.py
@@ -22,7 +22,7 @@
 log = Log(__name__)
 
 READ_SIZE = 64 * 1024
-NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class Owner(Protocol):
@@ -56,20 +56,20 @@
             data = self._sock.recv(READ_SIZE)
         except (BlockingIOError, InterruptedError):
             return
-        except OSError as wrong:
-            self._tell_end(repr(wrong))
+        except OSError as error:
+            self._notify_ended(repr(error))
             return
         if not data:
-            self._tell_end("")
+            self._notify_ended("")
             return
         try:
             self.owner.received(data)
         except Exception:  # one connection's fault is its own
             log.exception("a connection failed")
             self.close()
-            self._tell_end("a fault of our own")
+            self._notify_ended("a fault of our own")
 
-    def _tell_end(self, why: str) -> None:
+    def _notify_ended(self, why: str) -> None:
         """Once: the loop would call again and again for a socket that has ended."""
         if not self.closed:
             self._loop.remove_reader(self._fd)
@@ -104,7 +104,7 @@
         """Bytes that wait for the kernel."""
         return len(self._unsent)
 
-    def unread(self) -> int:
+    def unacknowledged(self) -> int:
         """Bytes that the kernel has and the other side has not taken: they can be megabytes, and tell a slow
         reader from one that reads nothing long before there is room for more."""
         try:
@@ -136,9 +136,9 @@
             sent = self.send(self._unsent)
         except (BlockingIOError, InterruptedError):
             return
-        except OSError as wrong:
+        except OSError as error:
             self._loop.remove_writer(self._fd)
-            self._tell_end(repr(wrong))
+            self._notify_ended(repr(error))
             return
         del self._unsent[:sent]
         if not self._unsent:
@@ -149,7 +149,7 @@
                 log.exception("a connection failed")
                 self.close()
 
-    def quiet(self) -> bool:
+    def nothing_to_read(self) -> bool:
         """Still up, and with nothing to read."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
@@ -159,7 +159,7 @@
             pass
         return False
 
-    def finish_sending(self) -> None:
+    def shutdown_write(self) -> None:
         """Say that nothing more comes; reading goes on."""
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
@@ -175,7 +175,7 @@
         self._sock.close()
 
 
-def listener_at(host: str, port: int, backlog: int) -> socket.socket:
+def create_listener(host: str, port: int, backlog: int) -> socket.socket:
     """A listening socket at that address, which a successor may share; raises OSError."""
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -207,7 +207,7 @@
     return sock
 
 
-class Dialling:
+class ConnectAttempt:
     """A connection being set up. Ends once: with its socket, with what went wrong, or with nothing if given
     up."""
 
@@ -233,12 +233,12 @@
         except BaseException:
             self._sock.close()
             raise
-        loop.add_writer(self._sock.fileno(), self._up)
+        loop.add_writer(self._sock.fileno(), self._on_writable)
         if timeout_s > 0:
-            self._timer = loop.call_later(timeout_s, self._late)
+            self._timer = loop.call_later(timeout_s, self._on_timeout)
 
-    def _up(self) -> None:
-        sock = self._let_go()
+    def _on_writable(self) -> None:
+        sock = self._release()
         if sock is None:
             return
         if number := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -247,12 +247,12 @@
         else:
             self._done(sock, None)
 
-    def _late(self) -> None:
-        if (sock := self._let_go()) is not None:
+    def _on_timeout(self) -> None:
+        if (sock := self._release()) is not None:
             sock.close()
             self._done(None, TimeoutError(errno.ETIMEDOUT, "not up in time"))
 
-    def _let_go(self) -> socket.socket | None:
+    def _release(self) -> socket.socket | None:
         sock, self._sock = self._sock, None
         if sock is not None:
             self._loop.remove_writer(sock.fileno())
@@ -260,6 +260,6 @@
             self._timer.cancel()
         return sock
 
-    def give_up(self) -> None:
-        if (sock := self._let_go()) is not None:
+    def cancel(self) -> None:
+        if (sock := self._release()) is not None:
             sock.close()
--- a/millfront/node/members.py
+++ b/millfront/node/members.py
@@ -9,11 +9,11 @@
 
 from millfront.node.bodies import Upload
 from millfront.node.config import Address
-from millfront.node.endings import Ended, Ending
+from millfront.node.endings import Ending, ExchangeError
 from millfront.node.host import Clock
-from millfront.node.http import Fields, Message, unconnected
-from millfront.node.http1 import LAST_CHUNK, Answers, chunk, request_bytes
-from millfront.node.link import Dialling, Link
+from millfront.node.http import Fields, Message, connect_error
+from millfront.node.http1 import LAST_CHUNK, ResponseParser, encode_chunk, request_bytes
+from millfront.node.link import ConnectAttempt, Link
 
 IDLE_SHARE = 0.5  # of KeepaliveUs: a request written after the member closed would count as a reset
 WORN_SHARE = 0.15  # of the requests on connections idle for so long that broke
@@ -53,7 +53,7 @@
 
     def answered(self, answer: Message) -> None: ...
     def nonsense(self, why: str) -> None: ...
-    def broken(self, ended: Ended) -> None: ...
+    def broken(self, ended: ExchangeError) -> None: ...
 
 
 class Exchange(Protocol):
@@ -64,7 +64,7 @@
     def request(
         self, start: tuple[bytes, bytes], fields: Fields, body: bytes, upload: Upload | None = None
     ) -> None:
-        """Write it, and what follows of its body. Raises Ended: UNCONNECTED, nothing of it ran."""
+        """Write it, and what follows of its body. Raises ExchangeError: CONNECT_FAILED, nothing of it ran."""
 
     def pause(self) -> None:
         """Bring no more of an answer under way until resumed."""
@@ -92,7 +92,7 @@
         """How it did with the request that was written on it."""
 
 
-Up = Callable[[Exchange | None, Ended | None], None]
+Up = Callable[[Exchange | None, ExchangeError | None], None]
 
 
 class Shared(Protocol):
@@ -122,7 +122,7 @@
         self.members = members
         self.member = member
         self.address = member.dial
-        self.answers = Answers()
+        self.answers = ResponseParser()
         self.flow: Flow | None = None
         self.written = False  # the request's last byte is with the kernel
         self.owed = 0  # bytes of the request that were given to the link
@@ -134,11 +134,11 @@
     def request(
         self, start: tuple[bytes, bytes], fields: Fields, body: bytes, upload: Upload | None = None
     ) -> None:
-        """:raises Ended: UNCONNECTED, it broke before the last byte was written"""
+        """:raises ExchangeError: CONNECT_FAILED, it broke before the last byte was written"""
         length = len(body) if upload is None else upload.length
         if length is None:
             fields = [*fields, (b"Transfer-Encoding", b"chunked")]
-            body = chunk(body)
+            body = encode_chunk(body)
         elif length > len(body):
             fields = [*fields, (b"Content-Length", b"%d" % length)]
         elif body or start[0] == b"POST":
@@ -149,19 +149,19 @@
         try:
             self.link.write(request)
         except OSError as wrong:
-            raise Ended(Ending.UNCONNECTED, repr(wrong), again=True) from None
+            raise ExchangeError(Ending.CONNECT_FAILED, repr(wrong), retryable=True) from None
         if upload is not None:
             upload.attach(self)
         else:
             self.written = not self.link.unsent
 
-    def passes(self, data: bytes, last: bool) -> bool:
+    def write_body(self, data: bytes, last: bool) -> bool:
         """More of the request's body. A break is told by the link's reading side."""
         upload = self.upload
         if upload is None or self.link.closed:
             return True
         if upload.length is None:
-            data = chunk(data) + (LAST_CHUNK if last else b"")
+            data = encode_chunk(data) + (LAST_CHUNK if last else b"")
         try:
             if data:
                 self.owed += len(data)
@@ -208,34 +208,34 @@
             self.members.spoilt(self)
             return
         try:
-            if self.answers.under_way:
-                piece = self.answers.piece(data)
-                flow.piece(piece, not self.answers.under_way)
+            if self.answers.body_pending:
+                piece = self.answers.read_body(data)
+                flow.piece(piece, not self.answers.body_pending)
                 return
             answer = self.answers.feed(data)
-        except Ended as ended:
+        except ExchangeError as ended:
             self._fail(flow, ended)
             return
         if answer is None:
             flow.answering()
-        elif answer.more:
+        elif answer.body_incomplete:
             flow.begun(answer)
         else:
             flow.answered(answer)
 
     def rest(self) -> None:
         """What came with an answer's beginning, once that is passed on."""
-        if self.flow is not None and self.answers.under_way and not self.link.closed:
+        if self.flow is not None and self.answers.body_pending and not self.link.closed:
             try:
-                piece = self.answers.piece(b"")
-            except Ended as ended:
+                piece = self.answers.read_body(b"")
+            except ExchangeError as ended:
                 self._fail(self.flow, ended)
                 return
-            self.flow.piece(piece, not self.answers.under_way)
+            self.flow.piece(piece, not self.answers.body_pending)
 
     def begin(self) -> None:
         """An answer without a length has waited long enough: what there is of it goes on."""
-        if self.flow is not None and (answer := self.answers.begun_so_far()) is not None:
+        if self.flow is not None and (answer := self.answers.partial_response()) is not None:
             self.flow.begun(answer)
 
     def ended(self, why: str) -> None:
@@ -245,14 +245,16 @@
             return
         if not self.written:
             part = self.link.unsent < self.owed
-            flow.broken(Ended(Ending.UNCONNECTED, why or "ended", again=True, part=part))
+            flow.broken(
+                ExchangeError(Ending.CONNECT_FAILED, why or "ended", retryable=True, partially_sent=part)
+            )
             return
         if why:
-            flow.broken(Ended(Ending.BROKEN, why))
+            flow.broken(ExchangeError(Ending.BROKEN, why))
             return
         try:
-            answer = self.answers.end()
-        except Ended as ended:
+            answer = self.answers.end_of_stream()
+        except ExchangeError as ended:
             self._fail(flow, ended)
             return
         assert answer is not None
@@ -261,7 +263,7 @@
         else:
             flow.answered(answer)
 
-    def _fail(self, flow: Flow, ended: Ended) -> None:
+    def _fail(self, flow: Flow, ended: ExchangeError) -> None:
         if ended.ending is Ending.MALFORMED:
             flow.nonsense(str(ended))
         else:
@@ -342,7 +344,7 @@
     def obtain(self, member: PoolMember, up: Up) -> Exchange | Callable[[], None]:
         """An exchange at once; or one is set up and told to `up`, and this returns what gives that up.
 
-        :raises Ended: there is none to be had
+        :raises ExchangeError: there is none to be had
         """
         if self.shared is not None:
             return self.shared.take(member, up)
@@ -356,7 +358,11 @@
             # Nothing may lie unread on it: a second answer or noise would be taken for the next one's. The
             # caller writes without a pause, so nothing can come in between.
             found.idle_us = self.clock.now() - found.idle_since_us
-            if found.address == member.dial and found.link.quiet() and not self.wear.worn(found.idle_us):
+            if (
+                found.address == member.dial
+                and found.link.nothing_to_read()
+                and not self.wear.worn(found.idle_us)
+            ):
                 return found
             self.drop(found)
         return None
@@ -364,42 +370,42 @@
     def dial(self, member: PoolMember, up: Up) -> Callable[[], None]:
         """Set up a new one for one request at a time; returns what gives it up."""
 
-        def made(sock: socket.socket | None, ended: Ended | None) -> None:
+        def made(sock: socket.socket | None, ended: ExchangeError | None) -> None:
             up(MemberConnection(self, member, sock) if sock is not None else None, ended)
 
         return self.set_up(member, made)
 
     def set_up(
-        self, member: PoolMember, done: Callable[[socket.socket | None, Ended | None], None]
+        self, member: PoolMember, done: Callable[[socket.socket | None, ExchangeError | None], None]
     ) -> Callable[[], None]:
         """A socket to the member; returns what gives it up. `done` is told once, unless it is given up.
 
-        :raises Ended: NOT_SENT where descriptors are wanting, UNCONNECTED where it failed at once
+        :raises ExchangeError: NOT_SENT where descriptors are wanting, CONNECT_FAILED where it failed at once
         """
         while self.connections >= self.most and self._idle:
             # descriptors are bounded: the longest idle gives way
             self._drop_idle(next(iter(self._idle)))
         if self.connections >= self.most:
-            raise Ended(Ending.NOT_SENT, "all connections are in use")
+            raise ExchangeError(Ending.NOT_SENT, "all connections are in use")
         address = member.dial
 
         def up(sock: socket.socket | None, wrong: OSError | None) -> None:
             if sock is None:
                 assert wrong is not None
                 self.connections -= 1
-                done(None, unconnected(address, wrong))
+                done(None, connect_error(address, wrong))
                 return
             done(sock, None)
 
         def give_up() -> None:
             self.connections -= 1
-            dialling.give_up()
+            dialling.cancel()
 
         timeout_s = self.connect_timeout_us / 1e6
         try:
-            dialling = Dialling(address.host, address.port, timeout_s, asyncio.get_running_loop(), up)
+            dialling = ConnectAttempt(address.host, address.port, timeout_s, asyncio.get_running_loop(), up)
         except OSError as wrong:
-            raise unconnected(address, wrong) from None
+            raise connect_error(address, wrong) from None
         self.connections += 1
         return give_up
 
--- a/millfront/node/operators_line.py
+++ b/millfront/node/operators_line.py
@@ -10,7 +10,7 @@
 
 from millfront.logs import Log
 from millfront.node.config import Address
-from millfront.node.link import NO_ROOM, Link, accept, listener_at
+from millfront.node.link import RESOURCE_ERRNOS, Link, accept, create_listener
 
 log = Log(__name__)
 
@@ -52,7 +52,7 @@
         except OSError:
             self.close()
             return
-        self.link.finish_sending()
+        self.link.shutdown_write()
         self.timer.cancel()
         self.timer = self.line.loop.call_later(LINGER_S, self.close)
 
@@ -84,7 +84,7 @@
     def listen(self, address: Address) -> Address:
         """Answer from now on; returns where. Raises OSError."""
         self.loop = asyncio.get_running_loop()
-        self._listener = listener_at(address.host, address.port, MOST_CALLERS)
+        self._listener = create_listener(address.host, address.port, MOST_CALLERS)
         self.loop.add_reader(self._listener.fileno(), self._acceptable)
         self.address = Address(address.host, self._listener.getsockname()[1])
         return self.address
@@ -119,10 +119,10 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as wrong:
-                if wrong.errno in NO_ROOM and self.callers:
+                if wrong.errno in RESOURCE_ERRNOS and self.callers:
                     next(iter(self.callers)).close()
                     continue
-                if wrong.errno in NO_ROOM:  # the loop would ask again at once, and spin
+                if wrong.errno in RESOURCE_ERRNOS:  # the loop would ask again at once, and spin
                     self.loop.remove_reader(self._listener.fileno())
                     self.loop.call_later(NO_ROOM_S, self._go_on)
                     return
--- a/millfront/node/pool.py
+++ b/millfront/node/pool.py
@@ -10,9 +10,9 @@
 from millfront import interface as api
 from millfront.logs import Log
 from millfront.node.config import Address, ConfigError
-from millfront.node.endings import Ended, Ending
+from millfront.node.endings import Ending, ExchangeError
 from millfront.node.host import Host
-from millfront.node.http import Wire, dial
+from millfront.node.http import HttpConnection, dial
 from millfront.node.members import Members
 from millfront.settings import NodeSettings
 
@@ -50,7 +50,7 @@
             whole, seq = bool(told["whole"]), int(told["seq"])
             entries = [(self._entry(row), row["host"], self._dial(row)) for row in told["hosts"]]
         except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as wrong:
-            raise Ended(Ending.MALFORMED, f"a list that can't be read: {wrong!r}") from None
+            raise ExchangeError(Ending.MALFORMED, f"a list that can't be read: {wrong!r}") from None
         if whole:
             listed = {entry.backend for entry, _, _ in entries}
             for backend in self._ids.values():
@@ -112,7 +112,7 @@
                 if self._anew:
                     await self._whole_list(discovery)
                 await self._watch_once(discovery)
-            except Ended as ended:
+            except ExchangeError as ended:
                 if str(ended) != said:  # a discovery that is down for hours is said once
                     log.warning("discovery ended", why=ended)
                 said = str(ended)
@@ -123,19 +123,19 @@
         wire = await self._asked(discovery, "/v1/servers")
         try:
             with anyio.fail_after(SILENT_S):
-                answer = await wire.read_answer()
+                answer = await wire.read_response()
         except TimeoutError:
-            raise Ended(Ending.TIMED_OUT) from None
+            raise ExchangeError(Ending.TIMED_OUT) from None
         finally:
             await wire.close()
         if answer.start != 200:
-            raise Ended(Ending.ERRORED, f"status {answer.start}")
+            raise ExchangeError(Ending.ERRORED, f"status {answer.start}")
         if discovery == self.discovery:
             self._told(answer.body)
             self._anew = False
 
-    async def _asked(self, discovery: Address, target: str) -> Wire:
-        wire = Wire(await dial(discovery, self.connect_us), h11.CLIENT)
+    async def _asked(self, discovery: Address, target: str) -> HttpConnection:
+        wire = HttpConnection(await dial(discovery, self.connect_us), h11.CLIENT)
         try:
             request = h11.Request(method="GET", target=target, headers=[("Host", str(discovery))])
             await wire.write(request, h11.EndOfMessage())
@@ -157,18 +157,18 @@
                     if isinstance(event, h11.EndOfMessage):
                         return
                     continue
-                raise Ended(Ending.TIMED_OUT)
+                raise ExchangeError(Ending.TIMED_OUT)
         finally:
             await wire.close()
 
     def _event(self, event: h11.Event, line: bytearray) -> None:
         if isinstance(event, h11.Response) and event.status_code != 200:
-            raise Ended(Ending.ERRORED, f"status {event.status_code}")
+            raise ExchangeError(Ending.ERRORED, f"status {event.status_code}")
         if not isinstance(event, h11.Data):
             return
         line += event.data
         if len(line) > MOST_LINE:
-            raise Ended(Ending.MALFORMED, f"a line of over {MOST_LINE} bytes")
+            raise ExchangeError(Ending.MALFORMED, f"a line of over {MOST_LINE} bytes")
         *whole, rest = bytes(line).split(b"\n")
         line[:] = rest
         for text in whole:
@@ -179,5 +179,5 @@
         try:
             told = json.loads(text)
         except ValueError as wrong:
-            raise Ended(Ending.MALFORMED, str(wrong)) from None
+            raise ExchangeError(Ending.MALFORMED, str(wrong)) from None
         self.take(told)
--- a/millfront/node/service.py
+++ b/millfront/node/service.py
@@ -9,12 +9,18 @@
 from millfront import interface as api
 from millfront import takeover
 from millfront.logs import Log
-from millfront.node.bodies import EACH, PART, ROOM_PART, Room, Ways
+from millfront.node.bodies import (
+    BODIES_MEMORY_DIVISOR,
+    BODY_BUFFER_BYTES,
+    RESPONSES_MEMORY_DIVISOR,
+    BodySlots,
+    BufferBudget,
+)
 from millfront.node.clients import VirtualServer
 from millfront.node.config import Address, Config, ConfigError
 from millfront.node.counter import Counter
 from millfront.node.drain import Drain, Reason
-from millfront.node.endings import Ended
+from millfront.node.endings import ExchangeError
 from millfront.node.handover import Handover
 from millfront.node.host import Clock, Host
 from millfront.node.members import Members
@@ -46,14 +52,16 @@
         self.counter: Counter | None = None
         self.tuning = Tuning(settings, node)
         self.book = Book(self.host, node.most_units)
-        self.ways = Ways(max(1, config.memory_mb * 1024 * 1024 // PART // EACH))
+        self.ways = BodySlots(
+            max(1, config.memory_mb * 1024 * 1024 // BODIES_MEMORY_DIVISOR // BODY_BUFFER_BYTES)
+        )
         self.send = Send(self.clock, self.members, Route(self.members), self.book, self.ways, self._begin)
         self.admit = Admit(self.host, min(node.max_open, config.most_clients))
         self.take_in = TakeIn(self.tuning, node.most_units)
         self.server = VirtualServer(
             self.clock, self.host, self.take_in, self.admit, self.ready, config.most_clients
         )
-        self.server.room = Room(config.memory_mb * 1024 * 1024 // ROOM_PART)
+        self.server.buffer_budget = BufferBudget(config.memory_mb * 1024 * 1024 // RESPONSES_MEMORY_DIVISOR)
         self.fronts = [self.server]  # and what is switched on beside it
         self.parts = Parts()
         self.drain = Drain()
@@ -68,7 +76,7 @@
 
     def ready(self) -> bool:
         """What the front is told: this gatekeeper is able to serve, and clients are wanted here."""
-        return self.members.any_ready() and self.drain.wanted
+        return self.members.any_ready() and self.drain.accepts_clients
 
     # ---- what operators ask, by a signal or on their line ----------------------------------------
 
@@ -81,7 +89,7 @@
             raise Refused("ends")
         if self.server.address is None or not self.members.any_ready():
             raise Refused("no pool member is known yet")
-        return "serves" if self.drain.wanted else "serves; clients are sent away"
+        return "serves" if self.drain.accepts_clients else "serves; clients are sent away"
 
     def drain_on(self) -> str:
         self._send_away_for(Reason.OPERATORS)
@@ -90,14 +98,14 @@
     def drain_off(self) -> str:
         if self.drain.ending:
             raise Refused("ends")
-        if not self.drain.wanted:
-            self.drain.off(Reason.OPERATORS)
+        if not self.drain.accepts_clients:
+            self.drain.remove_reason(Reason.OPERATORS)
             log.info("drain off")
         return "clients are taken"
 
     def _send_away_for(self, reason: Reason) -> None:
         if reason not in self.drain.reasons:
-            self.drain.on(reason, self.clock.now())
+            self.drain.add_reason(reason, self.clock.now())
             log.info("clients are sent away", why=reason.name)
         self._sending_away.set()
 
@@ -116,7 +124,7 @@
             self.host.start()
             try:
                 self.pool.take(config.known, cached=True)
-            except Ended as ended:
+            except ExchangeError as ended:
                 log.warning("the known list can't be used", why=ended)
             if (folder := config.folder) is not None:
                 self.handover = Handover(folder, config.name, self._told, self._alone)
@@ -236,12 +244,12 @@
         while True:
             now = self.clock.now()
             for front in self.fronts:
-                front.send_away(self.drain.sends_away(now))
-                if self.drain.closes_at_rest(now):
-                    front.close_at_rest()
-            if self.drain.takes_no_more(now):
+                front.set_closing(self.drain.closes_after_response(now))
+                if self.drain.closes_idle(now):
+                    front.close_idle()
+            if self.drain.stops_accepting(now):
                 return
-            if self.drain.wanted:
+            if self.drain.accepts_clients:
                 self._sending_away = anyio.Event()
                 await self._sending_away.wait()
             await anyio.sleep(LOOK_S)
@@ -251,14 +259,14 @@
             front.stop_accepting()
         if self.handover is not None:
             self.handover.leave()
-        while any(front.unanswered() for front in self.fronts):
+        while any(front.unanswered_count() for front in self.fronts):
             for front in self.fronts:
-                front.close_at_rest()
+                front.close_idle()
             await anyio.sleep(LOOK_S)
         for front in self.fronts:
-            front.close_at_rest()
+            front.close_idle()
         with anyio.move_on_after(LAST_READ_S):  # clients are still reading their last answers
-            while any(front.connected() for front in self.fronts):
+            while any(front.connection_count() for front in self.fronts):
                 await anyio.sleep(0.02)
         for what, endings in (("client connections", self.server.endings), ("flows", self.book.endings)):
             said = ", ".join(f"{count} {ending.value}" for ending, count in endings.items())
--- a/millfront/node/stages/admit.py
+++ b/millfront/node/stages/admit.py
@@ -17,4 +17,4 @@
         if len(self.host.open) >= self.most_open:
             caller.rejected(0)
             return None
-        return self.host.arrive(arrival, caller, not arrival.message.more)
+        return self.host.arrive(arrival, caller, not arrival.message.body_incomplete)
--- a/millfront/node/stages/relay.py
+++ b/millfront/node/stages/relay.py
@@ -1,10 +1,10 @@
 """Relay: the final answer as the client gets it, a pool member's as it came or one of ours."""
 
-from millfront.node.http import Fields, Message, passed_on
+from millfront.node.http import Fields, Message, end_to_end_fields
 
 
 def served(answer: Message) -> Message:
-    fields = passed_on(answer)
+    fields = end_to_end_fields(answer)
     return Message(answer.start, fields, fields, answer.body)
 
 
--- a/millfront/node/stages/send.py
+++ b/millfront/node/stages/send.py
@@ -5,10 +5,10 @@
 from typing import Any, Protocol
 
 from millfront.logs import Log
-from millfront.node.bodies import Ways
-from millfront.node.endings import Ended, Ending
+from millfront.node.bodies import BodySlots
+from millfront.node.endings import Ending, ExchangeError
 from millfront.node.host import Clock
-from millfront.node.http import REST_S, Fields, Message, passed_on
+from millfront.node.http import RESPONSE_COMPLETION_TIMEOUT_S, Fields, Message, end_to_end_fields
 from millfront.node.members import Exchange, MemberId, Members, PoolMember
 
 log = Log(__name__)
@@ -30,7 +30,7 @@
 
 
 class Road(Protocol):
-    """From a choice to a member that may be sent to. Both raise Ended."""
+    """From a choice to a member that may be sent to. Both raise ExchangeError."""
 
     def __call__(self, backend: Any) -> PoolMember: ...
     def check(self, member: PoolMember, flow: Any) -> None: ...
@@ -97,7 +97,7 @@
         self.let_go()
         if self.has_way:
             self.has_way = False
-            self.stage.ways.give_back()
+            self.stage.ways.release()
         self.stage.book(self, ending, answer)
 
     def let_go(self) -> None:
@@ -169,12 +169,12 @@
         assert self.connection is not None
         self.connection.pause()
         self.answer, self.first_us = answer, self.stage.clock.now()
-        self.stage.ways.take(self.go)
+        self.stage.ways.acquire(self.go)
 
     def go(self) -> None:
         """It is this answer's turn to go on."""
         if self.over:  # while it waited
-            self.stage.ways.give_back()
+            self.stage.ways.release()
             return
         self.has_way = True
         assert self.answer is not None
@@ -236,16 +236,16 @@
             connection.flow, self.connection = None, None
         self.end(ending, answer)
 
-    def broken(self, ended: Ended) -> None:
+    def broken(self, ended: ExchangeError) -> None:
         """The connection has ended without an answer."""
         if self.connection is not None and ended.ending is Ending.BROKEN:
             self.connection.fared(False)
         self.let_go()
-        if ended.part and self.stage.part_may_run:
-            ended = Ended(Ending.BROKEN)
+        if ended.partially_sent and self.stage.part_may_run:
+            ended = ExchangeError(Ending.BROKEN)
         upload = self.opened.arrival.message.upload
-        kept = upload is None or not upload.moved  # what has gone on is not there any more
-        if ended.again and self.again > 0 and kept and not self.over and not self.streams:
+        kept = upload is None or not upload.forwarded  # what has gone on is not there any more
+        if ended.retryable and self.again > 0 and kept and not self.over and not self.streams:
             self.again -= 1
             self.stage.attempt(self)
         else:
@@ -259,7 +259,7 @@
         members: Members,
         route: Road,
         book: Callable[[ServerSideFlow, Ending, Message | None], None],
-        ways: Ways,
+        ways: BodySlots,
         begin: Callable[[ServerSideFlow], bool],
         judge: "Callable[[ServerSideFlow, Message], Ending] | None" = None,
         fields: "Callable[[ServerSideFlow, PoolMember, Message], Fields] | None" = None,
@@ -269,7 +269,7 @@
         """
         self.judge = judge or (lambda _, answer: ending_of(answer))
         self.fields = fields or self._fields
-        self.rest_s = REST_S
+        self.rest_s = RESPONSE_COMPLETION_TIMEOUT_S
         self.part_may_run = False  # a request that a member has seen in part only
         self.ways = ways
         self.begin = begin
@@ -293,14 +293,14 @@
                 flow.dialling = got
             else:
                 self._write(flow, member, got)
-        except Ended as ended:
+        except ExchangeError as ended:
             flow.broken(ended)
         except Exception:  # a fault in one flow is that flow's ending, not the program's
             log.exception("a flow failed")
             flow.end(Ending.BROKEN)
 
     def _up(
-        self, flow: ServerSideFlow, member: PoolMember, made: Exchange | None, ended: Ended | None
+        self, flow: ServerSideFlow, member: PoolMember, made: Exchange | None, ended: ExchangeError | None
     ) -> None:
         flow.dialling = None
         try:
@@ -308,7 +308,7 @@
                 assert ended is not None
                 raise ended
             self._write(flow, member, made)
-        except Ended as wrong:
+        except ExchangeError as wrong:
             flow.broken(wrong)
         except Exception:
             log.exception("a flow failed")
@@ -324,7 +324,7 @@
         left_us = max(1, flow.ends_us - self.clock.now())
         if not flow.opened.whole:
             left_us = flow.opened.arrival.timeout_us
-        fields = passed_on(message, b"request-timeout")
+        fields = end_to_end_fields(message, b"request-timeout")
         if message.field(b"host") is None:  # HTTP/1.0 has none, and 1.1 must have one
             fields.insert(0, (b"Host", str(member.dial).encode()))
         fields.append((b"Request-Timeout", b"%du" % left_us))
@@ -336,5 +336,5 @@
     if answer.start == 200:
         return Ending.SERVED
     if answer.start in (503, 504) and answer.field(b"not-started") == b"1":
-        return Ending.TURNED_AWAY
+        return Ending.NOT_STARTED
     return Ending.ERRORED
--- a/millfront/operators/admin.py
+++ b/millfront/operators/admin.py
@@ -19,8 +19,8 @@
 
 from millfront.logs import Log
 from millfront.node.config import Address, ConfigError
-from millfront.node.endings import Ended, Ending
-from millfront.node.http import Fields, Message, Wire
+from millfront.node.endings import Ending, ExchangeError
+from millfront.node.http import Fields, HttpConnection, Message
 from millfront.node.http1 import REASONS
 from millfront.node.service import Node
 from millfront.operators import document
@@ -95,7 +95,7 @@
         pass
 
     async def _serve(self, stream: SocketStream) -> None:
-        wire = Wire(stream, h11.SERVER)
+        wire = HttpConnection(stream, h11.SERVER)
         try:
             async with self._room:
                 with anyio.move_on_after(CALL_S):
@@ -103,17 +103,17 @@
                         await self._answer(wire, await self._call(wire))
                         if not wire.reusable():
                             break
-        except Ended:
+        except ExchangeError:
             pass
         except Exception:
             log.exception("an admin call failed")
         finally:
             await wire.close()
 
-    async def _call(self, wire: Wire) -> Message:
+    async def _call(self, wire: HttpConnection) -> Message:
         head = await wire.next_event()
         if not isinstance(head, h11.Request):
-            raise Ended(Ending.MALFORMED, "no request")
+            raise ExchangeError(Ending.MALFORMED, "no request")
         if wire.h11.they_are_waiting_for_100_continue:
             await wire.write(h11.InformationalResponse(status_code=100, headers=[]))
         parts: list[bytes] = []
@@ -122,12 +122,12 @@
             size += len(event.data)
             if size > MOST_BODY:
                 await self._answer(wire, Message((b"", b""), [], [], b""), said(413, {"error": "too long"}))
-                raise Ended(Ending.MALFORMED, "too long")
+                raise ExchangeError(Ending.MALFORMED, "too long")
             parts.append(bytes(event.data))
         start = (head.method, head.target.partition(b"?")[0])
         return Message(start, list(head.headers), head.headers.raw_items(), b"".join(parts))
 
-    async def _answer(self, wire: Wire, call: Message, reply: Reply | None = None) -> None:
+    async def _answer(self, wire: HttpConnection, call: Message, reply: Reply | None = None) -> None:
         reply = reply or await self._reply(call)
         fields = [(b"Content-Type", reply.kind), (b"Content-Length", b"%d" % len(reply.body)), *reply.fields]
         head = h11.Response(status_code=reply.status, headers=fields, reason=REASONS.get(reply.status, b""))
--- a/millfront/usage/sinks.py
+++ b/millfront/usage/sinks.py
@@ -19,8 +19,8 @@
 import zstandard
 
 from millfront.node.config import Address
-from millfront.node.endings import Ended
-from millfront.node.http import Message, Wire, dial
+from millfront.node.endings import ExchangeError
+from millfront.node.http import HttpConnection, Message, dial
 from millfront.operators import document
 from millfront.operators.files import sync, write_whole
 from millfront.usage.batches import Batch
@@ -51,7 +51,7 @@
     def __init__(self, told: document.Receiver) -> None:
         self.told = told
         self.address = Address.parse(told.address, "usage.export.receiver.address")
-        self._wire: Wire | None = None
+        self._wire: HttpConnection | None = None
 
     async def mark(self, source: str, ledger: str) -> Told:
         return await self._call(b"GET", f"{self.told.path}/sources/{source}.{ledger}/mark", b"", [])
@@ -71,7 +71,7 @@
         with anyio.move_on_after(self.told.timeout_s):
             try:
                 answer = await self._exchange(method, target, body, fields)
-            except Ended as ended:
+            except ExchangeError as ended:
                 why = str(ended)
             except BaseException:  # given up in the middle: its answer must not be taken for the next one's
                 await self.close()
@@ -86,13 +86,13 @@
     ) -> Message:
         if self._wire is None:
             stream = await dial(self.address, int(self.told.timeout_s * 1e6))
-            self._wire = Wire(stream, h11.CLIENT)
+            self._wire = HttpConnection(stream, h11.CLIENT)
         head = h11.Request(
             method=method, target=target.encode(), headers=[(b"Host", str(self.address).encode()), *fields]
         )
         events: list[h11.Event] = [head, *([h11.Data(data=body)] if body else []), h11.EndOfMessage()]
         await self._wire.write(*events)
-        answer = await self._wire.read_answer()
+        answer = await self._wire.read_response()
         if not self._wire.reusable():
             await self.close()
         return answer
--- a/tests/h2client.py
+++ b/tests/h2client.py
@@ -13,7 +13,7 @@
 from anyio.abc import SocketStream
 from hyperframe.frame import GoAwayFrame
 
-from tests.peers import IDS, PAST
+from tests.peers import IDS, TEST_TIMEOUT_S
 
 METHODS = {"page-fetch": "GET"}
 
@@ -81,7 +81,7 @@
         return number
 
     async def until(self, condition: Callable[["Client"], Any]) -> None:
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while not condition(self):
                 await self.hear()
 
--- a/tests/h2server.py
+++ b/tests/h2server.py
@@ -70,7 +70,7 @@
         self.streams = streams
         self.mute = False
 
-    async def play(self, stream: SocketStream) -> None:
+    async def serve(self, stream: SocketStream) -> None:
         self.connections += 1
         spoken = Spoken(stream)
         self.spoken.append(spoken)
@@ -89,10 +89,10 @@
                     await spoken.flush()
             except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 self.closed += 1
-                self.note()
+                self.notify()
             except h2.exceptions.ProtocolError:
                 self.closed += 1
-                self.note()
+                self.notify()
             tasks.cancel_scope.cancel()
 
     async def take(self, spoken: Spoken, event: Any) -> None:
@@ -105,8 +105,8 @@
             case h2.events.StreamEnded():
                 self.came.append(spoken.open[event.stream_id])
                 act = self.acts.popleft() if self.acts else self.then
-                self.note()
+                self.notify()
                 await act(spoken, event.stream_id)
             case h2.events.StreamReset():
                 self.resets.append(event.stream_id)
-                self.note()
+                self.notify()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -14,7 +14,7 @@
 from millfront.node.service import Node
 from millfront.operators import document, parts
 
-PAST = 5.0  # seconds after which a test that waits for an event has failed
+TEST_TIMEOUT_S = 5.0  # seconds after which a test that waits for an event has failed
 IDS = itertools.count(1)
 CLASSES = (("page-fetch", "safe"), ("issue-buy", "keyed"), ("code-redeem", "unsafe"))
 
@@ -85,32 +85,32 @@
         self.changed = anyio.Event()
         self.address = ""
 
-    def note(self) -> None:
+    def notify(self) -> None:
         self.changed.set()
         self.changed = anyio.Event()
 
-    async def until(self, condition: Callable[["Peer"], bool]) -> None:
-        with anyio.fail_after(PAST):
+    async def wait_until(self, condition: Callable[["Peer"], bool]) -> None:
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while not condition(self):
                 await self.changed.wait()
 
-    async def play(self, stream: SocketStream) -> None:
+    async def serve(self, stream: SocketStream) -> None:
         self.connections += 1
         async with stream:
             try:
                 while True:
                     self.seen.append(await self.read(stream))
-                    step = self.script.popleft() if self.script else self.otherwise
-                    self.note()
+                    step = self.script.popleft() if self.script else self.default_step
+                    self.notify()
                     await step(stream)
             except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 self.closed += 1
-                self.note()
+                self.notify()
 
     async def read(self, stream: SocketStream) -> bytes:
         return await read_message(stream)
 
-    async def otherwise(self, stream: SocketStream) -> None:
+    async def default_step(self, stream: SocketStream) -> None:
         await answer(200, b"page")(stream)
 
 
@@ -143,13 +143,13 @@
         await stream.receive()
 
 
-class Desk(Peer):
+class CounterPeer(Peer):
     """A counter: takes lines, however they come."""
 
     async def read(self, stream: SocketStream) -> bytes:
         return await stream.receive()
 
-    async def otherwise(self, stream: SocketStream) -> None:
+    async def default_step(self, stream: SocketStream) -> None:
         await stream.send(b"ok 7\r\n")
 
 
@@ -158,18 +158,18 @@
 
     stream: SocketStream
     watches = 0
-    whole = b""  # the answer to who asks for the whole list
+    full_list = b""  # the answer to who asks for the whole list
 
-    async def otherwise(self, stream: SocketStream) -> None:
+    async def default_step(self, stream: SocketStream) -> None:
         if b"watch" not in self.seen[-1].split(b"\r\n")[0]:
-            return await answer(200, self.whole)(stream)
+            return await answer(200, self.full_list)(stream)
         await stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.stream = stream
         self.watches += 1
-        self.note()
+        self.notify()
         await stream.receive()
 
-    async def tell(self, line: bytes) -> None:
+    async def send_line(self, line: bytes) -> None:
         await self.stream.send(b"%x\r\n%s\r\n" % (len(line), line))
 
 
@@ -217,13 +217,13 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class Stage:
+class RunningNode:
     """A node between scripted peers."""
 
     def __init__(self, node: Node, address: str, discovery: Discovery) -> None:
         self.node = node
         self.address = address
-        self.line = ""  # where operators are answered
+        self.admin_address = ""  # where operators are answered
         self.discovery = discovery
         self.ended = anyio.Event()
 
@@ -231,16 +231,16 @@
         host, _, port = self.address.rpartition(":")
         return await anyio.connect_tcp(host, int(port))
 
-    async def call(self, said: bytes) -> bytes:
+    async def call_admin(self, said: bytes) -> bytes:
         """What the operators' line answers, up to its close."""
-        host, _, port = self.line.rpartition(":")
-        with anyio.fail_after(PAST):
+        host, _, port = self.admin_address.rpartition(":")
+        with anyio.fail_after(TEST_TIMEOUT_S):
             async with await anyio.connect_tcp(host, int(port)) as stream:
                 await stream.send(said)
                 return b"".join([data async for data in stream])
 
     async def ask(self, data: bytes, stream: SocketStream | None = None) -> bytes:
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             stream = stream or await self.client()
             await stream.send(data)
             return await read_message(stream)
@@ -260,7 +260,7 @@
             (inner,) = listener.listeners
             assert isinstance(inner, SocketListener)
             peer.address = f"127.0.0.1:{inner.extra(SocketAttribute.local_port)}"
-            tasks.start_soon(listener.serve, peer.play)
+            tasks.start_soon(listener.serve, peer.serve)
         yield
         tasks.cancel_scope.cancel()
 
@@ -279,13 +279,13 @@
 
 
 @asynccontextmanager
-async def stage(
+async def running_node(
     *members: Peer,
     gone: str = "",
-    desk: Desk | None = None,
+    desk: CounterPeer | None = None,
     operators: dict[str, Any] | None = None,
     **allowed: object,
-) -> AsyncIterator[Stage]:
+) -> AsyncIterator[RunningNode]:
     """`gone`: the address of one more member, where nobody listens."""
     discovery = Discovery()
     async with listening(discovery, *members, *([desk] if desk else [])):
@@ -296,14 +296,14 @@
         if operators is not None:
             parts.put(node, document.parse(json.dumps(operators).encode()))
         async with anyio.create_task_group() as tasks:
-            made = Stage(node, "", discovery)
+            made = RunningNode(node, "", discovery)
 
             async def run(*, task_status: Any) -> None:
                 await node.run(task_status=task_status)
                 made.ended.set()
 
             made.address = str(await tasks.start(run))
-            made.line = str(node.operators_line.address)
-            await discovery.until(lambda _: discovery.watches > 0)
+            made.admin_address = str(node.operators_line.address)
+            await discovery.wait_until(lambda _: discovery.watches > 0)
             yield made
             tasks.cancel_scope.cancel()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,12 +11,12 @@
 
 from millfront import interface as api
 from millfront.node import clients
-from millfront.node.bodies import EACH, Upload, Ways
-from millfront.node.endings import Ended, Ending
+from millfront.node.bodies import BODY_BUFFER_BYTES, BodySlots, Upload
+from millfront.node.endings import Ending, ExchangeError
 from millfront.node.host import Host
-from millfront.node.http import MOST_BODY, MOST_STREAMED
+from millfront.node.http import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES
 from millfront.node.stages.send import ServerSideFlow
-from tests.peers import PAST, Peer, answer, read_message, request, says, stage, status
+from tests.peers import TEST_TIMEOUT_S, Peer, answer, read_message, request, running_node, says, status
 
 pytestmark = pytest.mark.anyio
 LONG = bytes(range(256)) * 12 * 1024  # 3 MB
@@ -65,8 +65,8 @@
             await stream.aclose()
 
     member = Peer(says_it, answer(200, b"page"))
-    async with stage(member) as on, await on.client() as client:
-        with anyio.fail_after(PAST):
+    async with running_node(member) as on, await on.client() as client:
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await client.send(request())
             if form == 0:
                 got = (await read_message(client)).partition(b"\r\n\r\n")[2]
@@ -74,13 +74,13 @@
                 got = (await read_chunked(client))[1]
         assert got == LONG
         assert status(await on.ask(request(), client)) == 200
-        assert on.node.ways.taken == 0 and not on.node.host.open
+        assert on.node.ways.in_use == 0 and not on.node.host.open
     assert member.connections == (2 if form == 2 else 1)
 
 
 async def test_an_answer_to_http_1_0_ends_with_the_connection() -> None:
-    async with stage(Peer(says(ANSWERS[1]))) as on, await on.client() as client:
-        with anyio.fail_after(PAST):
+    async with running_node(Peer(says(ANSWERS[1]))) as on, await on.client() as client:
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await client.send(request().replace(b" HTTP/1.1", b" HTTP/1.0"))
             got = b"".join([data async for data in client])
     assert got.partition(b"\r\n\r\n")[2] == LONG
@@ -93,46 +93,50 @@
         nonlocal sent
         one.script.clear()
         other.script.clear()
-        await stream.send(HEAD + b"Content-Length: %d\r\n\r\n" % (MOST_STREAMED - 1))
-        for _ in range(MOST_STREAMED // 65536):
+        await stream.send(HEAD + b"Content-Length: %d\r\n\r\n" % (MAX_STREAMED_BODY_BYTES - 1))
+        for _ in range(MAX_STREAMED_BODY_BYTES // 65536):
             await stream.send(b"x" * 65536)
             sent += 65536
 
     one, other = Peer(endless), Peer(endless)
-    async with stage(one, other) as on, await on.client() as slow:
+    async with running_node(one, other) as on, await on.client() as slow:
         # The kernel would let the slow one's buffer grow to 32 MB where the machine is busy: it takes nothing
         slow.extra(SocketAttribute.raw_socket).setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 262_144)
         await slow.send(request())
-        with anyio.fail_after(PAST):
-            while not on.node.ways.taken:
+        with anyio.fail_after(TEST_TIMEOUT_S):
+            while not on.node.ways.in_use:
                 await anyio.sleep(0.01)
             before = -1
             while before != sent:  # it stands still: the kernel's buffers are full
                 before = sent
                 await anyio.sleep(0.2)
-        assert 0 < sent < MOST_STREAMED // 2
-        assert 0 < on.node.server.room.held <= on.node.server.room.most // 4 + EACH
+        assert 0 < sent < MAX_STREAMED_BODY_BYTES // 2
+        assert (
+            0
+            < on.node.server.buffer_budget.held
+            <= on.node.server.buffer_budget.limit // 4 + BODY_BUFFER_BYTES
+        )
         (connection,) = [c for c in on.node.server._connections if c.busy]
         assert isinstance(connection, clients.ClientConnection)
-        assert connection.link.unsent <= on.node.server.room.most // 4 + EACH
+        assert connection.link.unsent <= on.node.server.buffer_budget.limit // 4 + BODY_BUFFER_BYTES
         for _ in range(3):
             assert status(await on.ask(request())) == 200
         await slow.aclose()
-        with anyio.fail_after(PAST):
-            while on.node.ways.taken or on.node.host.open:
+        with anyio.fail_after(TEST_TIMEOUT_S):
+            while on.node.ways.in_use or on.node.host.open:
                 await anyio.sleep(0.01)
-        assert on.node.server.room.held == 0
+        assert on.node.server.buffer_budget.held == 0
 
 
 async def test_a_slow_reader_of_what_there_is_room_for_holds_no_member(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "UNREAD_US", 200_000)
+    monkeypatch.setattr(clients, "RESPONSE_STALL_TIMEOUT_US", 200_000)
     member = Peer(says(ANSWERS[0]))
-    async with stage(member) as on, await on.client() as slow:
+    async with running_node(member) as on, await on.client() as slow:
         await slow.send(request())
-        with anyio.fail_after(PAST):
-            await member.until(lambda peer: len(peer.seen) == 1)
+        with anyio.fail_after(TEST_TIMEOUT_S):
+            await member.wait_until(lambda peer: len(peer.seen) == 1)
             while on.node.host.open or not on.node.members._idle:
                 await anyio.sleep(0.01)
             on.node.stop()
@@ -149,8 +153,8 @@
         await stream.aclose()
 
     one, other = Peer(cut), Peer(cut)
-    async with stage(one, other) as on, await on.client() as client:
-        with anyio.fail_after(PAST):
+    async with running_node(one, other) as on, await on.client() as client:
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await client.send(request())
             got = b""
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
@@ -158,7 +162,7 @@
                     got += await client.receive()
         assert status(got) == 200 and len(got) < 200_000
         assert len(one.seen) + len(other.seen) == 1
-        assert on.node.ways.taken == 0 and not on.node.host.open
+        assert on.node.ways.in_use == 0 and not on.node.host.open
 
 
 async def test_an_answer_without_a_length_is_not_held_back() -> None:
@@ -169,9 +173,9 @@
         await go_on.wait()
         await stream.send(b"4\r\nlast\r\n0\r\n\r\n")
 
-    async with stage(Peer(slow)) as on, await on.client() as client:
+    async with running_node(Peer(slow)) as on, await on.client() as client:
         await client.send(request())
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             got = b""
             while b"first" not in got:
                 got += await client.receive()
@@ -209,9 +213,9 @@
 @pytest.mark.parametrize("form", ["length", "chunked"])
 async def test_a_long_request_passes_on_unchanged_and_counts_from_its_last_byte(form: str) -> None:
     member = Taker()
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         data = upload("issue-buy", LONG, form).replace(b"Request-Timeout: 3000m", b"Request-Timeout: 700m")
-        with anyio.fail_after(2 * PAST):
+        with anyio.fail_after(2 * TEST_TIMEOUT_S):
             began = time.monotonic()
             for at in range(0, len(data), len(data) // 5):
                 await client.send(data[at : at + len(data) // 5])
@@ -225,20 +229,20 @@
 @pytest.mark.parametrize("cls", ["issue-buy", "code-redeem"])
 async def test_a_long_request_goes_out_once(cls: str) -> None:
     one, other = Taker(answer(500)), Taker(answer(500))
-    async with stage(one, other) as on:
+    async with running_node(one, other) as on:
         got = await on.ask(upload(cls, LONG, "length"))
     assert status(got) == (503 if cls == "issue-buy" else 502)
     assert len(one.seen) + len(other.seen) == 1
 
 
 async def test_a_body_that_stops_coming_ends_its_own_request_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "PARTIAL_US", 300_000)
+    monkeypatch.setattr(clients, "REQUEST_READ_TIMEOUT_US", 300_000)
     member = Taker()
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         await client.send(upload("issue-buy", LONG, "length")[:200_000])
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await read_message(client)) == 408
-            await member.until(lambda peer: peer.closed == 1)
+            await member.wait_until(lambda peer: peer.closed == 1)
         assert not on.node.host.open
         assert status(await on.ask(request())) == 200
 
@@ -249,9 +253,9 @@
             return await stream.receive()
 
     early = Hasty(answer(503, b"", b"Not-Started: 1"))
-    async with stage(early) as on, await on.client() as client:
+    async with running_node(early) as on, await on.client() as client:
         await client.send(upload("issue-buy", LONG, "length")[:300_000])
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             got = await read_message(client)
         assert status(got) == 503 and b"Connection: close" in got
 
@@ -266,12 +270,12 @@
         ((b"Host: origin.svc", b"Host: origin.svc\r\nContent-Length: 1\r\nContent-Length: 2"), 400),
         ((b"Host: origin.svc", b"Host: origin.svc\r\nTransfer-Encoding: gzip, chunked"), 501),
         ((b"Host: origin.svc", b"Host: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 70000"), 400),
-        ((b"Host: origin.svc", b"Host: a\r\nContent-Length: %d" % (MOST_STREAMED + 1)), 413),
+        ((b"Host: origin.svc", b"Host: a\r\nContent-Length: %d" % (MAX_STREAMED_BODY_BYTES + 1)), 413),
     ],
 )
 async def test_every_form_is_read_one_way(change: tuple[bytes, bytes], says_status: int) -> None:
     member = Peer()
-    async with stage(member) as on:
+    async with running_node(member) as on:
         assert status(await on.ask(request().replace(*change))) == says_status
     if says_status == 200:
         assert member.seen[0].startswith(b"GET /page-fetch/more/00000000b4d65521?a=%20b HTTP/1.1\r\n")
@@ -279,10 +283,10 @@
 
 async def test_a_long_request_that_waits_to_be_asked_is_asked() -> None:
     member = Taker()
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         data = upload("issue-buy", LONG, "length").replace(b"\r\nHost", b"\r\nExpect: 100-continue\r\nHost")
         head, _, body = data.partition(b"\r\n\r\n")
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await client.send(head + b"\r\n\r\n")
             assert (await client.receive()).startswith(b"HTTP/1.1 100 ")
             await client.send(body)
@@ -296,16 +300,16 @@
     under_way = Upload(source, None)
     opened = MagicMock(deadline_us=10**9)
     opened.arrival.message.upload = under_way
-    stage = MagicMock()
-    flow = ServerSideFlow(stage, opened, 0, api.Send(1, 1, 0), 0)
+    send_stage = MagicMock()
+    flow = ServerSideFlow(send_stage, opened, 0, api.Send(1, 1, 0), 0)
     flow.connection = broken
     under_way.attach(broken)
-    flow.broken(Ended(Ending.UNCONNECTED, again=True))
-    stage.attempt.assert_called_once_with(flow)
+    flow.broken(ExchangeError(Ending.CONNECT_FAILED, retryable=True))
+    send_stage.attempt.assert_called_once_with(flow)
     assert under_way.put(b"more", False) is False  # held, and its client not read on
     under_way.attach(again)
-    again.passes.assert_called_once_with(b"more", False)
-    broken.passes.assert_not_called()
+    again.write_body.assert_called_once_with(b"more", False)
+    broken.write_body.assert_not_called()
 
 
 async def test_an_answer_under_way_is_not_ended_by_another_attempt_s() -> None:
@@ -319,13 +323,13 @@
 
 
 async def test_ways_are_taken_in_turn_and_given_back() -> None:
-    ways, started = Ways(2), list[int]()
+    ways, started = BodySlots(2), list[int]()
     for number in range(4):
-        ways.take(lambda number=number: started.append(number))  # type: ignore[misc]
+        ways.acquire(lambda number=number: started.append(number))  # type: ignore[misc]
     assert started == [0, 1]
-    ways.give_back()
-    assert started == [0, 1, 2] and ways.taken == 2
+    ways.release()
+    assert started == [0, 1, 2] and ways.in_use == 2
     for _ in range(3):
-        ways.give_back()
-    assert started == [0, 1, 2, 3] and ways.taken == 0
-    assert EACH >= MOST_BODY
+        ways.release()
+    assert started == [0, 1, 2, 3] and ways.in_use == 0
+    assert BODY_BUFFER_BYTES >= MAX_BUFFERED_BODY_BYTES
--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -142,7 +142,7 @@
         if fault == "leaves":
             await self.left[name].wait()
         if point == "office":
-            self.service.proxy.server.send_away(True)
+            self.service.proxy.server.set_closing(True)
         if point == "run" and fault in ("turned", "misdirected"):
             said.turned += 1
             how = (
@@ -301,7 +301,7 @@
 
 def prepared(made: History, monkeypatch: pytest.MonkeyPatch) -> Proxy:
     proxy = made.service.proxy
-    proxy.send.rest_s, proxy.server.partial_us = 0.1, 100_000
+    proxy.send.rest_s, proxy.server.request_read_timeout_us = 0.1, 100_000
     monkeypatch.setattr(proxy, "retry_budget", lambda _: Pays())
     for word in ("failed", "misdirected"):  # servers stay in, whatever they do
         monkeypatch.setattr(proxy.load_balancer, word, lambda *_: None)
@@ -391,7 +391,7 @@
             ]
             await asyncio.gather(*(made.client(names, chance) for names in pairs))
             made.dead.clear()
-            proxy.server.send_away(False)
+            proxy.server.set_closing(False)
     return made
 
 
@@ -420,7 +420,7 @@
     whole = send.ServerSideFlow.broken
 
     def broken(self: send.ServerSideFlow, ended: Any) -> None:
-        ended.part = False
+        ended.partially_sent = False
         whole(self, ended)
 
     patch.setattr(send.ServerSideFlow, "broken", broken)
@@ -437,7 +437,7 @@
     def judge(self: Proxy, flow: Any, answer: Message) -> Ending:
         fields = [(b"millfront-attempt-id", flow.opened.attempt)]
         fields += [(name, value) for name, value in answer.fields if name != b"millfront-attempt-id"]
-        return whole(self, flow, Message(answer.start, fields, answer.raw, answer.body))
+        return whole(self, flow, Message(answer.start, fields, answer.raw_fields, answer.body))
 
     patch.setattr(Proxy, "judge", judge)
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -13,7 +13,7 @@
 from millfront.node.config import Address
 from millfront.node.counter import Counter
 from millfront.node.host import Clock, Timers
-from tests.peers import PAST, Desk, Step, breaks, listening, says, silent
+from tests.peers import TEST_TIMEOUT_S, CounterPeer, Step, breaks, listening, says, silent
 
 pytestmark = pytest.mark.anyio
 WAIT_US = 80_000
@@ -39,13 +39,13 @@
         self.changed = anyio.Event()
 
     async def until(self, count: int) -> None:
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while len(self.answers) < count:
                 await self.changed.wait()
 
 
 @asynccontextmanager
-async def calling(desk: Desk, address: str = "") -> AsyncIterator[tuple[Heard, Counter]]:
+async def calling(desk: CounterPeer, address: str = "") -> AsyncIterator[tuple[Heard, Counter]]:
     async with listening(desk):
         heard = Heard()
         counter = Counter(heard, Address.parse(address or desk.address, "counter"), WAIT_US, 250_000)  # type: ignore[arg-type]
@@ -57,11 +57,11 @@
 
 
 async def test_calls_are_pipelined_and_matched_in_order() -> None:
-    desk = Desk(says(b"ok 5\r\nbusy\r\nok 2.5e3\r\ner"), says(b"ror\r\nok -1\r\n"))
+    desk = CounterPeer(says(b"ok 5\r\nbusy\r\nok 2.5e3\r\ner"), says(b"ror\r\nok -1\r\n"))
     async with calling(desk) as (heard, counter):
         for name in (0xABC, 2, 3):
             counter.call(api.Count(name, 2.5, 4_000_500))
-        await desk.until(lambda peer: len(peer.seen) == 1)
+        await desk.wait_until(lambda peer: len(peer.seen) == 1)
         assert desk.seen[0].splitlines()[0] == b"add abc 2.5 4001"
         await heard.until(3)
         for name in (4, 5):
@@ -80,7 +80,7 @@
         await go_on.wait()
         await stream.send(b"ok 1\r\n")
 
-    desk = Desk(late, says(b"ok 2\r\n"))
+    desk = CounterPeer(late, says(b"ok 2\r\n"))
     async with calling(desk) as (heard, counter):
         counter.call(api.Count(1, 1.0, 1000))
         await heard.until(1)
@@ -103,7 +103,7 @@
     ],
 )
 async def test_how_a_call_ends_and_the_next_one_is_answered(ends: Step, outcome: Outcome) -> None:
-    desk = Desk(ends)
+    desk = CounterPeer(ends)
     async with calling(desk) as (heard, counter):
         counter.call(api.Count(1, 1.0, 1000))
         await heard.until(1)
@@ -118,7 +118,7 @@
 
 
 async def test_nobody_there_means_nothing_added() -> None:
-    async with calling(Desk(), "127.0.0.1:1") as (heard, counter):
+    async with calling(CounterPeer(), "127.0.0.1:1") as (heard, counter):
         counter.call(api.Count(1, 1.0, 1000))
         await heard.until(1)
     assert heard.answers == [(1, Outcome.CONNECT_FAILED, 0.0)]
--- a/tests/test_gatekeeper_calls.py
+++ b/tests/test_gatekeeper_calls.py
@@ -320,7 +320,7 @@
             writer.write(b"POST /v1/evacuation/ba HTTP/1.1\r\nHost: a\r\n\r\n")
             await made.until(lambda: bool(held))
             writer.close()
-            await made.until(lambda: not any(api.server.unanswered() for api in service.control_apis))
+            await made.until(lambda: not any(api.server.unanswered_count() for api in service.control_apis))
             service.persist = sync  # type: ignore[method-assign]
             for persist in held:
                 service.persist(persist)
@@ -449,7 +449,7 @@
     async def story() -> None:
         async with stage(tmp_path, [well]) as made:
             assert field((await made.ask("POST", "/p/a1", b"x", more=KEY))[1], "Keep-Alive") == b"timeout=14"
-            made.service.proxy.server.send_away(True)
+            made.service.proxy.server.set_closing(True)
             _, head, _ = await made.ask("POST", "/p/a2", b"x", more=KEY)
             assert field(head, "Connection") == b"close" and not field(head, "Keep-Alive")
 
@@ -475,15 +475,15 @@
             reader, writer = await kept(made)  # told 14 s
             (connection,) = server._connections
             assert await made.put(with_idle_timeout(2, "4s")) == 200
-            since = connection.rests_since_us
-            connection.expire(since + 12_000_000, server.partial_us)
+            since = connection.idle_since_us
+            connection.check_timeouts(since + 12_000_000, server.request_read_timeout_us)
             assert connection in server._connections
             head = (await exchange(reader, writer, "POST", "/p/a2", b"x", KEY))[1]
             assert field(head, "Keep-Alive") == b"timeout=3"
-            since = connection.rests_since_us
-            connection.expire(since + 3_900_000, server.partial_us)
+            since = connection.idle_since_us
+            connection.check_timeouts(since + 3_900_000, server.request_read_timeout_us)
             assert connection in server._connections
-            connection.expire(since + 4_100_000, server.partial_us)
+            connection.check_timeouts(since + 4_100_000, server.request_read_timeout_us)
             assert connection not in server._connections
             writer.close()
 
@@ -498,7 +498,8 @@
             (connection,) = server._connections
             fields = f"Host: a.example\r\nMillfront-Attempt-Id: a29c\r\n{KEY}"
             writer.write(f"GET /p/a2 HTTP/1.1\r\n{fields}\r\n".encode())
-            connection.expire(connection.rests_since_us + 60_000_000, server.partial_us)  # before it is read
+            # before it is read
+            connection.check_timeouts(connection.idle_since_us + 60_000_000, server.request_read_timeout_us)
             async with asyncio.timeout(5):
                 assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
             writer.close()
@@ -519,14 +520,14 @@
             reader, writer = await asyncio.open_connection(host, int(port), limit=4096)
             fields = f"Host: a.example\r\nMillfront-Attempt-Id: a19c\r\n{KEY}"
             server, proxy = made.service.proxy.server, made.service.proxy
-            server.room.most = 4 * size  # the member is done while the client still reads
+            server.buffer_budget.limit = 4 * size  # the member is done while the client still reads
             made.service.ending.set()
             await made.until(lambda: server.closing)
             writer.write(f"GET /p/a1 HTTP/1.1\r\n{fields}\r\n".encode())
             await made.until(lambda: len(made.seen) == 1 and proxy.open == 0)
             connection = next(iter(server._connections))
-            assert server.untaken() == 1
-            connection.expire(server.clock.now() + 2_000_000, server.partial_us)
+            assert server.unsent_count() == 1
+            connection.check_timeouts(server.clock.now() + 2_000_000, server.request_read_timeout_us)
             async with asyncio.timeout(5):
                 head = await reader.readuntil(b"\r\n\r\n")
                 assert field(head, "Connection") == b"close"
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -8,9 +8,9 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from millfront.node.endings import Ended
-from millfront.node.http import MOST_HEAD, Message
-from millfront.node.http1 import Answers, Requests, written
+from millfront.node.endings import ExchangeError
+from millfront.node.http import MAX_HEAD_BYTES, Message
+from millfront.node.http1 import ResponseParser, ServerCodec, response_bytes
 from millfront.node.stages.take_in import NotTaken
 
 TOKENS = [
@@ -66,34 +66,34 @@
     return [data[a:b] for a, b in itertools.pairwise(edges)]
 
 
-def requests(codec: Requests, parts: list[bytes]) -> list[Any]:
+def requests(codec: ServerCodec, parts: list[bytes]) -> list[Any]:
     """What comes of them, each request answered as soon as it is there; ends at what can't be read."""
     found: list[Any] = []
     for part in parts:
         codec.feed(part)
         while True:
             try:
-                message = codec.next()
+                message = codec.next_request()
             except NotTaken as wrong:
                 return [*found, wrong.status]
             if message is None:
                 break
-            found.append((message.start, message.fields, message.raw, message.body))
-            data, goes_on = codec.answer(Message(200, [], [], b"ok"), False)
+            found.append((message.start, message.fields, message.raw_fields, message.body))
+            data, goes_on = codec.encode_response(Message(200, [], [], b"ok"), False)
             found.append((data.lower().replace(b"\r\n\r\n", b"\r\n"), goes_on))
             if not goes_on:
                 return found
     return found
 
 
-class Slow(Requests):
+class Slow(ServerCodec):
     """Never takes the fast path."""
 
     __slots__ = ()
 
-    def _fast(self) -> Message | None:
+    def _parse_fast(self) -> Message | None:
         if self._buffer:
-            self._hand_over()
+            self._switch_to_h11()
         return None
 
 
@@ -105,26 +105,26 @@
 @example(b"GET / HTTP/1.1\r\n\r\n", [])
 def test_requests_are_what_h11_reads(data: bytes, at: list[int]) -> None:
     parts = cut(data, at)
-    assert requests(Requests(), parts) == requests(Slow(), parts)
+    assert requests(ServerCodec(), parts) == requests(Slow(), parts)
 
 
-def answers(codec: Answers, parts: list[bytes], ends: bool) -> Any:
+def answers(codec: ResponseParser, parts: list[bytes], ends: bool) -> Any:
     codec.expect(b"GET")
     try:
         for position, part in enumerate(parts):
             if (found := codec.feed(part)) is not None:
                 extra = position + 1 < len(parts)
                 return found, codec.reusable and not extra
-        return codec.end() if ends else None
-    except Ended as ended:
+        return codec.end_of_stream() if ends else None
+    except ExchangeError as ended:
         return ended.ending
 
 
-class SlowAnswers(Answers):
+class SlowAnswers(ResponseParser):
     __slots__ = ()
 
-    def _fast(self) -> Message | None:
-        self._hand_over()
+    def _parse_fast(self) -> Message | None:
+        self._switch_to_h11()
         return None
 
 
@@ -135,29 +135,29 @@
 @example(b"HTTP/1.1 200 OK\r\n\r\nuntil the end", [20], True)
 def test_answers_are_what_h11_reads(data: bytes, at: list[int], ends: bool) -> None:
     parts = cut(data, at)
-    assert answers(Answers(), parts, ends) == answers(SlowAnswers(), parts, ends)
+    assert answers(ResponseParser(), parts, ends) == answers(SlowAnswers(), parts, ends)
 
 
 @pytest.mark.parametrize("cuts", [[], [1], list(range(len(USUAL)))])
 def test_the_usual_request_and_answer_take_the_fast_path(cuts: list[int]) -> None:
-    codec = Requests()
+    codec = ServerCodec()
     found = []
     for part in cut(USUAL, cuts):
         codec.feed(part)
-        found += [message for message in [codec.next()] if message is not None]
+        found += [message for message in [codec.next_request()] if message is not None]
     assert [message.body for message in found] == [b"abc"] and codec._h11 is None
-    member = Answers()
+    member = ResponseParser()
     member.expect(b"GET")
     done = [m for part in cut(PAGE, cuts) if (m := member.feed(part)) is not None]
     assert len(done) == 1 and member.reusable and member._h11 is None
 
 
 def test_the_answer_to_head_is_whole_with_its_head() -> None:
-    answers = Answers()
+    answers = ResponseParser()
     answers.expect(b"HEAD")
     found = answers.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n")
-    assert found is not None and found.more
-    assert answers.piece(b"") == b"" and not answers.under_way and answers.reusable
+    assert found is not None and found.body_incomplete
+    assert answers.read_body(b"") == b"" and not answers.body_pending and answers.reusable
 
 
 def test_what_is_written_is_what_h11_writes() -> None:
@@ -166,7 +166,7 @@
     peer = h11.Connection(h11.CLIENT)
     peer.send(h11.Request(method="GET", target="/", headers=[("Host", "a")]))
     peer.send(h11.EndOfMessage())
-    peer.receive_data(written(answer, True))
+    peer.receive_data(response_bytes(answer, True))
     head = peer.next_event()
     assert isinstance(head, h11.Response) and (head.status_code, head.reason) == (503, b"Service Unavailable")
     assert (b"connection", b"close") in head.headers and (b"retry-after", b"0.500") in head.headers
@@ -175,4 +175,4 @@
 
 
 def test_a_head_without_end_is_refused() -> None:
-    assert requests(Requests(), [b"GET / HTTP/1.1\r\nX: ", b"y" * MOST_HEAD, b"y" * 9]) == [431]
+    assert requests(ServerCodec(), [b"GET / HTTP/1.1\r\nX: ", b"y" * MAX_HEAD_BYTES, b"y" * 9]) == [431]
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -33,7 +33,7 @@
 from millfront.http2.turns import Turns, urgency_of
 from millfront.node.http import Message
 from tests.h2client import Client, head
-from tests.peers import PAST, Peer, Stage, answer, request, silent, stage, status
+from tests.peers import TEST_TIMEOUT_S, Peer, RunningNode, answer, request, running_node, silent, status
 
 pytestmark = pytest.mark.anyio
 CALM = int(ErrorCodes.ENHANCE_YOUR_CALM)
@@ -45,17 +45,17 @@
 
 
 @asynccontextmanager
-async def h2stage(*members: Peer, streams: int = 100, **told: Any) -> AsyncIterator[Stage]:
+async def h2stage(*members: Peer, streams: int = 100, **told: Any) -> AsyncIterator[RunningNode]:
     operators = {"http2": {"listen": "127.0.0.1:0", "streams": streams}}
-    async with stage(*members, operators=operators, **told) as on:
+    async with running_node(*members, operators=operators, **told) as on:
         yield on
 
 
-def front(on: Stage) -> Http2Front:
+def front(on: RunningNode) -> Http2Front:
     return next(p for p in on.node.parts._parts if isinstance(p, Http2Front))
 
 
-async def client(on: Stage, window: int = 65_535, strict: bool = True, shared: bool = False) -> Client:
+async def client(on: RunningNode, window: int = 65_535, strict: bool = True, shared: bool = False) -> Client:
     server = on.node.server if shared else front(on).server
     assert server is not None and server.address is not None
     made = Client(await anyio.connect_tcp(server.address.host, server.address.port), window, strict)
@@ -140,7 +140,7 @@
 
 async def test_the_shared_port_is_told_by_its_preface_split_anywhere() -> None:
     operators = {"http2": {"shared": True}}
-    async with stage(Peer(), operators=operators) as on:
+    async with running_node(Peer(), operators=operators) as on:
         assert status(await on.ask(request())) == 200
         asking = await client(on, shared=True)
         assert (await asking.answer(await asking.ask(head())))[0] == 200
@@ -163,12 +163,12 @@
     async with h2stage(member, other) as on:
         asking = await client(on)
         number = await asking.ask(head(cls), b"what is bought")
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while not member.seen and not other.seen:
                 await anyio.sleep(0.001)
         asking.h2.reset_stream(number, ErrorCodes.CANCEL)
         await asking.flush()
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while member.closed + other.closed == 0:
                 await anyio.sleep(0.001)
         assert not on.node.host.open and not on.node.host.owed
@@ -201,9 +201,9 @@
         asking = await client(on)
         for _ in range(5):
             await asking.ask(head())
-        await member.until(lambda peer: len(peer.seen) == 5)
+        await member.wait_until(lambda peer: len(peer.seen) == 5)
         await anyio.aclose_forcefully(asking.stream)
-        await member.until(lambda peer: peer.closed == 5)
+        await member.wait_until(lambda peer: peer.closed == 5)
         assert not on.node.host.open and not on.node.host.owed
         assert (await on.ask(request()))[:4] == b"HTTP"
 
@@ -222,7 +222,7 @@
             self.long = b"/stalled/" in asked
             return asked
 
-        async def otherwise(self, stream: SocketStream) -> None:
+        async def default_step(self, stream: SocketStream) -> None:
             await (long if self.long else answer(200, b"y" * 2000))(stream)
 
     members = [Pages() for _ in range(80)]  # so many that 200 at once are no overload
@@ -300,7 +300,7 @@
         clients = [await client(on) for _ in range(10)]
         fields = {"Quota_Info": "units=1,spread=2,first=1"}
         asked = [(c, await c.ask(head(**fields))) for c in clients for _ in range(10)]
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while sum(len(member.seen) for member in members) < len(asked):
                 await anyio.sleep(0.001)
         on.node.stop()
@@ -312,7 +312,7 @@
         finish.set()
         for c, number in asked:
             assert await c.answer(number) == (200, b"slow")
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await on.ended.wait()
 
 
@@ -327,15 +327,15 @@
     async with h2stage(member) as on:
         asking = await client(on)
         number = await asking.ask(head())
-        await member.until(lambda peer: len(peer.seen) == 1)
+        await member.wait_until(lambda peer: len(peer.seen) == 1)
         (connection,) = front(on).server._connections  # type: ignore[union-attr]
-        connection.close_at_rest()
+        connection.close_if_idle()
         # h2's client would not open a stream after GOAWAY: the frame is made by hand
         late = HeadersFrame(3, data=asking.h2.encoder.encode(head()), flags=["END_HEADERS", "END_STREAM"])
         await asking.stream.send(late.serialize())
         finish.set()
         raw = b""
-        with anyio.fail_after(PAST), suppress(anyio.EndOfStream):
+        with anyio.fail_after(TEST_TIMEOUT_S), suppress(anyio.EndOfStream):
             while True:
                 raw += await asking.stream.receive()
         found = [(type(made).__name__, made.stream_id) for made in frames(raw)]
@@ -425,7 +425,7 @@
         assert (await other.answer(await other.ask(head())))[0] == 200
         bad = await client(on)
         await bad.hear()
-        with anyio.move_on_after(PAST):
+        with anyio.move_on_after(TEST_TIMEOUT_S):
             with suppress(anyio.BrokenResourceError):
                 await bad.stream.send(data)
             raw = b""
@@ -437,7 +437,7 @@
         told = goaway_code(raw)
         assert told in {int(code) for code in codes}, (name, told)
         assert (await other.answer(await other.ask(head())))[0] == 200
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while len(on.node.host.open) > 0:
                 await anyio.sleep(0.001)
 
@@ -464,7 +464,7 @@
         async with await anyio.connect_tcp(server.address.host, server.address.port) as stream:
             await stream.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
             raw = b""
-            with anyio.fail_after(PAST), suppress(anyio.EndOfStream):
+            with anyio.fail_after(TEST_TIMEOUT_S), suppress(anyio.EndOfStream):
                 while True:
                     raw += await stream.receive()
         assert goaway_code(raw) == ErrorCodes.PROTOCOL_ERROR
@@ -515,7 +515,7 @@
 
 
 async def test_streams_opened_and_left_are_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millfront.node.clients.PARTIAL_US", 100_000)
+    monkeypatch.setattr("millfront.node.clients.REQUEST_READ_TIMEOUT_US", 100_000)
     async with h2stage(Peer()) as on:
         asking = await client(on)
         number = await asking.ask(head("code-redeem"), end=False)
@@ -578,7 +578,7 @@
         assert not self.closed
         self.sent += data
 
-    def finish_sending(self) -> None: ...
+    def shutdown_write(self) -> None: ...
     def close(self) -> None:
         self.closed = True
 
@@ -615,7 +615,7 @@
             self.open[caller] = Opened()
             return self.open[caller]
 
-        def leave(self, opened: Opened) -> None:
+        def client_left(self, opened: Opened) -> None:
             self.left += 1
             for caller in [c for c, o in self.open.items() if o is opened]:
                 del self.open[caller]
@@ -623,8 +623,8 @@
         def ready(self) -> bool:
             return True
 
-        def rested(self, connection: Any) -> None: ...
-        def gone(self, connection: Any) -> None: ...
+        def connection_idle(self, connection: Any) -> None: ...
+        def connection_closed(self, connection: Any) -> None: ...
 
     server: Any = Server()
     sink: Any = Sink()
@@ -643,11 +643,11 @@
                 del server.open[caller]
                 caller.rejected(5)
         if then == "sweep" and not made.over:
-            made.expire(server.now(), 1)
+            made.check_timeouts(server.now(), 1)
         elif then == "drain" and not made.over:
             made.drain()
         elif then == "rest" and not made.over:
-            made.close_at_rest()
+            made.close_if_idle()
         assert len(made.streams) <= 5 + 1 and made.held >= 0
     if not made.over:
         made.close()
--- a/tests/test_http2_members.py
+++ b/tests/test_http2_members.py
@@ -22,7 +22,7 @@
 from millfront.http2.fleet import IDLE_US, RETIRE_US, Do, Seen, choose, retire
 from millfront.http2.members import MemberConnection2, MemberStream
 from tests.h2server import Act, H2Peer, Spoken, nothing
-from tests.peers import PAST, Peer, Stage, request, row, stage, status
+from tests.peers import TEST_TIMEOUT_S, Peer, RunningNode, request, row, running_node, status
 
 pytestmark = pytest.mark.anyio
 
@@ -33,9 +33,9 @@
 
 
 @asynccontextmanager
-async def h2members(*members: Peer, streams: int = 32, **told: Any) -> AsyncIterator[Stage]:
+async def h2members(*members: Peer, streams: int = 32, **told: Any) -> AsyncIterator[RunningNode]:
     operators = {"http2": {"members": True, "member_streams": streams}}
-    async with stage(*members, operators=operators, **told) as on:
+    async with running_node(*members, operators=operators, **told) as on:
         yield on
 
 
@@ -137,15 +137,15 @@
         async with anyio.create_task_group() as tasks:
             for client in clients:
                 tasks.start_soon(one, client)
-            await member.until(lambda _: len(member.came) == 4)
+            await member.wait_until(lambda _: len(member.came) == 4)
             first = member.spoken[0]
             await first.goaway(3)  # 1 and 3 run, 5 and 7 never did
-            await member.until(lambda _: len(member.came) == 6)
+            await member.wait_until(lambda _: len(member.came) == 6)
             for number in (1, 3):
                 await first.answer(number)
         assert answers == [200] * 4
         assert member.connections == 2
-        await member.until(
+        await member.wait_until(
             lambda peer: peer.closed == 1
         )  # it never closes: we do, once its streams have ended
         assert len({came["request-id"] for came in member.came}) == 4
@@ -163,7 +163,7 @@
         async with anyio.create_task_group() as tasks:
             for cls in ("page-fetch", "code-redeem") * 3:
                 tasks.start_soon(one, cls)
-            with anyio.fail_after(PAST):
+            with anyio.fail_after(TEST_TIMEOUT_S):
                 while sum(len(member.came) for member in members) < 6:
                     await anyio.sleep(0.001)
             for member in members:
@@ -186,9 +186,9 @@
     async with h2members(member) as on:
         client = await on.client()
         await client.send(request("issue-buy"))
-        await member.until(lambda _: len(member.came) == 1)
+        await member.wait_until(lambda _: len(member.came) == 1)
         await client.aclose()
-        await member.until(lambda _: member.resets == [1])
+        await member.wait_until(lambda _: member.resets == [1])
         assert status(await on.ask(request())) == 200
         assert member.connections == 1 and not on.node.host.owed
 
@@ -202,16 +202,16 @@
     async with h2members(one, other, SecondCopies=False) as on:
         client = await on.client()
         await client.send(request("page-fetch", Request_Timeout="3000m"))
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while not one.came and not other.came:
                 await anyio.sleep(0.001)
         member = one if one.came else other
         (other if member is one else one).acts.clear()
         member.mute = True
         began = anyio.current_time()
-        await member.until(lambda peer: peer.closed == 1)
+        await member.wait_until(lambda peer: peer.closed == 1)
         assert anyio.current_time() - began < 1.5
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await client.receive()) == 200  # a page may be fetched again
 
 
@@ -220,7 +220,7 @@
     async with h2members(member, other) as on:
         client = await on.client()
         await client.send(request())
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while not member.came and not other.came:
                 await anyio.sleep(0.001)
         drains, stays = (member, other) if member.came else (other, member)
@@ -232,9 +232,9 @@
             assert status(await on.ask(request())) == 200
         assert len(drains.came) == 1 and len(stays.came) == 5
         await drains.spoken[0].answer(1)
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await client.receive()) == 200
-        await drains.until(lambda peer: peer.closed == 1)
+        await drains.wait_until(lambda peer: peer.closed == 1)
 
 
 async def test_more_attempts_than_streams_open_another_connection() -> None:
@@ -243,7 +243,7 @@
         clients = [await on.client() for _ in range(3)]
         for client in clients:
             await client.send(request(Quota_Info="units=1,spread=2,first=1"))
-        await member.until(lambda _: len(member.came) == 3)
+        await member.wait_until(lambda _: len(member.came) == 3)
         assert member.connections == 2
 
 
--- a/tests/test_live_plans.py
+++ b/tests/test_live_plans.py
@@ -10,7 +10,7 @@
 import pytest
 
 from millfront.plans.part import LivePlans
-from tests.peers import PAST, Desk, Peer, Stage, request, stage, status
+from tests.peers import TEST_TIMEOUT_S, CounterPeer, Peer, RunningNode, request, running_node, status
 from tests.test_config import command
 
 pytestmark = pytest.mark.anyio
@@ -34,7 +34,7 @@
     return {"plans": {"file": str(tmp_path / "book.json"), "fleet_units_per_s": 100}} | more
 
 
-async def served_within(on: Stage, seconds: float, wanted: int, **fields: str) -> float:
+async def served_within(on: RunningNode, seconds: float, wanted: int, **fields: str) -> float:
     """Ask until the answer is the wanted one; the time it took."""
     began = time.monotonic()
     while status(await on.ask(request(**fields))) != wanted:
@@ -43,14 +43,14 @@
     return time.monotonic() - began
 
 
-def part(on: Stage) -> LivePlans:
+def part(on: RunningNode) -> LivePlans:
     return next(p for p in on.node.parts._parts if isinstance(p, LivePlans))
 
 
 async def test_a_replaced_book_holds_for_clients_within_a_second_and_wins_over_the_request(
     tmp_path: Path,
 ) -> None:
-    async with stage(Peer(), operators=operators(tmp_path)) as on:
+    async with running_node(Peer(), operators=operators(tmp_path)) as on:
         await served_within(on, 1.0, 200, Plan="casual")
         assert status(await on.ask(request(Plan="gold"))) == 400  # no such plan
         put(tmp_path / "book.json", 1, "spent")
@@ -70,19 +70,19 @@
 ) -> None:
     book = tmp_path / "book.json"
     assert command("plans", "--file", str(book), "assign", CUSTOMER, "spent").returncode == 0
-    async with stage(Peer(), operators=operators(tmp_path)) as on:
+    async with running_node(Peer(), operators=operators(tmp_path)) as on:
         await served_within(on, 1.0, 503)
         book.write_text(bad)
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while not part(on).refused:
                 await anyio.sleep(0.01)
         assert status(await on.ask(request())) == 503 and part(on).status()["version"] == 1
         put(book, 1, "casual")  # sound, and its version does not go up
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while "does not go up" not in str(part(on).refused):
                 await anyio.sleep(0.01)
         book.write_text(bad)
-    async with stage(Peer(), operators=operators(tmp_path)) as on:
+    async with running_node(Peer(), operators=operators(tmp_path)) as on:
         assert status(await on.ask(request())) == 503
 
 
@@ -90,7 +90,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     book = tmp_path / "book.json"
-    async with stage(Peer(), operators=operators(tmp_path)) as on:
+    async with running_node(Peer(), operators=operators(tmp_path)) as on:
         at = time.time() + 0.7
         begins = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(at)) + f"{at % 1:.6f}"[1:] + "Z"
         put(book, 1, None)
@@ -105,7 +105,7 @@
         put(book, 3, None, assignments=[entry])
         began = time.monotonic()
         on.node.parts.reload()  # as SIGHUP does
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while part(on).status()["version"] != 3:
                 await anyio.sleep(0.005)
         assert time.monotonic() - began < 0.25
@@ -120,7 +120,7 @@
         ended = command("plans", "--admin", socket, *words)
         return ended.returncode, ended.stdout + ended.stderr
 
-    async with stage(Peer(), operators=operators(tmp_path, admin={"listen": socket})) as on:
+    async with running_node(Peer(), operators=operators(tmp_path, admin={"listen": socket})) as on:
         run = anyio.to_thread.run_sync
         assert (await run(plans, "show"))[0] == 1  # none yet
         code, said = await run(plans, "assign", CUSTOMER, "spent")
@@ -160,19 +160,19 @@
 async def test_the_api_says_what_is_wrong(tmp_path: Path, call: bytes, answers: int) -> None:
     listen = f"{tmp_path}/admin.sock"
     told = operators(tmp_path, admin={"listen": f"unix:{listen}"})
-    async with stage(Peer(), operators=told), await anyio.connect_unix(listen) as stream:
+    async with running_node(Peer(), operators=told), await anyio.connect_unix(listen) as stream:
         await stream.send(call)
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await stream.receive()) == answers
 
 
 async def test_reserved_units_let_a_customer_go_on_far_over_its_plan(tmp_path: Path) -> None:
-    class Adding(Desk):
+    class Adding(CounterPeer):
         """A counter that counts."""
 
         totals: dict[bytes, float]
 
-        async def otherwise(self, stream: Any) -> None:
+        async def default_step(self, stream: Any) -> None:
             for line in self.seen[-1].split(b"\r\n")[:-1]:
                 _, name, amount, _ = line.split()
                 self.totals[name] = self.totals.get(name, 0.0) + float(amount)
@@ -183,9 +183,9 @@
     span = {"from": "2026-01-01T00:00:00Z", "until": "2036-01-01T00:00:00Z"}
     reserved = {"name": "launch", "customer": CUSTOMER, "units": 20.0} | span
     put(tmp_path / "book.json", 1, "spent", reservations=[reserved])
-    async with stage(Peer(), desk=desk, operators=operators(tmp_path)) as on:
+    async with running_node(Peer(), desk=desk, operators=operators(tmp_path)) as on:
         answers: list[int] = []
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while answers.count(200) < 10:
                 answers.append(status(await on.ask(request())))
                 await anyio.sleep(0.01)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,8 +16,8 @@
 from millfront.node.members import MemberConnection, Members
 from tests.peers import (
     CLASSES,
-    PAST,
-    Desk,
+    TEST_TIMEOUT_S,
+    CounterPeer,
     Discovery,
     Peer,
     Step,
@@ -29,10 +29,10 @@
     read_message,
     request,
     row,
+    running_node,
     says,
     settings,
     silent,
-    stage,
     status,
 )
 
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("cls", [name for name, _ in CLASSES])
 async def test_what_passes_on_is_what_came(cls: str) -> None:
     member = Peer(answer(200, b"\x00a page\r\n", b"X-Kind: Sunday"))
-    async with stage(member) as on:
+    async with running_node(member) as on:
         got = await on.ask(
             request(cls, Request_Id="9b1f03aa5c7e2d41", X_Trace="As It Came", Connection="x-hop", X_Hop="1")
         )
@@ -90,7 +90,9 @@
 async def test_only_what_never_ran_or_may_repeat_goes_out_again(
     ends: Step, cls: str, attempts: int, final: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("millfront.node.stages.send.REST_S", 0.1)  # far below the deadline of 3 s
+    monkeypatch.setattr(
+        "millfront.node.stages.send.RESPONSE_COMPLETION_TIMEOUT_S", 0.1
+    )  # far below the deadline of 3 s
 
     async def once(stream: SocketStream) -> None:  # whichever member is tried first
         one.script.clear()
@@ -98,7 +100,7 @@
         await ends(stream)
 
     one, other = Peer(once), Peer(once)
-    async with stage(one, other) as on:
+    async with running_node(one, other) as on:
         with anyio.fail_after(1.0):
             got = await on.ask(request(cls))
         assert status(got) == final
@@ -108,7 +110,7 @@
 
 async def test_a_refused_connection_never_ran() -> None:
     spare = Peer()
-    async with stage(spare, gone="127.0.0.1:1") as on:
+    async with running_node(spare, gone="127.0.0.1:1") as on:
         for _ in range(4):
             assert status(await on.ask(request("code-redeem"))) == 200
     assert len(spare.seen) == 4
@@ -147,7 +149,7 @@
 )
 async def test_bad_input_is_answered_and_others_go_on(data: bytes, says_status: int) -> None:
     member = Peer()
-    async with stage(member) as on:
+    async with running_node(member) as on:
         other = await on.client()
         assert status(await on.ask(request(), other)) == 200
         assert status(await on.ask(data)) == says_status
@@ -157,14 +159,14 @@
 
 async def test_a_client_of_http_1_0_is_served() -> None:
     member = Peer()
-    async with stage(member) as on:
+    async with running_node(member) as on:
         data = request().replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Host: origin.svc\r\n", b"")
         assert status(await on.ask(data)) == 200
     assert b"Host: " in member.seen[0]
 
 
 async def test_a_client_that_asks_first_is_told_to_go_on() -> None:
-    async with stage(Peer()) as on, await on.client() as client:
+    async with running_node(Peer()) as on, await on.client() as client:
         head, _, body = request("code-redeem", Expect="100-continue").partition(b"\r\n\r\n")
         assert status(await on.ask(head + b"\r\n\r\n", client)) == 100
         assert status(await on.ask(body, client)) == 200
@@ -178,26 +180,29 @@
         await answer(200, b"hers")(stream)
 
     member = Peer(slow)
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         await client.send(request(Request_Id="a1"))
-        await member.until(lambda peer: len(peer.seen) == 1)
+        await member.wait_until(lambda peer: len(peer.seen) == 1)
         assert status(await on.ask(request(Request_Id="A1"))) == 409
         go_on.set()
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             assert (await client.receive()).endswith(b"hers")
         assert status(await on.ask(request(Request_Id="a1"))) == 200
     assert len(member.seen) == 2
 
 
 async def test_silent_connections_are_closed_and_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with stage(Peer()) as on:
-        on.node.server.most = 4
+    async with running_node(Peer()) as on:
+        on.node.server.max_connections = 4
         silent_ones = [await on.client() for _ in range(9)]
         for _ in range(2):
             assert status(await on.ask(request())) == 200
-        monkeypatch.setattr("millfront.node.clients.PARTIAL_US", 100_000)
+        monkeypatch.setattr("millfront.node.clients.REQUEST_READ_TIMEOUT_US", 100_000)
         for stream in silent_ones:
-            with anyio.fail_after(PAST), pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
+            with (
+                anyio.fail_after(TEST_TIMEOUT_S),
+                pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)),
+            ):
                 await stream.receive()
 
 
@@ -214,10 +219,10 @@
         sent.set()
 
     member = Peer(too_much, answer(200, b"second"))
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         assert (await on.ask(request("code-redeem"), client)).endswith(b"first")
         go_on.set()
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await sent.wait()
         assert (await on.ask(request("code-redeem"), client)).endswith(b"second")
     assert member.connections == 2
@@ -225,7 +230,7 @@
 
 @pytest.mark.parametrize("billed", [b"1e300", b"nan", b"-5", b"9", b"many"])
 async def test_a_figure_that_makes_no_sense_takes_nothing_from_the_customer(billed: bytes) -> None:
-    async with stage(Peer(answer(200, b"page", b"Billed-Units: " + billed, b"Server-Load: {"))) as on:
+    async with running_node(Peer(answer(200, b"page", b"Billed-Units: " + billed, b"Server-Load: {"))) as on:
         for _ in range(3):
             assert status(await on.ask(request())) == 200
         (customer,) = on.node.host._gateway.customers.values()
@@ -244,7 +249,7 @@
 
     monkeypatch.setattr(Link, "write", breaks_first)
     member = Peer()
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         for _ in range(2):
             assert status(await on.ask(request("code-redeem"), client)) == 200
     assert (len(member.seen), member.connections) == (2, 3)
@@ -260,7 +265,7 @@
 
     monkeypatch.setattr("millfront.node.members.Wear.fade", lambda self: None)
     member = Peer(*[breaks_at_the_next] * 4)
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         monkeypatch.setattr(
             "millfront.node.members.Wear.bucket", staticmethod(lambda idle_us: 1)
         )  # all idle alike
@@ -270,23 +275,23 @@
 
 
 async def test_a_request_never_finished_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millfront.node.clients.PARTIAL_US", 100_000)
-    async with stage(Peer()) as on, await on.client() as client:
+    monkeypatch.setattr("millfront.node.clients.REQUEST_READ_TIMEOUT_US", 100_000)
+    async with running_node(Peer()) as on, await on.client() as client:
         assert status(await on.ask(request()[:-2], client)) == 408
-        with anyio.fail_after(PAST), pytest.raises(anyio.EndOfStream):
+        with anyio.fail_after(TEST_TIMEOUT_S), pytest.raises(anyio.EndOfStream):
             await client.receive()
 
 
 async def test_a_watch_that_falls_silent_is_asked_for_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millfront.node.pool.SILENT_S", 0.1)
-    async with stage(Peer()) as on:
-        await on.discovery.until(lambda peer: on.discovery.watches == 2 and peer.closed == 1)
+    async with running_node(Peer()) as on:
+        await on.discovery.wait_until(lambda peer: on.discovery.watches == 2 and peer.closed == 1)
         assert status(await on.ask(request())) == 200
 
 
 async def test_members_that_are_long_gone_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millfront.node.pool.FORGET_US", 0)
-    async with stage(Peer(), Peer()) as on:
+    async with running_node(Peer(), Peer()) as on:
         pool = on.node.pool
         for seq in (42, 43):
             pool.take({"seq": seq, "whole": True, "hosts": [row("s-new", "127.0.0.1:1")]})
@@ -296,38 +301,38 @@
 
 async def test_pipelined_requests_are_answered_in_turn() -> None:
     member = Peer(answer(200, b"first"), answer(200, b"second"))
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         assert (await on.ask(request() + request(), client)).endswith(b"first")
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             assert (await client.receive()).endswith(b"second")
 
 
 async def test_at_the_deadline_the_answer_goes_out_and_the_attempt_is_closed() -> None:
     member = Peer(silent)
-    async with stage(member) as on:
+    async with running_node(member) as on:
         before = anyio.current_time()
         got = await on.ask(request("code-redeem", Request_Timeout="200000u"))
         took = anyio.current_time() - before
-        await member.until(lambda peer: peer.closed == 1)
+        await member.wait_until(lambda peer: peer.closed == 1)
     assert status(got) == 502 and 0.19 < took < 1.0
 
 
 async def test_a_client_that_leaves_withdraws_its_attempt() -> None:
     member = Peer(silent)
-    async with stage(member) as on:
+    async with running_node(member) as on:
         client = await on.client()
         await client.send(request())
-        await member.until(lambda peer: len(peer.seen) == 1)
+        await member.wait_until(lambda peer: len(peer.seen) == 1)
         await client.aclose()
-        await member.until(lambda peer: peer.closed == 1)
+        await member.wait_until(lambda peer: peer.closed == 1)
         assert not on.node.host.open and not on.node.host.owed
         assert status(await on.ask(request())) == 200
 
 
 async def test_the_health_page_is_there_for_head_too() -> None:
-    async with stage(Peer()) as on, await on.client() as client:
+    async with running_node(Peer()) as on, await on.client() as client:
         await client.send(b"HEAD /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             got = await client.receive()
         assert status(got) == 200 and got.endswith(b"\r\n\r\n")
         assert status(await on.ask(request(), client)) == 200
@@ -335,10 +340,10 @@
 
 async def test_too_many_open_requests_are_rejected() -> None:
     member = Peer(silent)
-    async with stage(member, MaxOpen=1) as on:
+    async with running_node(member, MaxOpen=1) as on:
         client = await on.client()
         await client.send(request())
-        await member.until(lambda peer: len(peer.seen) == 1)
+        await member.wait_until(lambda peer: len(peer.seen) == 1)
         assert status(await on.ask(request())) == 503
     assert len(member.seen) == 1
 
@@ -349,11 +354,11 @@
         await breaks(stream)
 
     member = Peer(answer(200), answers_and_ends)
-    async with stage(member) as on:
+    async with running_node(member) as on:
         for _ in range(2):
             assert status(await on.ask(request("code-redeem"))) == 200
         assert member.connections == 1
-        await member.until(lambda peer: peer.closed == 1)
+        await member.wait_until(lambda peer: peer.closed == 1)
         assert status(await on.ask(request("code-redeem"))) == 200
     assert member.connections == 2
 
@@ -372,17 +377,17 @@
         return dial(members, to, later)
 
     monkeypatch.setattr(Members, "dial", slow_dial)
-    async with stage(member) as on, await on.client() as client:
+    async with running_node(member) as on, await on.client() as client:
         await client.send(request("code-redeem", Request_Timeout="500m"))
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await dialling.wait()
         told = {"seq": 42, "whole": False, "hosts": [row("s-0", member.address, "Terminating")]}
-        await on.discovery.tell(json.dumps(told).encode() + b"\n")
-        with anyio.fail_after(PAST):
+        await on.discovery.send_line(json.dumps(told).encode() + b"\n")
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while on.node.pool.seq != 42:
                 await anyio.sleep(0.001)
         up[0]()
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await client.receive()) == 503
         assert status(await on.ask(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")) == 503
     assert member.seen == []
@@ -393,14 +398,14 @@
 )
 async def test_a_malformed_list_ends_the_watch_only_and_the_next_may_move_a_member(line: bytes) -> None:
     first, second = Peer(), Peer()
-    async with stage(first, second) as on:
-        await on.discovery.tell(line)
-        await on.discovery.until(lambda _: on.discovery.watches == 2)
+    async with running_node(first, second) as on:
+        await on.discovery.send_line(line)
+        await on.discovery.wait_until(lambda _: on.discovery.watches == 2)
         assert b"after=41" in on.discovery.seen[1]
         told = {"seq": 44, "whole": True, "hosts": [row("s-0", second.address)]}
-        await on.discovery.tell(json.dumps(told).encode()[:20])
-        await on.discovery.tell(json.dumps(told).encode()[20:] + b"\n\n")
-        with anyio.fail_after(PAST):
+        await on.discovery.send_line(json.dumps(told).encode()[:20])
+        await on.discovery.send_line(json.dumps(told).encode()[20:] + b"\n\n")
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while on.node.pool.seq != 44:
                 await anyio.sleep(0.001)
         assert status(await on.ask(request())) == 200
@@ -414,9 +419,9 @@
         await go_on.wait()
         await stream.send(b"ok 1\r\n")
 
-    one, other, desk, next_desk, discovery = Peer(), Peer(), Desk(late), Desk(), Discovery()
+    one, other, desk, next_desk, discovery = Peer(), Peer(), CounterPeer(late), CounterPeer(), Discovery()
     answered: list[api.Outcome] = []
-    async with stage(one, desk=desk) as on, listening(other, next_desk, discovery):
+    async with running_node(one, desk=desk) as on, listening(other, next_desk, discovery):
         assert on.node.counter is not None
         on.node.counter.wait_us = 2_000_000
         tell = on.node.host.tell
@@ -425,17 +430,19 @@
         )
         assert status(await on.ask(request())) == 200
         on.node.host.start_count(api.Count(1, 1.0, 1000))
-        await desk.until(lambda peer: len(peer.seen) == 1)
-        discovery.whole = json.dumps({"seq": 7, "whole": True, "hosts": [row("s-1", other.address)]}).encode()
+        await desk.wait_until(lambda peer: len(peer.seen) == 1)
+        discovery.full_list = json.dumps(
+            {"seq": 7, "whole": True, "hosts": [row("s-1", other.address)]}
+        ).encode()
         on.node.move(config.Address.parse(discovery.address, ""), config.Address.parse(next_desk.address, ""))
         on.node.host.start_count(api.Count(2, 1.0, 1000))
-        await next_desk.until(lambda peer: len(peer.seen) == 1)
+        await next_desk.wait_until(lambda peer: len(peer.seen) == 1)
         go_on.set()
-        await discovery.until(lambda _: discovery.watches == 1)
+        await discovery.wait_until(lambda _: discovery.watches == 1)
         assert b"after=7 " in discovery.seen[1]
-        await on.discovery.until(lambda peer: peer.closed == 1)
+        await on.discovery.wait_until(lambda peer: peer.closed == 1)
         assert status(await on.ask(request())) == 200
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while len(answered) < 2:
                 await anyio.sleep(0.001)
     assert (len(one.seen), len(other.seen)) == (1, 1)
@@ -450,26 +457,26 @@
         await answer(200, b"slow")(stream)
 
     member = Peer(slow)
-    async with stage(member) as on, await on.client() as waiting, await on.client() as resting:
+    async with running_node(member) as on, await on.client() as waiting, await on.client() as resting:
         await waiting.send(request())
-        await member.until(lambda peer: len(peer.seen) == 1)
+        await member.wait_until(lambda peer: len(peer.seen) == 1)
         on.node.stop()
         await anyio.sleep(0.3)  # the front still brings new connections
         late = await on.ask(request(), resting)
         assert status(late) == 200
         assert status(await on.ask(request())) == 200
-        with anyio.fail_after(PAST), pytest.raises(anyio.EndOfStream):
+        with anyio.fail_after(TEST_TIMEOUT_S), pytest.raises(anyio.EndOfStream):
             await resting.receive()
         assert not on.ended.is_set()
         finish.set()
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             last = await waiting.receive()
             await on.ended.wait()
         assert status(last) == 200 and b"Connection: close" in last
 
 
 async def test_out_of_descriptors_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with stage(Peer()) as on:
+    async with running_node(Peer()) as on:
         failures = [OSError(errno.EMFILE, "Too many open files"), OSError(errno.ECONNABORTED, "Aborted")]
 
         def fails(listener: socket.socket) -> socket.socket:
@@ -487,7 +494,7 @@
     def out_of_descriptors(host: str) -> socket.socket:
         raise OSError(errno.EMFILE, "Too many open files")
 
-    async with stage(Peer()) as on, await on.client() as client:
+    async with running_node(Peer()) as on, await on.client() as client:
         with monkeypatch.context() as patch:
             patch.setattr("millfront.node.link.open_socket", out_of_descriptors)
             assert status(await on.ask(request(), client)) == 503
@@ -495,7 +502,7 @@
 
 
 async def test_the_module_failing_on_one_event_is_not_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with stage(Peer()) as on:
+    async with running_node(Peer()) as on:
         handle = on.node.host._gateway.handle
         faults = [ZeroDivisionError()]
 
@@ -515,7 +522,7 @@
 
 async def test_of_two_copies_the_first_answer_counts_and_the_other_is_withdrawn() -> None:
     one, other = Peer(), Peer()
-    async with stage(one, other, SecondCopies=True) as on, await on.client() as client:
+    async with running_node(one, other, SecondCopies=True) as on, await on.client() as client:
         for _ in range(25):  # a copy must be earned
             assert status(await on.ask(request(), client)) == 200
         one.script.append(silent)
@@ -525,22 +532,22 @@
         async with asked:
             asked.start_soon(on.ask, request(), client)
             first = one
-            with anyio.fail_after(PAST):
+            with anyio.fail_after(TEST_TIMEOUT_S):
                 while len(one.seen) + len(other.seen) == sent:
                     await anyio.sleep(0.001)
             first, second = (other, one) if one.script else (one, other)
             second.script.clear()
-        await first.until(lambda peer: peer.closed == 1)
+        await first.wait_until(lambda peer: peer.closed == 1)
         assert len(one.seen) + len(other.seen) == sent + 2
         assert not on.node.host.open and not on.node.host.owed
 
 
 async def test_the_counter_is_told_what_was_sent() -> None:
-    desk = Desk()
-    async with stage(Peer(), desk=desk) as on, await on.client() as client:
+    desk = CounterPeer()
+    async with running_node(Peer(), desk=desk) as on, await on.client() as client:
         for _ in range(12):
             assert status(await on.ask(request(), client)) == 200
-        await desk.until(lambda peer: len(peer.seen) > 0)
+        await desk.wait_until(lambda peer: len(peer.seen) > 0)
     word, name, amount, ttl = desk.seen[0].split()
     # 24 units asked and sent, in grains of 100 units a second x 15 s x 3 / 2000, share one number
     assert word == b"add" and len(name) <= 64 and ttl == b"30000"
@@ -599,7 +606,7 @@
     timers.after(30_400, fired.set)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(timers.run)
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await fired.wait()
         tasks.cancel_scope.cancel()
     assert clock.asked < 12
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from millfront.node import operators_line
-from millfront.node.drain import ACCEPT_US, AT_REST_US, Drain, Reason
-from tests.peers import PAST, Peer, answer, read_message, request, stage, status
+from millfront.node.drain import ACCEPT_PERIOD_US, IDLE_CLOSE_DELAY_US, Drain, Reason
+from tests.peers import TEST_TIMEOUT_S, Peer, answer, read_message, request, running_node, status
 from tests.test_config import good, started
 
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -30,22 +30,24 @@
         now += later
         if call == "on":
             since = since if held or ended else now
-            drain.on(Reason.OPERATORS, now)
+            drain.add_reason(Reason.OPERATORS, now)
             held = True
         elif call == "end":
             since = since if held or ended else now
             ended = ended or now
-            drain.on(Reason.END, now)
+            drain.add_reason(Reason.END, now)
         else:
-            drain.off(Reason.OPERATORS)
+            drain.remove_reason(Reason.OPERATORS)
             held = False
         away = held or ended > 0
-        assert drain.wanted is not away and drain.ending is (ended > 0)
-        assert drain.sends_away(now) is (away and now >= since + ACCEPT_US)
-        assert drain.closes_at_rest(now) is (away and now >= since + ACCEPT_US + AT_REST_US)
-        assert drain.takes_no_more(now) is (ended > 0 and now >= ended + ACCEPT_US + AT_REST_US)
+        assert drain.accepts_clients is not away and drain.ending is (ended > 0)
+        assert drain.closes_after_response(now) is (away and now >= since + ACCEPT_PERIOD_US)
+        assert drain.closes_idle(now) is (away and now >= since + ACCEPT_PERIOD_US + IDLE_CLOSE_DELAY_US)
+        assert drain.stops_accepting(now) is (
+            ended > 0 and now >= ended + ACCEPT_PERIOD_US + IDLE_CLOSE_DELAY_US
+        )
     with pytest.raises(ValueError, match="for good"):
-        drain.off(Reason.END)
+        drain.remove_reason(Reason.END)
 
 
 @pytest.mark.anyio
@@ -62,22 +64,22 @@
     ],
 )
 async def test_a_call_is_one_line_and_so_is_its_answer(said: bytes, answered: bytes) -> None:
-    async with stage(Peer()) as on:
-        got = await on.call(said)
+    async with running_node(Peer()) as on:
+        got = await on.call_admin(said)
     assert got.startswith(answered) and got.endswith(b"\n") and got.count(b"\n") == 1
 
 
 @pytest.mark.anyio
 async def test_callers_that_say_nothing_hold_nobody_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operators_line, "STAY_S", 0.3)
-    async with stage(Peer()) as on:
-        host, _, port = on.line.rpartition(":")
+    async with running_node(Peer()) as on:
+        host, _, port = on.admin_address.rpartition(":")
         silent = [await anyio.connect_tcp(host, int(port)) for _ in range(2 * operators_line.MOST_CALLERS)]
         await silent[-1].send(b"che")
-        assert await on.call(b"check\n") == b"SUCCESS serves\n"
+        assert await on.call_admin(b"check\n") == b"SUCCESS serves\n"
         await silent[-1].send(b"ck\n")
         assert await silent[-1].receive() == b"SUCCESS serves\n"
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             for stream in silent[:-1]:
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                     await stream.receive()
@@ -89,8 +91,8 @@
 
 @pytest.mark.anyio
 async def test_before_a_pool_member_is_known_the_check_says_no() -> None:
-    async with stage() as on:
-        assert await on.call(b"check\n") == b"FAILURE no pool member is known yet\n"
+    async with running_node() as on:
+        assert await on.call_admin(b"check\n") == b"FAILURE no pool member is known yet\n"
 
 
 @pytest.mark.anyio
@@ -102,42 +104,42 @@
         await answer(200, b"slow")(stream)
 
     member = Peer(answer(200, b"first"), slow)
-    async with stage(member) as on, await on.client() as resting, await on.client() as waiting:
+    async with running_node(member) as on, await on.client() as resting, await on.client() as waiting:
         assert b"Connection: close" not in await on.ask(request(), resting)
         await waiting.send(request())
-        await member.until(lambda peer: len(peer.seen) == 2)
+        await member.wait_until(lambda peer: len(peer.seen) == 2)
         for call in (b"drain-on\n", b"drain-off\n", b"drain-on\n", b"drain-on\n"):
-            assert (await on.call(call)).startswith(b"SUCCESS")
+            assert (await on.call_admin(call)).startswith(b"SUCCESS")
         assert status(await on.ask(HEALTH)) == 503
         assert status(await on.ask(request())) == 200  # the front still brings new connections
-        with anyio.fail_after(PAST), pytest.raises(anyio.EndOfStream):
+        with anyio.fail_after(TEST_TIMEOUT_S), pytest.raises(anyio.EndOfStream):
             await resting.receive()
         finish.set()
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             last = await read_message(waiting)
             assert status(last) == 200 and b"Connection: close" in last
             async with await on.client() as idle:  # says nothing while clients are sent away
                 with pytest.raises(anyio.EndOfStream):
                     await idle.receive()
-        assert await on.call(b"check\n") == b"SUCCESS serves; clients are sent away\n"
-        assert (await on.call(b"drain-off\n")).startswith(b"SUCCESS")
+        assert await on.call_admin(b"check\n") == b"SUCCESS serves; clients are sent away\n"
+        assert (await on.call_admin(b"drain-off\n")).startswith(b"SUCCESS")
         assert status(await on.ask(HEALTH)) == 200
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while on.node.server.closing:
                 await anyio.sleep(0.01)
         async with await on.client() as again:
             assert b"Connection: close" not in await on.ask(request(), again)
-            await on.call(b"drain-on\n")
+            await on.call_admin(b"drain-on\n")
             on.node.stop()
-            assert (await on.call(b"drain-off\n")).startswith(b"FAILURE")
+            assert (await on.call_admin(b"drain-off\n")).startswith(b"FAILURE")
             assert status(await on.ask(request(), again)) == 200  # taken until the front has noticed
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await on.ended.wait()
 
 
 @pytest.mark.anyio
 async def test_who_waits_to_be_accepted_when_the_listener_closes_is_served() -> None:
-    async with stage(Peer()) as on:
+    async with running_node(Peer()) as on:
         host, _, port = on.address.rpartition(":")
         waiting = [socket.create_connection((host, int(port))) for _ in range(40)]  # no turn of the loop yet
         on.node.server.stop_accepting()
--- a/tests/test_restart_from_disk.py
+++ b/tests/test_restart_from_disk.py
@@ -68,10 +68,10 @@
     data_plane: Proxy,
 ) -> None:
     server = data_plane.server
-    assert server.most_body == 5000
-    assert server.at_rest_us == 6_000_000
+    assert server.max_body == 5000
+    assert server.idle_timeout_us == 6_000_000
     assert server.keep_alive == b"timeout=5"
-    assert server.partial_us == 2_300_000
+    assert server.request_read_timeout_us == 2_300_000
 
 
 def test_a_node_with_nothing_on_its_disk_starts_with_nothing_in_force() -> None:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -16,7 +16,17 @@
 from millfront.node import config
 from millfront.node.retune import OVERLAP_US, Tuning
 from millfront.settings import NodeSettings, node_settings_from, settings_from
-from tests.peers import PAST, Peer, answer, breaks, configuration, request, settings, stage, status
+from tests.peers import (
+    TEST_TIMEOUT_S,
+    Peer,
+    answer,
+    breaks,
+    configuration,
+    request,
+    running_node,
+    settings,
+    status,
+)
 from tests.test_config import good
 
 
@@ -84,7 +94,7 @@
         await breaks(stream)
 
     one, other = Peer(breaks_late), Peer(breaks_late)
-    async with stage(one, other) as on, await on.client() as waiting:
+    async with running_node(one, other) as on, await on.client() as waiting:
         node, told = on.node, settings()
 
         def retune(told: dict[str, Any]) -> None:
@@ -93,7 +103,7 @@
         told["Classes"][0]["Repeat"] = "unsafe"  # what is out was safe when it came
         told["Classes"][1]["Name"] = "print"
         await waiting.send(request())
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while len(one.seen) + len(other.seen) < 1:
                 await anyio.sleep(0.001)
         retune(told)
@@ -110,7 +120,7 @@
         assert status(await on.ask(redeem)) == 502  # a POST: the new one, which may not run again
         one.script.clear()
         other.script.clear()
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             while "issue-buy" in node.tuning.forms():
                 await anyio.sleep(0.01)
         assert status(await on.ask(request("issue-buy"))) == 404
@@ -129,7 +139,7 @@
 @pytest.mark.anyio
 async def test_a_plan_that_changes_gives_no_second_burst() -> None:
     member = Peer(*[answer(200, b"page")] * 100)
-    async with stage(member) as on:
+    async with running_node(member) as on:
         first = [status(await on.ask(request(Plan="spent", Quota_Info="units=0.04,spread=1,first=0")))]
         told = settings()
         told["Packages"][1]["MostAtOnce"] = 0.2
--- a/tests/test_system_parts.py
+++ b/tests/test_system_parts.py
@@ -159,8 +159,8 @@
 @pytest.mark.parametrize(
     ("ending", "repeatable", "outcome", "goes_on", "promises"),
     [
-        (Ending.TURNED_AWAY, False, Outcome.NOT_RUN, True, True),
-        (Ending.UNCONNECTED, False, Outcome.NOT_RUN, True, True),
+        (Ending.NOT_STARTED, False, Outcome.NOT_RUN, True, True),
+        (Ending.CONNECT_FAILED, False, Outcome.NOT_RUN, True, True),
         (Ending.BROKEN, False, Outcome.UNKNOWN, False, False),
         (Ending.BROKEN, True, Outcome.UNKNOWN, True, False),
         (Ending.MALFORMED, False, Outcome.UNKNOWN, False, False),
@@ -182,7 +182,7 @@
     progress = RequestProgress(True, 3)
     progress.sending("i-1")
     progress.sending("i-2")
-    progress.ended(Ending.TURNED_AWAY)
+    progress.ended(Ending.NOT_STARTED)
     assert not progress.promises()
     progress.ended(Ending.BROKEN)
     assert progress.outcome is Outcome.UNKNOWN and not progress.promises()
