--- a/tests/test_usage_node.py
+++ b/tests/test_usage_node.py
@@ -14,7 +14,7 @@
 from millfront.usage.part import UsagePart
 from millfront.usage.receiver import Receiving, server
 from millfront.usage.sinks import HttpSink
-from tests.peers import PAST, Peer, answer, breaks, listening, request, silent, stage, status
+from tests.peers import TEST_TIMEOUT_S, Peer, answer, breaks, listening, request, running_node, silent, status
 
 pytestmark = pytest.mark.anyio
 
@@ -48,13 +48,13 @@
     never = answer(503, b"", b"Not-Started: 1")
     # served; error, and nothing may repeat; broken, and its repeat served; never started at any member
     member = Peer(told, answer(500), breaks, told, never)
-    async with stage(member, operators=operators(tmp_path, address)) as on:
+    async with running_node(member, operators=operators(tmp_path, address)) as on:
         assert status(await on.ask(request("page-fetch"))) == 200
         assert status(await on.ask(request("code-redeem"))) == 502
         repeated = status(await on.ask(request("page-fetch")))
         assert status(await on.ask(request("code-redeem"))) in (503, 200)
         on.node.stop()
-        with anyio.fail_after(PAST):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await on.ended.wait()
     billed: Counter[tuple[str, str]] = Counter()
     for ledger in receiving.totals:
@@ -75,27 +75,27 @@
     told["usage"]["export"]["receiver"] |= {"timeout_s": 0.1, "first_wait_s": 0.01, "most_wait_s": 0.05}
     async with listening(never):
         told["usage"]["export"]["receiver"]["address"] = never.address
-        async with stage(Peer(), operators=told) as on:
+        async with running_node(Peer(), operators=told) as on:
             (part,) = [p for p in on.node.parts._parts if isinstance(p, UsagePart)]
             assert part.exporter is not None
             for _ in range(3):
                 assert status(await on.ask(request())) == 200  # no request waits for it
-            with anyio.fail_after(PAST):
+            with anyio.fail_after(TEST_TIMEOUT_S):
                 while never.connections < 3:
-                    await never.until(lambda peer: peer.connections >= 3)
+                    await never.wait_until(lambda peer: peer.connections >= 3)
             assert "no answer" in str(part.status()["export_trouble"])
             sink = part.exporter.sink
             assert isinstance(sink, HttpSink)
             sink.address = Address.parse("127.0.0.1:1", "")  # nobody listens there
-            with anyio.fail_after(PAST):
+            with anyio.fail_after(TEST_TIMEOUT_S):
                 while "did not come up" not in str(part.status()["export_trouble"]):
                     await anyio.sleep(0.01)
             sink.address = Address.parse(address, "")
-            with anyio.fail_after(PAST):
+            with anyio.fail_after(TEST_TIMEOUT_S):
                 while part.exporter.lines == 0:
                     await anyio.sleep(0.01)
             on.node.stop()
-            with anyio.fail_after(PAST):
+            with anyio.fail_after(TEST_TIMEOUT_S):
                 await on.ended.wait()
     (totals,) = receiving.totals.values()
     assert sum(totals.values()) == 6_000_000
@@ -103,7 +103,7 @@
 
 async def test_a_ledger_that_cannot_be_opened_refuses_no_request_and_is_shown(tmp_path: Path) -> None:
     (tmp_path / "ledger").write_text("a file where the folder should be")
-    async with stage(Peer(), operators=operators(tmp_path, "127.0.0.1:1")) as on:
+    async with running_node(Peer(), operators=operators(tmp_path, "127.0.0.1:1")) as on:
         for _ in range(3):
             assert status(await on.ask(request())) == 200
         (part,) = on.node.parts._parts
