--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Gateways of the real module round one counter, in simulated time: what they send on for a customer."""
+"""Real gateways that share one counter, in simulated time: what they send on for a customer."""
 
 import heapq
 import itertools
@@ -17,10 +17,10 @@
 
 
 class Counter:
-    """Names with lives; loses calls or answers where told to."""
+    """Totals by name, which expire; answers are lost at random, or calls fail while it is down."""
 
     def __init__(self, draws: random.Random, lost: float = 0.0) -> None:
-        self.names: dict[int, tuple[int, float]] = {}  # to end and total
+        self.names: dict[int, tuple[int, float]] = {}  # expiry and total
         self.draws = draws
         self.lost = lost  # share of the answers that never come, though the amount was added
         self.down = False
@@ -38,7 +38,7 @@
 
 
 class Fleet:
-    """Gateways, their clocks alike; each request is answered well at once."""
+    """Gateways with one clock; each attempt is answered with OK after 90 ms."""
 
     def __init__(self, gateways: int, plan: api.Plan, seed: int = 1, lost: float = 0.0) -> None:
         self.draws = random.Random(seed)
@@ -46,7 +46,7 @@
         self.now = BEGIN_US
         self.plans: list[api.Plan | None] = [None] * gateways
         self.reserves = False
-        self.sent: list[tuple[int, int, float, api.Standing]] = []  # when, where, units, on what
+        self.sent: list[tuple[int, int, float, api.Standing]] = []  # time, gateway, units, standing
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._ids = itertools.count(1)
@@ -54,20 +54,20 @@
         self.gateways = []
         self.leases = [Leases(True) for _ in range(gateways)]
         for me in range(gateways):
-            told = replace(SETTINGS, me=me, peers=gateways, classes=classes, plans=(plan,))
-            self.gateways.append(Gateway(told, seed + me))
-            self._born(me)
+            settings = replace(SETTINGS, me=me, peers=gateways, classes=classes, plans=(plan,))
+            self.gateways.append(Gateway(settings, seed + me))
+            self._start(me)
 
-    def _born(self, me: int) -> None:
+    def _start(self, me: int) -> None:
         self.gateways[me].on_plan_change = carry
         entries = tuple(api.BackendEntry(i, 0, 0, 0, api.BackendState.READY, 1.0, 0) for i in range(40))
-        self._tell(me, api.Started())
-        self._tell(me, api.BackendList(api.ListKind.CACHED, entries))
+        self._handle(me, api.Started())
+        self._handle(me, api.BackendList(api.ListKind.CACHED, entries))
 
     def restart(self, me: int) -> None:
         self.gateways[me] = Gateway(self.gateways[me].settings, me + 77)
         self.leases[me] = Leases(True)
-        self._born(me)
+        self._start(me)
 
     def at(self, when_us: int, call: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (when_us, next(self._order), call))
@@ -80,8 +80,8 @@
             call()
         self.now = end
 
-    def add_requests(self, me: int, rate: float, units: float, seconds: float, start_s: float = 0.0) -> None:
-        """Requests at one gateway, so many a second, at random (Poisson)."""
+    def asks(self, me: int, rate: float, units: float, seconds: float, start_s: float = 0.0) -> None:
+        """Schedules requests at one gateway: a Poisson process of so many a second."""
         at = self.now + int(start_s * SECOND)
         end = at + int(seconds * SECOND)
         while rate > 0 and (at := at + int(self.draws.expovariate(rate) * SECOND)) < end:
@@ -92,16 +92,16 @@
         asked = api.RequestArrived(
             next(self._ids), 0, 0, 7, 4 * SECOND, units, len(self.gateways), 0, terms, self.reserves
         )
-        self._tell(me, asked)
+        self._handle(me, asked)
 
-    def _tell(self, me: int, event: api.Event) -> None:
+    def _handle(self, me: int, event: api.Event) -> None:
         for action in self.gateways[me].handle(self.now, event):
             match action:
                 case api.Send(request, backend, _, standing):
                     units = self.gateways[me].requests[request].units
                     self.sent.append((self.now, me, units, standing))
                     ended = api.AttemptEnded(request, 0, backend, api.Outcome.OK, True, 90_000, 0.0)
-                    self.at(self.now + 90_000, lambda e=ended: self._tell(me, e))  # type: ignore[misc]
+                    self.at(self.now + 90_000, lambda e=ended: self._handle(me, e))  # type: ignore[misc]
                 case api.SetTimer(delay, token):
                     gateway = self.gateways[me]
                     self.at(self.now + delay, lambda t=token, g=gateway: self._fire(me, g, t))  # type: ignore[misc]
@@ -111,8 +111,8 @@
                     self._carry_out(me, self.leases[me].short(self.now, customer, short, held, spread))
 
     def _fire(self, me: int, gateway: Gateway, token: int) -> None:
-        if self.gateways[me] is gateway:  # one that has died beats no more
-            self._tell(me, api.TimerFired(token))
+        if self.gateways[me] is gateway:  # the timer of a gateway that was restarted since is dropped
+            self._handle(me, api.TimerFired(token))
             if token == choice.TIMER_TOKEN and self.draws.random() < choice.TIMER_PERIOD_US / SECOND:
                 self._carry_out(me, self.leases[me].beat(self.now))
 
@@ -126,7 +126,7 @@
                 return
             asks = self.leases[me].answered(self.now, count.name, outcome, total)
             if asks is None:
-                self._tell(me, api.CounterAnswered(count.name, outcome, total))
+                self._handle(me, api.CounterAnswered(count.name, outcome, total))
             else:
                 self._carry_out(me, asks)
 
@@ -135,7 +135,7 @@
     def _carry_out(self, me: int, asks: list[Ask]) -> None:
         for ask in asks:
             if isinstance(ask, Leased):
-                self._tell(me, api.UnitsLeased(ask.customer, ask.units))
+                self._handle(me, api.UnitsLeased(ask.customer, ask.units))
             else:
                 self._count(me, ask)
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The codec on frames built by hand."""
+"""The simulator's host, on frames built by hand."""
 
 import io
 import json
@@ -108,7 +108,7 @@
     assert struct.unpack("<BIQII", send) == (11, 3, 41, 77, 2000000)
 
 
-def test_catalog_slot_reused_within_a_batch_goes_by_order() -> None:
+def test_catalog_slot_reused_within_a_batch_is_read_in_order() -> None:
     data = frame(
         10,
         configure(1),
@@ -125,7 +125,7 @@
     assert [struct.unpack("<BIQII", s)[3] for s in sends] == [11, 22]
 
 
-def test_instance_killed_and_started_in_one_batch_is_new() -> None:
+def test_instance_stopped_and_configured_in_one_batch_is_new() -> None:
     first = frame(10, configure(1), catalog(0, 11), view(1, 0), request(1, 5))
     again = frame(20, struct.pack("<BI", 7, 1), configure(1), catalog(0, 12), view(1, 0), request(1, 6))
     reply = replies(first + again)[1]
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
         (b"\x01\x00", "frame header"),
         (struct.pack("<IIQ", 1, 30, 5), "short of a frame"),
@@ -176,6 +176,6 @@
         (struct.pack("<IIQ", 0, 9, 5) + b"\x00", "after the last record"),
     ],
 )
-def test_malformed_input_is_named(data: bytes, says: str) -> None:
-    with pytest.raises(benchlink.Malformed, match=says):
+def test_malformed_input_is_described(data: bytes, message: str) -> None:
+    with pytest.raises(benchlink.Malformed, match=message):
         replies(data)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""The module's decisions: the mechanism on hand-worked numbers, each rule, each failure found."""
+"""The decisions: prices and shares on numbers worked out by hand, each rule, and each failure found."""
 
 from dataclasses import replace
 
@@ -44,7 +44,7 @@
 
 
 class Bench:
-    """A gateway with a clock; keeps the last answer of the gateway."""
+    """A gateway with a clock and a list of backends."""
 
     def __init__(self, settings: api.Settings = SETTINGS, backends: int = 4, cells: int = 2) -> None:
         self.gateway = Gateway(settings, 1)
@@ -85,7 +85,7 @@
         return actions
 
     def serve(self, **asked: int) -> api.Send | None:
-        """Ask and have it answered in time."""
+        """Sends a request and has its attempt answered; None if it was not sent on."""
         (action,) = self.ask(**asked)
         if not isinstance(action, api.Send):
             return None
@@ -105,7 +105,7 @@
     return [a for a in actions if isinstance(a, api.Count)]
 
 
-# ---- the mechanism
+# ---- prices, shares and the counter
 
 
 @pytest.mark.parametrize(
@@ -117,46 +117,48 @@
 
 
 @pytest.mark.parametrize(
-    ("price", "own", "room", "share", "expected"),
+    ("price", "own_rate", "unused", "share", "expected"),
     [
-        (1.0, 9.0, 9.0, 1.0, 2.0),  # at the full price, the even slice of 6 over 3
-        (0.5, 9.0, 9.0, 1.0, 4.0),  # the utility's level
-        (0.0, 3.0, 2.0, 0.5, 4.0),  # the room cap
+        (1.0, 9.0, 9.0, 1.0, 2.0),  # at the full price, the even share of 6 over 3
+        (0.5, 9.0, 9.0, 1.0, 4.0),  # the maximum of the utility
+        (0.0, 3.0, 2.0, 0.5, 4.0),  # capped by the unused quota
         (0.0, 0.0, 0.0, 0.0, 2.0),  # the floor
     ],
 )
-def test_level_is_utility_less_price_under_the_room_cap(
-    price: float, own: float, room: float, share: float, expected: float
+def test_refill_rate_is_utility_less_price_capped_by_the_unused_quota(
+    price: float, own_rate: float, unused: float, share: float, expected: float
 ) -> None:
-    assert prices.refill_rate(price, 6.0, 3, own, room, share) == pytest.approx(expected)
+    assert prices.refill_rate(price, 6.0, 3, own_rate, unused, share) == pytest.approx(expected)
 
 
-@pytest.mark.parametrize(("outcome", "later"), [(api.Outcome.RESET, False), (api.Outcome.FULL, True)])
-def test_a_lost_connection_to_the_counter_does_not_slow_the_ticks(outcome: api.Outcome, later: bool) -> None:
+@pytest.mark.parametrize(("outcome", "is_cut"), [(api.Outcome.RESET, False), (api.Outcome.FULL, True)])
+def test_a_lost_connection_to_the_counter_does_not_cut_the_call_rate(
+    outcome: api.Outcome, is_cut: bool
+) -> None:
     bench = Bench()
     bench.serve(plan=1)
     for _ in range(4):
         (call,) = counts(bench.run_timers(4.0))[:1]
         bench.handle(api.CounterAnswered(call.name, outcome, 0.0))
         bench.ask(plan=1)
-    assert (bench.gateway.call_rate < state.INITIAL_CALL_RATE / SETTINGS.peers) is later
+    assert (bench.gateway.call_rate < state.INITIAL_CALL_RATE / SETTINGS.peers) is is_cut
     (customer,) = bench.gateway.customers.values()
-    assert (customer.sent > 1.0) is later  # what may have been added is not told again
+    assert (customer.sent > 1.0) is is_cut  # what may have been added is not sent again
 
 
-def test_a_lost_attempt_gives_its_place_under_the_cap_back() -> None:
+def test_a_lost_attempt_frees_its_place_under_the_open_limit() -> None:
     bench = Bench()
     (first,) = sends(bench.ask(plan=3, spread=1))
     (second,) = sends(bench.ask(plan=3, spread=1))
     assert finals(bench.ask(plan=3, spread=1))  # both places are taken
     bench.now += SECOND
     for backend in bench.gateway.backends.values():
-        backend.answered_us = bench.now  # answers others meanwhile: only the connection is silent
-    withdrawn = [a for a in bench.run_timers(0.5) if isinstance(a, api.Cancel)]
-    assert {a.request for a in withdrawn} == {first.request, second.request}
+        backend.answered_us = bench.now  # it answers others: only the connection is silent
+    cancelled = [a for a in bench.run_timers(0.5) if isinstance(a, api.Cancel)]
+    assert {a.request for a in cancelled} == {first.request, second.request}
 
 
-def test_the_last_of_a_store_is_kept_for_classes_of_more_worth() -> None:
+def test_the_last_of_a_quota_is_kept_for_classes_of_more_worth() -> None:
     bench = Bench(replace(SETTINGS, classes=(SAFE, replace(UNSAFE, worth=5.0))))
     for _ in range(2):
         assert bench.serve(cls=0, plan=1)
@@ -164,7 +166,7 @@
     assert bench.serve(cls=1, plan=1)
 
 
-def test_the_busiest_gateway_is_given_its_part_of_the_store_and_no_more_than_is_left() -> None:
+def test_the_busiest_gateway_gets_its_share_of_the_quota_and_no_more_than_is_left() -> None:
     bench = Bench()
     assert sum(bench.serve(plan=1) is not None for _ in range(9)) == 4  # an even part
     (call,) = counts(bench.run_timers(1.1))
@@ -182,16 +184,16 @@
     assert customer.bucket <= state.RESERVE_MARGIN
 
 
-def test_newcomer_starts_at_the_even_slice_and_is_refused_at_once_when_it_is_spent() -> None:
+def test_new_customer_starts_with_the_even_share_and_is_refused_once_it_is_spent() -> None:
     bench = Bench()
-    let_in = sum(bench.serve(plan=1) is not None for _ in range(12))
-    assert let_in == 4  # a third of the burst of 12
+    admitted = sum(bench.serve(plan=1) is not None for _ in range(12))
+    assert admitted == 4  # a third of the burst of 12
     assert finals(bench.ask(plan=1))
     bench.now += SECOND
     assert sum(bench.serve(plan=1) is not None for _ in range(6)) == 2  # a third of 6 a second
 
 
-def test_counter_call_adds_own_use_and_its_total_moves_price_and_level() -> None:
+def test_counter_call_adds_own_use_and_its_total_moves_price_and_refill_rate() -> None:
     bench = Bench()
     for _ in range(3):
         bench.serve(plan=1)
@@ -207,7 +209,7 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.TIMEOUT, api.Outcome.FULL])
-def test_counter_failure_keeps_the_price_and_opens_no_level(outcome: api.Outcome) -> None:
+def test_counter_failure_keeps_price_and_refill_rate(outcome: api.Outcome) -> None:
     bench = Bench()
     for _ in range(3):
         bench.serve(plan=1)
@@ -215,12 +217,12 @@
     bench.handle(api.CounterAnswered(call.name, outcome, 0.0))
     customer = bench.gateway.customers[1]
     assert (customer.price, customer.refill_rate) == (1.0, 2.0)
-    told_again = customer.sent > 0
-    assert told_again == (outcome is api.Outcome.FULL)  # a time-out may have been added
+    counted_again = customer.sent > 0
+    assert counted_again == (outcome is api.Outcome.FULL)  # a time-out may have been added
     assert bench.gateway.call_rate < state.INITIAL_CALL_RATE / SETTINGS.peers
 
 
-def test_forgetful_counter_opens_no_level() -> None:
+def test_counter_that_lost_its_total_does_not_raise_the_refill_rate() -> None:
     bench = Bench()
     for total in (100 + prices.PACK_BASE * 100, 1 + prices.PACK_BASE):
         bench.serve(plan=1)
@@ -230,13 +232,13 @@
     assert bench.gateway.customers[1].price == 1.0
 
 
-def test_names_are_alike_at_all_gateways_and_differ_by_customer_and_epoch() -> None:
+def test_counter_names_are_the_same_at_all_gateways_and_differ_by_customer_and_epoch() -> None:
     names = {api.stable_hash(c, e) for c in range(300) for e in range(300)}
     assert len(names) == 90_000
     assert api.stable_hash(7, 3) == api.stable_hash(7, 3)
 
 
-def test_cap_on_attempts_out_is_held() -> None:
+def test_limit_of_open_attempts_is_kept() -> None:
     bench = Bench()
     assert sends(bench.ask(plan=3))
     assert sends(bench.ask(plan=3))
@@ -255,7 +257,7 @@
 
 def test_ceiling_share_holds_with_the_counter_silent_and_after_a_restart() -> None:
     sent = 0
-    for _life in range(3):  # each life starts with an empty share: dying refills nothing
+    for _run in range(3):  # each run starts with an empty share: a restart refills nothing
         bench = Bench()
         for _ in range(100):
             bench.now += 10_000
@@ -332,10 +334,10 @@
 
 
 @pytest.mark.parametrize("state", [api.BackendState.DRAINING, api.BackendState.GONE])
-def test_nothing_new_goes_to_a_backend_told_draining_or_gone(state: api.BackendState) -> None:
+def test_nothing_new_goes_to_a_backend_listed_as_draining_or_gone(state: api.BackendState) -> None:
     bench = Bench(backends=2)
     out = [s for _ in range(4) for s in sends(bench.ask())]
-    assert {s.backend for s in out} == {0, 1}  # work still out keeps the backend known
+    assert {s.backend for s in out} == {0, 1}  # a backend with attempts in flight is kept
     bench.handle(api.BackendList(api.ListKind.DELTA, (replace(bench.entries[0], state=state),)))
     for send in out:
         if send.backend == 1:
@@ -368,9 +370,9 @@
     assert 1 <= picked.count(0) <= fair * cold.COLD_HEADROOM + cold.MAX_COLD_CREDIT
 
 
-def test_most_of_the_pool_cold_takes_its_part_of_the_work() -> None:
-    """After a release that replaced most members, the warm ones left stood under queues of ten each while the
-    cold ones were given their part of a fleet that was no longer there."""
+def test_cold_backends_that_are_most_of_the_pool_take_their_share() -> None:
+    """After a release that replaced most backends, the warm ones left had queues of ten each, while the cold
+    ones got their share of a fleet that was no longer there."""
     bench = Bench(backends=5)
     newcomers = tuple(replace(entry, started_us=START) for entry in bench.entries[1:])
     bench.handle(api.BackendList(api.ListKind.DELTA, newcomers))
@@ -389,8 +391,8 @@
 # ---- failures found
 
 
-def test_overload_shuts_the_window_until_answers_are_fast_again() -> None:
-    """Incidents of the first version: overload that fed itself."""
+def test_overload_shrinks_the_window() -> None:
+    """Incidents of the first version: overload that sustained itself."""
     bench = Bench()
     first = bench.gateway.window
     for _ in range(6):
@@ -401,8 +403,8 @@
     assert bench.gateway.window < 0.9 * first
 
 
-def test_window_bears_a_tenth_of_slow_answers_but_not_half() -> None:
-    """Incident iff0f4a: a few requests heavy by themselves shut the window of an idle fleet."""
+def test_window_withstands_a_tenth_of_slow_answers_but_not_half() -> None:
+    """Incident iff0f4a: a few requests that are slow by themselves closed the window of an idle fleet."""
 
     def window_after(slow_every: int) -> float:
         bench = Bench()
@@ -420,8 +422,8 @@
     assert window_after(2) < 4.0
 
 
-def test_slowness_fades_when_nobody_confirms_it() -> None:
-    """Trace of a quiet day: a backend once measured slow was never tried again."""
+def test_slowness_decays_without_answers() -> None:
+    """On a quiet day a backend that was once measured slow was never tried again."""
     bench = Bench()
     backend = bench.gateway.backends[0]
     backend.slowness, backend.answered_us = 3.0, bench.now
@@ -431,7 +433,7 @@
     assert later < 1.5
 
 
-def test_full_backend_rests() -> None:
+def test_full_backend_is_paused() -> None:
     bench = Bench(backends=2)
     (send,) = sends(bench.ask())
     (again,) = sends(bench.end(send, api.Outcome.FULL))
@@ -450,7 +452,7 @@
     assert {s.backend for _ in range(3) for s in sends(bench.ask())} == {0, 1}
 
 
-def test_silent_backend_is_left_before_any_time_out() -> None:
+def test_silent_backend_is_avoided_before_any_time_out() -> None:
     bench = Bench(backends=2)
     (send,) = sends(bench.ask(cls=1))
     bench.now += int(members.SILENT_SHARE * SAFE.aim_us) + 1
@@ -483,7 +485,7 @@
 
 
 def test_single_resets_do_not_eject_a_backend_that_answers() -> None:
-    """Incident i10285b: a fifth of the attempts to some backends were reset; each reset ejected one."""
+    """Incident i10285b: a fifth of the attempts at some backends were reset, and each reset ejected one."""
     bench = Bench(backends=1)
     (send,) = sends(bench.ask(cls=1))
     bench.end(send, api.Outcome.RESET)
@@ -494,7 +496,7 @@
     assert finals(bench.ask())
 
 
-def test_attempts_at_a_backend_that_answers_nothing_do_not_shut_the_window() -> None:
+def test_attempts_at_a_backend_that_answers_nothing_do_not_shrink_the_window() -> None:
     """Incident i9d2bcf: a gateway cut off from most backends took the loss for overload."""
     bench = Bench()
     first = bench.gateway.window
@@ -518,7 +520,7 @@
 
 
 def test_large_request_is_not_sent_on_the_last_of_the_bucket() -> None:
-    """Talca's price for over quota: eight units on a bucket of a fraction are beyond the quota, and cost."""
+    """Going over quota has a cost: eight units on a bucket that holds a fraction are beyond the quota."""
     bench = Bench()
     bench.serve(plan=1)
     bench.gateway.customers[1].bucket = 0.5
@@ -526,7 +528,7 @@
     assert sends(bench.ask(plan=1, units=1.0))
 
 
-def test_two_requests_that_meet_are_not_overload() -> None:
+def test_two_requests_that_coincide_are_not_overload() -> None:
     """At 100 gateways a window holds less than two attempts: one in flight must not refuse the next."""
     bench = Bench(replace(SETTINGS, peers=100, classes=(replace(SAFE, worth=0.5), SAFE)), backends=25)
     for cls in (1, 1, 0):
@@ -542,7 +544,7 @@
 
 
 def test_many_gateways_use_a_cold_backend_from_the_start() -> None:
-    """Half of a grown fleet stood idle after a release: no gateway saved a whole send within the ramp."""
+    """Half of a grown fleet was idle after a release: no gateway saved up a whole send within the ramp."""
     sent_cold = 0
     for seed in range(60):
         bench = Bench(replace(SETTINGS, peers=60), backends=30)
@@ -557,8 +559,8 @@
     assert 0.2 * fair <= sent_cold <= 0.8 * fair
 
 
-def test_unanswered_attempts_are_no_load_and_pay_for_copies() -> None:
-    """Serdang's class_fail: some backends leave one class unanswered; its attempts filled the window."""
+def test_unanswered_attempts_are_no_load_and_allow_hedges() -> None:
+    """Some backends left one class unanswered, and its attempts filled the window."""
     bench = Bench()
     for _ in range(3):
         assert sends(bench.ask())
@@ -585,22 +587,22 @@
 
 
 def test_a_burst_is_overload_at_once_even_if_the_mean_has_not_seen_it() -> None:
-    """Gateways that stood still find all at once; the mean alone let all of it in (serdang's overload)."""
+    """A gateway that was paused finds all requests at once; with the mean alone it admitted them all."""
     bench = Bench(replace(SETTINGS, peers=100), backends=25)
     assert any(isinstance(bench.ask()[-1], api.Refuse) for _ in range(8))
 
 
 @pytest.mark.parametrize(
-    ("retry_after", "most_us", "expected_us"),
+    ("retry_after", "max_us", "expected_us"),
     [(True, 2_000_000, 375_000), (True, 200_000, 200_000), (False, 2_000_000, 0)],
 )
 def test_a_refusal_says_when_the_bucket_will_let_the_request_in(
-    retry_after: bool, most_us: int, expected_us: int
+    retry_after: bool, max_us: int, expected_us: int
 ) -> None:
-    allowed = replace(SETTINGS.allowed, retry_after=retry_after, max_retry_after_us=most_us)
+    allowed = replace(SETTINGS.allowed, retry_after=retry_after, max_retry_after_us=max_us)
     bench = Bench(replace(SETTINGS, allowed=allowed))
-    # The bucket starts with 4 units and fills at 2 a second. A try beyond costs half its worth, so odds of a
-    # third are worth it: 9 units of 3 gateways need a bucket of 1, and an eighth of a second has passed.
+    # The bucket starts with 4 units and fills at 2 a second. An attempt over quota costs half its worth, so a
+    # probability of 1/3 is enough: 9 units over 3 gateways need a bucket of 1, and 1/8 s has passed.
     bench.ask(plan=1, customer=9, units=4.0, spread=3)
     bench.now += 125_000
     (refusal,) = bench.ask(plan=1, customer=9, units=9.0, spread=3)
@@ -616,19 +618,19 @@
         sent[send.backend] += 1
         fails = send.backend == 2 and bench.next % 3 > 0
         bench.end(send, api.Outcome.ERROR if fails else api.Outcome.OK, latency=5_000 if fails else 100_000)
-    # unpriced, it would get more than its quarter, for its errors end soonest
+    # without a cost of errors it would get more than its quarter, as errors end soonest
     assert sent[2] < 400 / 4 / 2 and min(sent) > 0
 
 
 # ---- many gateways, each of which sees little of a customer
 
-THIN = replace(SETTINGS, peers=30, plans=(FREE, QUOTA, CEILING, OPEN), most_units=8.0)
+SMALL_SHARE = replace(SETTINGS, peers=30, plans=(FREE, QUOTA, CEILING, OPEN), most_units=8.0)
 
 
-def thin_bench(plan: int = 1) -> tuple[Bench, api.Count]:
-    """A gateway that has asked the counter about the first request of a customer of thirty gateways."""
-    bench = Bench(THIN)
-    bench.now += SECOND  # calls are saved up
+def small_share_bench(plan: int = 1) -> tuple[Bench, api.Count]:
+    """A gateway that has called the counter for the first request of a customer of thirty gateways."""
+    bench = Bench(SMALL_SHARE)
+    bench.now += SECOND  # call tokens are saved up
     asked = bench.ask(plan=plan, spread=30)
     assert not sends(asked) and not finals(asked)
     return bench, counts(asked)[0]
@@ -638,16 +640,16 @@
     ("outcome", "others", "sent"),
     [
         (api.Outcome.OK, 4.0, True),  # a total that leaves room
-        (api.Outcome.OK, 60.0, False),  # the store is spent, by all together
+        (api.Outcome.OK, 60.0, False),  # the quota is spent, by all together
         (api.Outcome.TIMEOUT, 0.0, True),  # no answer: as this gateway alone would decide
     ],
 )
-def test_a_request_that_the_slice_does_not_hold_waits_for_the_total(
+def test_a_request_that_the_share_does_not_cover_waits_for_the_total(
     outcome: api.Outcome, others: float, sent: bool
 ) -> None:
-    """A third of the worth was refused with half of the quota unused: a slice of 1/30 held no request, and
-    the total came when it had been refused."""
-    bench, call = thin_bench()
+    """A third of the worth was refused with half of the quota unused: a share of 1/30 covered no request, and
+    the total came after the refusal."""
+    bench, call = small_share_bench()
     bench.now += 5_000
     after = bench.handle(
         api.CounterAnswered(call.name, outcome, call.amount + others * (1 + prices.PACK_BASE))
@@ -657,7 +659,7 @@
 
 
 def test_a_request_whose_client_left_while_it_waits_is_not_sent_and_its_units_are_given_back() -> None:
-    bench, call = thin_bench()
+    bench, call = small_share_bench()
     bench.handle(api.RequestGone(bench.next))
     assert not bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, call.amount))
     assert not bench.gateway.requests
@@ -666,41 +668,39 @@
 
 
 def test_a_first_total_opens_the_ceiling_by_what_all_have_left_of_it() -> None:
-    """The first seconds after a start refused nearly all of a plan with a ceiling: its share began empty."""
-    bench, call = thin_bench(plan=2)
+    """After a start nearly all of a plan with a ceiling was refused for seconds: its share started empty."""
+    bench, call = small_share_bench(plan=2)
     (send,) = sends(bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, call.amount)))
     bench.end(send, api.Outcome.OK)
-    bench, call = thin_bench(plan=2)
+    bench, call = small_share_bench(plan=2)
     total = call.amount + 60.0 * (1 + prices.PACK_BASE)  # sent on by all before this gateway was killed
     assert finals(bench.handle(api.CounterAnswered(call.name, api.Outcome.OK, total)))
 
 
-def test_calls_become_few_while_the_counter_answers_late_and_come_back() -> None:
-    """Forty gateways made a line at the counter that answered no call in time, for the whole day."""
-    bench = Bench(THIN)
+def test_call_rate_falls_while_the_counter_answers_late_and_recovers() -> None:
+    """Calls of forty gateways queued at the counter, which answered none in time for a whole day."""
+    bench = Bench(SMALL_SHARE)
     bench.now += SECOND
     for customer in range(20):
         bench.ask(plan=1, customer=customer, spread=30)
     out = sum(len(waiting) for waiting in bench.gateway.calls.values())
-    assert 0 < out <= state.INITIAL_CALL_RATE / THIN.peers  # the others find no call left
+    assert 0 < out <= state.INITIAL_CALL_RATE / SMALL_SHARE.peers  # the others find no call token left
     rates = [bench.gateway.call_rate]
     for late in (True, True, False, False):
         for _ in range(50):
             for call in counts(bench.run_timers(0.02)):
-                bench.now += THIN.counter_timeout_us if late else 1_000
+                bench.now += SMALL_SHARE.counter_timeout_us if late else 1_000
                 outcome = api.Outcome.TIMEOUT if late else api.Outcome.OK
                 bench.handle(api.CounterAnswered(call.name, outcome, call.amount))
         for customer in range(20):
             bench.ask(plan=1, customer=customer, spread=30)
         rates.append(bench.gateway.call_rate)
     assert rates[0] > rates[1] > rates[2] < rates[4]
-    assert (
-        rates[2] >= rates[0] * choice.RATE_CUT**8
-    )  # the line of one jam is not answered with ever more cuts
+    assert rates[2] >= rates[0] * choice.RATE_CUT**8  # one queue of late answers doesn't cause ever more cuts
 
 
-def test_a_connection_that_is_up_is_used_again_where_a_new_one_has_its_price() -> None:
-    """Forty gateways opened connections to all of sixty members, who then turned new ones away."""
+def test_open_connections_are_reused_where_a_handshake_has_a_price() -> None:
+    """Forty gateways opened connections to all of sixty backends, which then turned new ones away."""
     used = []
     for price in (0.0, 0.08):
         bench = Bench(replace(SETTINGS, handshake_price=price), backends=40)
@@ -713,15 +713,15 @@
     assert used[0] >= 20 and used[1] <= 4
 
 
-def test_a_member_short_of_connections_is_not_ill() -> None:
-    """Members at their most connections were ejected for seconds, with connections to them up and idle."""
+def test_a_backend_short_of_connections_is_not_ejected() -> None:
+    """Backends at their maximum of connections were ejected for seconds, with open connections idle."""
     bench = Bench(backends=1)
     (first,) = sends(bench.ask())
     bench.end(first, api.Outcome.OK)
     (kept,) = sends(bench.ask())
     (more,) = sends(bench.ask())
     bench.end(more, api.Outcome.CONNECT_FAILED)
-    assert finals(bench.ask())  # not asked again at once
+    assert finals(bench.ask())  # not tried again at once
     bench.end(kept, api.Outcome.OK)
     bench.now += attempts.PAUSE_US
     assert bench.serve()
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""The decision module's bounds, over all files that deploy/balancer.toml names as policy."""
+"""Limits of size and imports of the decisions: the files that deploy/balancer.toml lists as policy."""
 
 import ast
 import sys
@@ -9,7 +9,7 @@
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]]
 
 
-def test_module_is_short_and_narrow_and_named_whole() -> None:
+def test_policy_keeps_its_limits_of_lines_and_width_and_lists_every_file() -> None:
     lines = [line for file in POLICY for line in file.read_text().splitlines()]
     assert sum(1 for line in lines if line.strip()) <= 750
     assert max(len(line) for line in lines) <= 110
@@ -17,7 +17,7 @@
     assert split < set(POLICY)
 
 
-def test_module_imports_only_the_standard_library_and_the_interface() -> None:
+def test_policy_imports_only_the_standard_library_and_the_interface() -> None:
     imported = set()
     for file in POLICY:
         for node in ast.walk(ast.parse(file.read_text())):
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -162,7 +162,7 @@
             fleet.at(when, lambda me=me, plan=plan: fleet.plans.__setitem__(me, plan))  # type: ignore[misc]
     end = plans[-1][0] + 8.0
     for me, rate in enumerate((60.0, 20.0, 5.0)):  # far over each quota, unevenly
-        fleet.add_requests(me, rate, 2.0, end)
+        fleet.asks(me, rate, 2.0, end)
     fleet.run(end)
     slack = 1.5 * max(plan.rate for _, plan in plans) + overdrawn(end)
     assert fleet.units(INSIDE) <= allowed(plans, end, heard_s) + slack
@@ -173,7 +173,7 @@
         fleet = Fleet(3, COLLECTOR)
         fleet.plans = [COLLECTOR] * 3
         for me in range(3):
-            fleet.add_requests(me, 60.0, 2.0, 10.0)
+            fleet.asks(me, 60.0, 2.0, 10.0)
         for step in range(1, 21 if moves else 0):
             to = CASUAL if step % 2 else COLLECTOR
             at = BEGIN_US + int((2.0 + step * 0.2) * SECOND)
@@ -189,7 +189,7 @@
         fleet = Fleet(3, first)
         fleet.plans = [first] * 3
         for me in range(3):
-            fleet.add_requests(me, 80.0, 2.0, 12.0)  # eight times the larger quota
+            fleet.asks(me, 80.0, 2.0, 12.0)  # eight times the larger quota
         fleet.run(6.0)
         fleet.plans = [CASUAL] * 3
         fleet.run(6.0)
@@ -202,7 +202,7 @@
     fleet = Fleet(3, CASUAL)
     fleet.plans = [CASUAL] * 3
     for me in range(3):
-        fleet.add_requests(me, 40.0, 2.0, 14.0)
+        fleet.asks(me, 40.0, 2.0, 14.0)
     fleet.run(6.0)
     fleet.plans = [COLLECTOR] * 3
     fleet.run(8.0)
@@ -248,7 +248,7 @@
 def test_a_ceiling_begins_empty_after_a_plan_without_one() -> None:
     fleet = Fleet(1, COLLECTOR)
     fleet.plans = [COLLECTOR]
-    fleet.add_requests(0, 30.0, 1.0, 3.0)
+    fleet.asks(0, 30.0, 1.0, 3.0)
     fleet.run(2.9)
     fleet.plans = [REGULAR]
     fleet.run(0.05)
@@ -272,7 +272,7 @@
 def test_a_reserved_rate_is_honoured_and_held_over_all_gateways(rates: tuple[float, ...]) -> None:
     fleet = reserving(20.0, None)
     for me, rate in enumerate(rates):
-        fleet.add_requests(me, rate, 2.0, 12.0)
+        fleet.asks(me, rate, 2.0, 12.0)
     fleet.run(12.0)
     got = fleet.units(RESERVED)
     assert 0.85 * 20.0 * 12.0 <= got <= 20.0 * 14.0
@@ -283,7 +283,7 @@
 def test_reserved_units_in_all_are_honoured_once_over_the_counters_epochs() -> None:
     fleet = reserving(None, 900.0)
     for me, rate in enumerate((20.0, 8.0, 2.0)):
-        fleet.add_requests(me, rate, 2.0, 50.0)
+        fleet.asks(me, rate, 2.0, 50.0)
     fleet.run(50.0)
     assert 0.95 * 900.0 <= fleet.units(RESERVED) <= 900.0
     assert fleet.sent[-1][0] - BEGIN_US > 2 * EPOCH_US
@@ -291,14 +291,14 @@
 
 def test_what_a_dead_gateway_had_spent_stays_spent() -> None:
     fleet = reserving(None, 600.0)
-    fleet.add_requests(0, 10.0, 2.0, 12.0)
+    fleet.asks(0, 10.0, 2.0, 12.0)
     fleet.run(13.0)
     spent = fleet.units(RESERVED)
     assert 150.0 < spent < 300.0
     fleet.restart(0)  # knows nothing any more
     fleet.leases[0].book(fleet.now, [Held(99, 7, BEGIN_US, BEGIN_US + 99 * SECOND, None, 600.0)])
     for me in range(3):
-        fleet.add_requests(me, 20.0, 2.0, 40.0, start_s=25.0)  # the name it spent under has expired by then
+        fleet.asks(me, 20.0, 2.0, 40.0, start_s=25.0)  # the name that it spent under is forgotten by then
     fleet.run(70.0)
     assert 500.0 <= fleet.units(RESERVED) <= 600.0
 
@@ -307,7 +307,7 @@
     for cancelled in (False, True):
         fleet = reserving(20.0, None, seconds=99.0 if cancelled else 5.0)
         for me in range(3):
-            fleet.add_requests(me, 30.0, 2.0, 10.0)
+            fleet.asks(me, 30.0, 2.0, 10.0)
         fleet.run(5.0)
         if cancelled:
             for me, leases in enumerate(fleet.leases):
@@ -348,7 +348,7 @@
     for when, me, kind in troubles:
         fleet.at(BEGIN_US + int(when * SECOND), lambda me=me, kind=kind: trouble(me, kind))  # type: ignore[misc]
     for me, rate in enumerate((6.0, 4.0, 2.0)):
-        fleet.add_requests(me, rate, 2.0, 50.0)
+        fleet.asks(me, rate, 2.0, 50.0)
     fleet.run(55.0)
     assert fleet.units(RESERVED) <= 400.0 + at_risk
 
@@ -357,7 +357,7 @@
     fleet = reserving(None, 90.0)
     for leases in fleet.leases:
         leases.counter = False
-    fleet.add_requests(0, 50.0, 2.0, 10.0)
+    fleet.asks(0, 50.0, 2.0, 10.0)
     fleet.run(10.0)
     assert 24.0 <= fleet.units(RESERVED) <= 30.0
 
@@ -365,7 +365,7 @@
 def test_a_forgetful_counter_leases_nothing_anew() -> None:
     fleet = reserving(None, 200.0)
     for me in range(3):
-        fleet.add_requests(me, 30.0, 2.0, 12.0)
+        fleet.asks(me, 30.0, 2.0, 12.0)
     fleet.at(BEGIN_US + SECOND, fleet.counter.names.clear)
     fleet.run(12.0)
     # Stated: what the others leased between this gateway's last read and the loss
@@ -375,7 +375,7 @@
 def test_true_units_are_settled_with_what_was_leased() -> None:
     fleet = reserving(20.0, None)
     gateway = fleet.gateways[0]
-    fleet.add_requests(0, 30.0, 2.0, 2.0)
+    fleet.asks(0, 30.0, 2.0, 2.0)
     while not any(request.reserved for request in gateway.requests.values()):
         fleet.run(0.01)
     customer = gateway.customers[7]
@@ -392,7 +392,7 @@
     fleet = Fleet(2, COLLECTOR)
     fleet.plans = [COLLECTOR, large]  # a version apart
     for me in range(2):
-        fleet.add_requests(me, 50.0, 2.0, 2.0)
+        fleet.asks(me, 50.0, 2.0, 2.0)
     fleet.run(2.0)  # within one epoch
     totals = [total for _, total in fleet.counter.names.values()]
     assert len(totals) == 2
--- a/tests/test_same_examples.py
+++ b/tests/test_same_examples.py
@@ -1,4 +1,4 @@
-"""What a property is tried with depends on the property, and not on which other tests are loaded."""
+"""Hypothesis draws the same examples for a property, whichever other modules are loaded."""
 
 import importlib.util
 import sys
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def load(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Callable[[], Any]:
-    """Load one more local module, which is full of constants."""
+    """Loads one more local module, which is full of constants."""
 
     def load() -> None:
         file = tmp_path / "full_of_constants.py"
