--- a/millfront/benchlink.py
+++ b/millfront/benchlink.py
@@ -33,21 +33,21 @@
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.offset = 0
 
     def take(self, fmt: str) -> tuple[Any, ...]:
         try:
-            values = struct.unpack_from("<" + fmt, self.data, self.at)
+            values = struct.unpack_from("<" + fmt, self.data, self.offset)
         except struct.error:
-            raise Malformed(f"record cut short at byte {self.at}") from None
-        self.at += struct.calcsize("<" + fmt)
+            raise Malformed(f"record cut short at byte {self.offset}") from None
+        self.offset += struct.calcsize("<" + fmt)
         return values
 
     def raw(self, size: int) -> bytes:
-        if self.at + size > len(self.data):
-            raise Malformed(f"record cut short at byte {self.at}")
-        self.at += size
-        return self.data[self.at - size : self.at]
+        if self.offset + size > len(self.data):
+            raise Malformed(f"record cut short at byte {self.offset}")
+        self.offset += size
+        return self.data[self.offset - size : self.offset]
 
 
 def lookup(values: Callable[[Any], T], value: object, what: str) -> T:
@@ -159,8 +159,8 @@
             instance, actions = self.handle_record(reader, now)
             for action in actions:
                 reply += encode(instance, action)
-        if reader.at != len(data):
-            raise Malformed(f"{len(data) - reader.at} bytes after the last record")
+        if reader.offset != len(data):
+            raise Malformed(f"{len(data) - reader.offset} bytes after the last record")
         return bytes(reply)
 
     def handle_record(self, reader: Reader, now: int) -> tuple[int, list[api.Action]]:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -137,7 +137,7 @@
     reader = benchlink.Reader(body)
     event = benchlink.attempt_ended(reader)
     assert event == api.AttemptEnded(41, 2, 77, api.Outcome.TIMEOUT, True, 1234, 4)
-    assert reader.at == len(body)
+    assert reader.offset == len(body)
 
 
 def test_every_action_has_its_code() -> None:
