--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,7 +29,7 @@
 from millfront.discovery.server_list import ServerList
 from millfront.environment import Bounds
 from millfront.membership.record import MemberRecord
-from millfront.quotas.requester import Decision, Outcome, Then
+from millfront.quotas.requester import Decision, DecisionCallback, Outcome
 from millfront.register.values import Value
 from millfront.storage.disk import MAP_BYTES, Disk
 from millfront.storage.lmdb_folder import DiskError
@@ -219,11 +219,11 @@
     """Nobody grants."""
 
     def request(
-        self, now: float, tenant: Tenant, most_wait_s: float, ahead: int, then: Then
+        self, now: float, tenant: Tenant, max_wait_s: float, prefetch: int, callback: DecisionCallback
     ) -> Decision | None:
-        return Decision(Outcome.UNREACHABLE, most_wait_s)
+        return Decision(Outcome.UNREACHABLE, max_wait_s)
 
-    def scarce(self, now: float, tenant: Tenant) -> bool:
+    def is_scarce(self, now: float, tenant: Tenant) -> bool:
         return False
 
 
@@ -242,7 +242,7 @@
         for at in (1.0, 2.0):
             for p in range(processes):
                 totals = {name: [chance.random() + at, chance.random() + at] for name in known}
-                admission.heard(at, f"z0-{p:04d}", 1, at, totals)
+                admission.handle_totals(at, f"z0-{p:04d}", 1, at, totals)
         del totals
         held = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
@@ -295,8 +295,8 @@
 
 
 def looked_through(load_balancer: LoadBalancer) -> int:
-    """As Proxy.share_cold does with each beat."""
-    return sum(load_balancer.cold(2.0, seen) for seen in load_balancer.seen.values())
+    """As Proxy.update_cold_owners does with each beat."""
+    return sum(load_balancer.is_cold(2.0, seen) for seen in load_balancer.server_states.values())
 
 
 def servers(words: list[str]) -> None:
@@ -325,7 +325,7 @@
             LoadBalancer("z0", {f"z{k}": f"r{k % 13}" for k in range(36)}, 1),
         )
         book.polled(1.0, book.begin(1.0), entries)
-        load_balancer.listed(book.servers.values())
+        load_balancer.update_servers(book.servers.values())
         held = tracemalloc.get_traced_memory()[0] / 2**20
         tracemalloc.stop()
         whole = book.whole(1.0)
@@ -336,7 +336,7 @@
         changed = {"t": "list", "f": number + 1, "w": asker, "p": number, "q": asker, "a": 0.0}
         changed |= {"e": entries[:10], "g": []}
         take = timed(partial(other.take, 3.0, changed))[1]
-        listed = timed(partial(load_balancer.listed, book.servers.values()), 5)[1]
+        listed = timed(partial(load_balancer.update_servers, book.servers.values()), 5)[1]
         cold = timed(partial(looked_through, load_balancer), 5)[1]
         print(
             f"{count:6} | {raw / 1000:8.0f} {len(encoded(whole)) / 1000:7.0f} | "
@@ -351,7 +351,7 @@
             book.begin(1.0),
             [[f"i-{k}", "shop", f"10.2.0.{k}:80", f"z{k % 36}", 2, 0, 0.0] for k in range(count)],
         )
-        load_balancer.listed(book.servers.values())
+        load_balancer.update_servers(book.servers.values())
         service = Service("shop", "/health", 100, 3.0, 2.0)
         pick = timed(partial(load_balancer.pick, 2.0, service, True, frozenset(), 1000.0), 2000)[1]
         print(f"{count:6} | {pick * 1e6:6.1f}")
--- a/benchmarks/quota_cost.py
+++ b/benchmarks/quota_cost.py
@@ -101,8 +101,8 @@
         took, refused, came = played(system, LIMITED, LOAD * RATE)
         told("with a limit", took, refused, came)
         print(f"{(questions(system) - before) / came:.2f} questions a request")
-    question = len(encoded(TokenRequest(2**31, "tenant01", 1.0).wire())) + HEADERS
-    answer = len(encoded(TokenReply(2**31, 1.0, 0.0).wire())) + HEADERS
+    question = len(encoded(TokenRequest(2**31, "tenant01", 1.0).to_wire())) + HEADERS
+    answer = len(encoded(TokenReply(2**31, 1.0, 0.0).to_wire())) + HEADERS
     print(f"{question} bytes a question, {answer} an answer")
 
 
--- a/millfront/dataplane/client_request.py
+++ b/millfront/dataplane/client_request.py
@@ -15,7 +15,7 @@
 ATTEMPT_ID = b"millfront-attempt-id"  # the client's; an answer bears that of its own request
 
 
-def promise(answer: Message | None) -> bool:
+def promises_not_run(answer: Message | None) -> bool:
     """Whether to the client this says that it has not run and never will, which a server says by
     Millfront-Not-Executed alone."""
     return answer is not None and answer.start in (408, 429, 503)
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class AttemptTarget:
     """The chosen server for one try, and its time limit in microseconds."""
 
     backend: str
@@ -42,24 +42,24 @@
     """One client's request, open until its one answer."""
 
     arrival: Arrival
-    attempt: bytes
+    attempt_id: bytes
     route: Route
     service: str
     host: str
     path: str
     key: str
     tenant: Tenant | None
-    came_us: int
+    arrived_us: int
     progress: RequestProgress
     caller: Any = None
     over: bool = False
     whole: bool = True
-    streams: int = -1
-    counted: bool = False
+    streaming_flow: int = -1
+    quota_counted: bool = False
     flows: dict[int, ServerSideFlow] = field(default_factory=dict)
-    seen: dict[int, ServerState] = field(default_factory=dict)
+    server_states: dict[int, ServerState] = field(default_factory=dict)
     timer: asyncio.TimerHandle | None = None
-    answer: Message | None = None  # a server's own error, to be relayed if nothing better comes
+    fallback_answer: Message | None = None  # a server's own error, to be relayed if nothing better comes
     revoked: bool = False
     operation_key: bytes = b""
     claim: PendingClaim | None = None  # of its operation key, from the claim until the end
@@ -67,4 +67,4 @@
     @property
     def deadline_us(self) -> int:
         """When the client's time limit ends, in microseconds on the proxy's clock."""
-        return self.came_us + self.arrival.timeout_us
+        return self.arrived_us + self.arrival.timeout_us
--- a/millfront/dataplane/keyed_requests.py
+++ b/millfront/dataplane/keyed_requests.py
@@ -16,13 +16,13 @@
 if TYPE_CHECKING:
     from millfront.dataplane.proxy import Proxy
 
-KEY = b"millfront-operation-key"
-KIND = "keyed"  # of routes whose requests carry a key
-WIDEN_S = 0.1  # two ways to another region and a sync: then all members of the core are asked
+OPERATION_KEY = b"millfront-operation-key"
+KEYED_KIND = "keyed"  # of routes whose requests carry a key
+WIDEN_AFTER_S = 0.1  # two ways to another region and a sync: then all members of the core are asked
 CLAIM_SHARE = 0.22  # of the target time that a request waits for a majority at most
-KEPT_S = 0.15  # that an answer waits at most for the owner and the successor of its key
-AT_WORK_MARGIN_S = 1.0  # beyond the route's deadline a request that was claimed may be at work
-AGAIN_S = 0.3  # after which a client may ask again while the first request is at work
+STORE_WAIT_S = 0.15  # that an answer waits at most for the owner and the successor of its key
+RUNNING_MARGIN_S = 1.0  # beyond the route's deadline a request that was claimed may be at work
+RETRY_AFTER_S = 0.3  # after which a client may ask again while the first request is at work
 
 
 class KeyedRequests:
@@ -37,47 +37,49 @@
         """Claim the request's key; it is sent once that is granted, or answered."""
         tenant = request.tenant.name if request.tenant is not None else ""
         operation = operation_id(tenant, key.decode("latin-1"))
-        at_work_s = request.route.deadline + AT_WORK_MARGIN_S
-        pending = self.claims.begin(operation, at_work_s, partial(self._decided, request))
+        running_s = request.route.deadline + RUNNING_MARGIN_S
+        pending = self.claims.begin(operation, running_s, partial(self._on_claim_decision, request))
         if pending is not None and not request.over:
             request.claim = pending
             loop, wait = asyncio.get_running_loop(), CLAIM_SHARE * request.route.target
-            loop.call_later(min(WIDEN_S, wait / 2), self.claims.widen, pending)
+            loop.call_later(min(WIDEN_AFTER_S, wait / 2), self.claims.widen, pending)
             loop.call_later(wait, self.claims.expire, pending)
 
-    def _decided(self, request: ClientRequest, outcome: Outcome, answer: StoredAnswer | None) -> None:
+    def _on_claim_decision(
+        self, request: ClientRequest, outcome: Outcome, answer: StoredAnswer | None
+    ) -> None:
         if outcome is Outcome.RUN:
-            self._granted(request)
+            self._on_claim_granted(request)
             return
         request.claim = None
         if request.over:
             return
         if outcome is not Outcome.REFUSED:
-            self.proxy.not_counted(request)
+            self.proxy.refund_quota(request)
         if answer is not None:
             self.proxy.finish(request)
             request.caller.served(_message(answer))
         elif outcome is Outcome.AT_WORK:
-            self.proxy.refuse(request, 409, AGAIN_S)
+            self.proxy.refuse(request, 409, RETRY_AFTER_S)
         elif outcome is Outcome.UNKNOWN:
             self.proxy.refuse(request, 502, 0.0)
         else:
             self.proxy.give_up(request)
 
-    def _granted(self, request: ClientRequest) -> None:
+    def _on_claim_granted(self, request: ClientRequest) -> None:
         if request.over:  # its client left meanwhile
             self.withdraw(request)
         else:
-            self.proxy.go(request)
+            self.proxy.dispatch(request)
 
     # ---- after it was sent ---------------------------------------------------------------------------
 
-    def answered(self, request: ClientRequest, answer: Message, deliver: Callable[[], None]) -> None:
+    def complete(self, request: ClientRequest, answer: Message, deliver: Callable[[], None]) -> None:
         """A server has run it: its answer is kept, then delivered."""
         stored = _stored(answer) if request.claim is not None else None  # most requests have no key
         self._finish(request, stored, deliver)
 
-    def unknown(self, request: ClientRequest) -> None:
+    def complete_unknown(self, request: ClientRequest) -> None:
         """It was sent, and no answer came, or a longer one than is kept."""
         self._finish(request, None, lambda: None)
 
@@ -91,7 +93,7 @@
         homes, _ = self.proxy.homes(request)
         self.claims.finish(claim, answer, homes, deliver)
         if claim.kept is not None:
-            asyncio.get_running_loop().call_later(KEPT_S, self.claims.let_go, claim)
+            asyncio.get_running_loop().call_later(STORE_WAIT_S, self.claims.let_go, claim)
 
     def withdraw(self, request: ClientRequest) -> None:
         """It was not run by any server, and will not be."""
--- a/millfront/dataplane/proxy.py
+++ b/millfront/dataplane/proxy.py
@@ -13,8 +13,14 @@
 from typing import TYPE_CHECKING
 
 from millfront.control.configuration import Route
-from millfront.dataplane.client_request import ATTEMPT_ID, Arrival, ClientRequest, Sending, promise
-from millfront.dataplane.keyed_requests import KEY, KIND, KeyedRequests
+from millfront.dataplane.client_request import (
+    ATTEMPT_ID,
+    Arrival,
+    AttemptTarget,
+    ClientRequest,
+    promises_not_run,
+)
+from millfront.dataplane.keyed_requests import KEYED_KIND, OPERATION_KEY, KeyedRequests
 from millfront.dataplane.load_balancer import LoadBalancer, ServerState
 from millfront.dataplane.retries import RequestProgress, RetryBudget
 from millfront.dataplane.router import Router
@@ -38,17 +44,21 @@
 TENANT, TARGET = b"millfront-tenant-name", b"millfront-target-instance"
 SEAL, NOT_RUN, LOAD = b"millfront-server-seal", b"millfront-not-executed", b"millfront-server-load"
 OWN_FIELDS = (b"authorization", DEADLINE, TENANT, TARGET)
-CONNECT_US = 350_000  # several ways there and back: a server that is dark says nothing
+CONNECT_TIMEOUT_US = 350_000  # several ways there and back: a server that is dark says nothing
 KEEPALIVE_US = 16_000_000  # halved by Members: below what servers let connections lie idle
 HOLD_SHARE = 0.22  # of the target time that a request may wait for a server that takes it
-HOLD_S = 0.04
-COPY_SHARE = 0.5  # of the target time after which a repeatable request that is silent gets a second server
-COPY_WORKS = 2.5  # and of its service's mean time
-SPARE_SOCKETS = 300  # files, the system's own connections, operators and clients that ask where to go
-AGAIN_S = 0.4  # a client that comes to one that is out of touch with the register is told to wait so long
+HOLD_RETRY_S = 0.04
+HEDGE_TARGET_SHARE = (
+    0.5  # of the target time after which a repeatable request that is silent gets a second server
+)
+HEDGE_SERVICE_TIMES = 2.5  # and of its service's mean time
+RESERVED_SOCKETS = 300  # files, the system's own connections, operators and clients that ask where to go
+RETRY_AFTER_S = (
+    0.4  # a client that comes to one that is out of touch with the register is told to wait so long
+)
 ADMIT_SHARE = 0.2  # of the target time that a request may wait for a token
-AFTER_SPREAD = 0.3  # of Retry-After, so that those refused together don't come again together
-FLOW = itertools.count(1)
+RETRY_AFTER_JITTER = 0.3  # of Retry-After, so that those refused together don't come again together
+FLOW_NUMBERS = itertools.count(1)
 
 
 class Proxy:
@@ -60,31 +70,38 @@
         self.random = random.Random(seed)
         self.load_balancer = LoadBalancer(settings.zone, settings.zones, seed)
         self.clock = Clock()
-        sockets = max(64, settings.fd_limit - SPARE_SOCKETS)
-        self.members = Members(self.clock, CONNECT_US, KEEPALIVE_US, sockets // 3)
+        sockets = max(64, settings.fd_limit - RESERVED_SOCKETS)
+        self.members = Members(self.clock, CONNECT_TIMEOUT_US, KEEPALIVE_US, sockets // 3)
         memory = settings.ram_mb * 1024 * 1024
         ways = Ways(max(4, memory // 2 // PART // EACH))
         self.send = Send(
-            self.clock, self.members, Router(self), self.book, ways, self.begin, self.judge, self.fields
+            self.clock,
+            self.members,
+            Router(self),
+            self.attempt_ended,
+            ways,
+            self.begin_stream,
+            self.classify_answer,
+            self.server_fields,
         )
         self.send.rest_s = 3.0
         self.send.part_may_run = True  # servers begin work when they like
-        self.server = VirtualServer(self.clock, self, self.take_in, self.admit, None, sockets * 2 // 3)
+        self.server = VirtualServer(self.clock, self, self.parse_request, self.admit, None, sockets * 2 // 3)
         self.server.room = Room(memory // ROOM_PART)
-        self.server.may_promise = lambda request: request.progress.promises()
+        self.server.may_promise = lambda request: request.progress.known_not_run()
         self.keyed = KeyedRequests(self, gatekeeper.operations.claims)
         self.retry_budgets: dict[str, RetryBudget] = {}
-        self.sizes: dict[str, float] = {}  # by route: bytes of an answer
-        self.open = 0
-        gatekeeper.relisted = self.relisted
-        gatekeeper.changed = self.changed
-        self.changed()  # what the disk had is in force already
+        self.answer_sizes: dict[str, float] = {}  # by route: bytes of an answer
+        self.open_requests = 0
+        gatekeeper.relisted = self.on_servers_changed
+        gatekeeper.changed = self.on_configuration_changed
+        self.on_configuration_changed()  # what the disk had is in force already
 
     # ---- what the gatekeeper tells -------------------------------------------------------------------
 
-    def relisted(self) -> None:
+    def on_servers_changed(self) -> None:
         """The servers have changed."""
-        stopped = self.load_balancer.listed(self.gatekeeper.server_list.servers.values())
+        stopped = self.load_balancer.update_servers(self.gatekeeper.server_list.servers.values())
         for server in self.gatekeeper.server_list.servers.values():
             if server.ident not in stopped:
                 known = self.members.get(server.ident)
@@ -95,31 +112,34 @@
                 self.members.listed(server.ident, server.address, Address.parse(server.address, "address"))
         for ident in stopped:
             self.members.stopped(ident)
-        self.share_cold()
+        self.update_cold_owners()
 
-    def share_cold(self) -> None:
+    def update_cold_owners(self) -> None:
         """A cold server's trickle is one process's, in its region where there is one: a duty by key."""
         now, gatekeeper = self.now(), self.gatekeeper
-        mine = {}
-        for ident, seen in self.load_balancer.seen.items():
-            if self.load_balancer.cold(now, seen):
-                region = self.load_balancer.zones.get(seen.server.zone, "")
-                where = region if gatekeeper.membership.live(region) else None
-                mine[ident] = gatekeeper.membership.has_duty(f"cold {ident}", where)
-        self.load_balancer.cold_mine = mine
-
-    def changed(self) -> None:
+        owned = {}
+        for ident, server_state in self.load_balancer.server_states.items():
+            if self.load_balancer.is_cold(now, server_state):
+                region = self.load_balancer.zones.get(server_state.server.zone, "")
+                scope = region if gatekeeper.membership.live(region) else None
+                owned[ident] = gatekeeper.membership.has_duty(f"cold {ident}", scope)
+        self.load_balancer.cold_owned = owned
+
+    def on_configuration_changed(self) -> None:
         """Another configuration or evacuation is in force."""
-        was, self.load_balancer.evacuated = self.load_balancer.evacuated, frozenset(self.gatekeeper.evacuated)
+        previous, self.load_balancer.evacuated = (
+            self.load_balancer.evacuated,
+            frozenset(self.gatekeeper.evacuated),
+        )
         now = self.now()
-        for zone in was - self.load_balancer.evacuated:  # its servers may have turned cold meanwhile
-            for seen in self.load_balancer.seen.values():
-                if seen.server.zone == zone and self.gatekeeper.configuration is not None:
-                    service = self.gatekeeper.configuration.services.get(seen.server.service)
+        for zone in previous - self.load_balancer.evacuated:  # its servers may have turned cold meanwhile
+            for server_state in self.load_balancer.server_states.values():
+                if server_state.server.zone == zone and self.gatekeeper.configuration is not None:
+                    service = self.gatekeeper.configuration.services.get(server_state.server.service)
                     warmup = service.warmup if service is not None else 0.0
-                    seen.server.cold_until = max(seen.server.cold_until, now + warmup)
-                    seen.credited, seen.credit = now, 0.0
-        self.share_cold()
+                    server_state.server.cold_until = max(server_state.server.cold_until, now + warmup)
+                    server_state.credit_at, server_state.send_credit = now, 0.0
+        self.update_cold_owners()
         if (configuration := self.gatekeeper.configuration) is not None:
             idle = configuration.limits.idle_timeout
             self.server.at_rest_us = int(idle * 1e6)
@@ -129,14 +149,14 @@
 
     # ---- a request comes ---------------------------------------------------------------------------
 
-    def take_in(self, message: Message, came_us: int) -> ClientRequest:
+    def parse_request(self, message: Message, arrived_us: int) -> ClientRequest:
         """What decisions need of a request.
 
         :raises NotTaken: it is not allowed, and why
         """
         configuration = self.gatekeeper.configuration
         if configuration is None:
-            raise NotTaken(503, "no configuration yet", AGAIN_S)
+            raise NotTaken(503, "no configuration yet", RETRY_AFTER_S)
         assert isinstance(message.start, tuple)
         fields = dict(reversed(message.fields))  # of several of a name the first counts
         host = fields.get(b"host", b"").decode("latin-1").lower().partition(":")[0]
@@ -145,83 +165,85 @@
         if route is None:
             raise self._denied(404, "no such route")
         key = ""
-        told = fields.get(b"authorization", b"").decode("latin-1")
-        if told[:6].lower() == "token ":
-            key = told[6:].strip()
+        authorization = fields.get(b"authorization", b"").decode("latin-1")
+        if authorization[:6].lower() == "token ":
+            key = authorization[6:].strip()
         tenant = configuration.tenants.get(key) if key else None
         if tenant is None and configuration.tenants and not route.public:
             raise self._denied(401, "key not known")
-        wait = route.deadline
+        timeout_s = route.deadline
         if (text := fields.get(DEADLINE)) is not None:
             if not text.isdigit():
                 raise NotTaken(400, "Millfront-Deadline-Ms: not a number")
-            wait = min(wait, int(text) / 1e3)
+            timeout_s = min(timeout_s, int(text) / 1e3)
         progress = RequestProgress(route.repeatable, route.max_tries)
-        arrival = Arrival(message, max(1000, int(wait * 1e6)))
+        arrival = Arrival(message, max(1000, int(timeout_s * 1e6)))
         attempt = fields.get(ATTEMPT_ID, b"")
         request = ClientRequest(
-            arrival, attempt, route, "", host, path, key, tenant, came_us, progress, whole=not message.more
+            arrival, attempt, route, "", host, path, key, tenant, arrived_us, progress, whole=not message.more
         )
-        if route.kind == KIND:
-            request.operation_key = fields.get(KEY, b"")
+        if route.kind == KEYED_KIND:
+            request.operation_key = fields.get(OPERATION_KEY, b"")
         return request
 
-    def _denied(self, status: int, why: str) -> NotTaken:
+    def _denied(self, status: int, reason: str) -> NotTaken:
         """What is held here does not allow it. A client tries no more after that: where a newer version may
         have been in force elsewhere for long, it is told to come again instead."""
         if self.gatekeeper.sure(self.now()):
-            return NotTaken(status, why)
-        return NotTaken(503, "out of touch with the registry", AGAIN_S)
+            return NotTaken(status, reason)
+        return NotTaken(503, "out of touch with the registry", RETRY_AFTER_S)
 
     def admit(self, request: ClientRequest, caller: Caller) -> ClientRequest | None:
         """Refused at once, or on its way."""
         request.caller = caller
         now = self.now()
-        self.open += 1
+        self.open_requests += 1
         if not self.gatekeeper.server_list.in_time(now):
-            self.refuse(request, 503, AGAIN_S)
+            self.refuse(request, 503, RETRY_AFTER_S)
             return None
         if request.tenant is not None:
             if not self.gatekeeper.trusted(now):
-                self.refuse(request, 503, AGAIN_S)
+                self.refuse(request, 503, RETRY_AFTER_S)
                 return None
             wait = ADMIT_SHARE * request.route.target
-            then = partial(self._decided, request)
-            decision = self.gatekeeper.admission.admit(now, request.tenant, wait, then)
+            callback = partial(self._on_quota_decision, request)
+            decision = self.gatekeeper.admission.admit(now, request.tenant, wait, callback)
             if decision is None:
                 return request
-            if not self._admitted(request, decision):
+            if not self._apply_quota_decision(request, decision):
                 return None
         self._start(request)
         return None if request.over else request
 
-    def _decided(self, request: ClientRequest, decision: Decision) -> None:
+    def _on_quota_decision(self, request: ClientRequest, decision: Decision) -> None:
         """Of a request that waited for a token."""
         if request.over:  # its client left meanwhile
             if decision.outcome is Outcome.ADMITTED and request.tenant is not None:
-                self.gatekeeper.admission.give_back(request.tenant)
-        elif self._admitted(request, decision):
+                self.gatekeeper.admission.refund(request.tenant)
+        elif self._apply_quota_decision(request, decision):
             self._start(request)
 
-    def _admitted(self, request: ClientRequest, decision: Decision) -> bool:
+    def _apply_quota_decision(self, request: ClientRequest, decision: Decision) -> bool:
         """Whether its tenant's quota lets it in; if not, it is answered."""
         if decision.outcome is Outcome.ADMITTED:
-            request.counted = True
+            request.quota_counted = True
             return True
         status = 429 if decision.outcome is Outcome.EXHAUSTED else 503
-        self.refuse(request, status, decision.after_s * (1.0 + AFTER_SPREAD * self.random.random()))
+        self.refuse(
+            request, status, decision.retry_after_s * (1.0 + RETRY_AFTER_JITTER * self.random.random())
+        )
         return False
 
     def _start(self, request: ClientRequest) -> None:
         """It is let in: on its way."""
-        request.service = self._arm(request.route)
-        self.retry_budget(request.service).request(self.now(), self.gatekeeper.membership.count())
+        request.service = self._choose_service(request.route)
+        self.retry_budget(request.service).record_request(self.now(), self.gatekeeper.membership.count())
         if request.operation_key:
             self.keyed.begin(request, request.operation_key)
         else:
-            self.go(request)
+            self.dispatch(request)
 
-    def _arm(self, route: Route) -> str:
+    def _choose_service(self, route: Route) -> str:
         if len(route.arms) == 1:
             return route.arms[0][0]
         names, weights = zip(*route.arms, strict=True)
@@ -249,14 +271,14 @@
         route = configuration.route_of(request.host, request.path)
         return route is not None and any(name == request.service for name, _ in route.arms)
 
-    def evacuated(self, flow: ServerSideFlow) -> bool:
+    def in_evacuated_zone(self, flow: ServerSideFlow) -> bool:
         """Whether the zone of the server that was chosen is evacuated by now."""
-        seen = flow.opened.seen.get(flow.number)
-        return seen is not None and seen.server.zone in self.load_balancer.evacuated
+        server_state = flow.opened.server_states.get(flow.number)
+        return server_state is not None and server_state.server.zone in self.load_balancer.evacuated
 
     # ---- tries ---------------------------------------------------------------------------------------
 
-    def go(self, request: ClientRequest) -> None:
+    def dispatch(self, request: ClientRequest) -> None:
         """Send it to a server, hold it a moment where none takes it, or give up."""
         now, configuration = self.now(), self.gatekeeper.configuration
         assert configuration is not None
@@ -265,36 +287,36 @@
             self.give_up(request)
             return
         if all(name != request.service for name, _ in route.arms):
-            request.service = self._arm(route)
+            request.service = self._choose_service(route)
         service = configuration.services.get(request.service)
         homes, possible = self.homes(request)
         if not possible:  # a home of the route and another of the tenant: no server may have it
             self.give_up(request)
             return
-        seen = None
+        server_state = None
         if service is not None:
             size: float = (
                 len(request.arrival.message.body)
                 if request.whole
                 else (request.arrival.message.length or 100_000)
             )
-            size += self.sizes.get(route.name, 1000.0)
-            most_out = max(2, service.max_conns // max(1, self.gatekeeper.membership.count()))
-            seen = self.load_balancer.pick(
-                now, service, request.progress.repeatable, homes, size, request.progress.tried, most_out
+            size += self.answer_sizes.get(route.name, 1000.0)
+            max_in_flight = max(2, service.max_conns // max(1, self.gatekeeper.membership.count()))
+            server_state = self.load_balancer.pick(
+                now, service, request.progress.repeatable, homes, size, request.progress.tried, max_in_flight
             )
-        if seen is None:
+        if server_state is None:
             self._hold(request)
             return
-        number = next(FLOW)
-        request.progress.sending(seen.server.ident)
-        request.seen[number] = seen
-        self.load_balancer.sent(now, seen, number)
-        self.send(request, number, Sending(seen.server.ident))
+        number = next(FLOW_NUMBERS)
+        request.progress.attempt_started(server_state.server.ident)
+        request.server_states[number] = server_state
+        self.load_balancer.record_sent(now, server_state, number)
+        self.send(request, number, AttemptTarget(server_state.server.ident))
         if request.progress.repeatable and not request.over and request.timer is None:
-            work = self.load_balancer.work.get(request.service, 0.3)
-            after = max(COPY_SHARE * request.route.target, COPY_WORKS * work)
-            request.timer = asyncio.get_running_loop().call_later(after, self._copy, request)
+            service_time = self.load_balancer.service_times.get(request.service, 0.3)
+            after = max(HEDGE_TARGET_SHARE * request.route.target, HEDGE_SERVICE_TIMES * service_time)
+            request.timer = asyncio.get_running_loop().call_later(after, self._hedge, request)
 
     def homes(self, request: ClientRequest) -> tuple[frozenset[str], bool]:
         """Regions in which it may be served and stored (none named: all), and whether there can be any."""
@@ -306,29 +328,29 @@
 
     def _hold(self, request: ClientRequest) -> None:
         """No server takes it now."""
-        if request.progress.out:
+        if request.progress.in_flight:
             return
-        held_us = self.clock.now() - request.came_us
+        held_us = self.clock.now() - request.arrived_us
         if held_us < HOLD_SHARE * request.route.target * 1e6 and not request.revoked:
             if request.timer is not None:
                 request.timer.cancel()
-            request.timer = asyncio.get_running_loop().call_later(HOLD_S, self._again, request)
+            request.timer = asyncio.get_running_loop().call_later(HOLD_RETRY_S, self._retry_held, request)
         else:
             self.give_up(request)
 
-    def _again(self, request: ClientRequest) -> None:
+    def _retry_held(self, request: ClientRequest) -> None:
         request.timer = None
         if not request.over:
-            self.go(request)
+            self.dispatch(request)
 
-    def _copy(self, request: ClientRequest) -> None:
+    def _hedge(self, request: ClientRequest) -> None:
         """It is silent: a second server, where the retry budget allows a copy."""
         request.timer = None
         if (
             request.over
-            or request.streams >= 0
-            or request.progress.out != 1
-            or not request.progress.may_go_on()
+            or request.streaming_flow >= 0
+            or request.progress.in_flight != 1
+            or not request.progress.may_retry()
         ):
             return
         if request.arrival.message.upload is not None:
@@ -337,22 +359,22 @@
         if left_us > 100_000 and self.retry_budget(request.service).spend(
             self.now(), self.gatekeeper.membership.count(), True
         ):
-            self.go(request)
+            self.dispatch(request)
 
-    def judge(self, flow: ServerSideFlow, answer: Message) -> Ending:
+    def classify_answer(self, flow: ServerSideFlow, answer: Message) -> Ending:
         """What an answer's head means, before a byte of it goes to the client."""
         request: ClientRequest = flow.opened
         fields = dict(reversed(answer.fields))
-        seen = request.seen.get(flow.number)
-        if fields.get(ATTEMPT_ID, b"") != request.attempt:
+        server_state = request.server_states.get(flow.number)
+        if fields.get(ATTEMPT_ID, b"") != request.attempt_id:
             return Ending.MALFORMED
-        if seen is not None and (told := fields.get(LOAD)) is not None:
-            self._reported(seen, told)
+        if server_state is not None and (load := fields.get(LOAD)) is not None:
+            self._record_load(server_state, load)
         status = answer.start
         assert isinstance(status, int)
         if NOT_RUN in fields or status == 421:
-            if status == 421 and seen is not None:
-                self.load_balancer.misdirected(seen)
+            if status == 421 and server_state is not None:
+                self.load_balancer.record_misdirected(server_state)
             return Ending.TURNED_AWAY
         if 200 <= status < 300:
             if SEAL not in fields or b"content-encoding" in fields:
@@ -360,14 +382,14 @@
             return Ending.SERVED
         return Ending.ERRORED
 
-    def _reported(self, seen: ServerState, told: bytes) -> None:
+    def _record_load(self, server_state: ServerState, report: bytes) -> None:
         try:
-            running, waiting, slots = (int(part) for part in told.split(b","))
+            running, waiting, slots = (int(part) for part in report.split(b","))
         except ValueError:
             return
-        self.load_balancer.reported(self.now(), seen, running, waiting, slots)
+        self.load_balancer.record_load(self.now(), server_state, running, waiting, slots)
 
-    def fields(self, flow: ServerSideFlow, member: PoolMember, message: Message) -> Fields:
+    def server_fields(self, flow: ServerSideFlow, member: PoolMember, message: Message) -> Fields:
         """The header of a request as it goes to a server."""
         request: ClientRequest = flow.opened
         left_ms = max(1, (flow.ends_us - self.clock.now()) // 1000)
@@ -378,139 +400,141 @@
             fields.append((b"Millfront-Tenant-Name", request.tenant.name.encode()))
         return fields
 
-    def begin(self, flow: ServerSideFlow) -> bool:
+    def begin_stream(self, flow: ServerSideFlow) -> bool:
         """A long answer begins to go to the client."""
         request: ClientRequest = flow.opened
-        if request.over or request.streams >= 0:
+        if request.over or request.streaming_flow >= 0:
             return False
-        request.streams = flow.number
+        request.streaming_flow = flow.number
         request.caller.begin(flow.answer, flow)
         return True
 
-    def book(self, flow: ServerSideFlow, ending: Ending, answer: Message | None) -> None:
+    def attempt_ended(self, flow: ServerSideFlow, ending: Ending, answer: Message | None) -> None:
         """A try has ended."""
         request: ClientRequest = flow.opened
         request.flows.pop(flow.number, None)
         now = self.now()
-        seen = request.seen.pop(flow.number, None)
-        request.progress.ended(ending)
-        if seen is not None:
-            self._learn(now, seen, flow.number, ending, request)
+        server_state = request.server_states.pop(flow.number, None)
+        request.progress.attempt_ended(ending)
+        if server_state is not None:
+            self._update_load_balancer(now, server_state, flow.number, ending, request)
         if request.over:
-            self._end_of_left(request, ending, answer)
+            self._ended_after_client_left(request, ending, answer)
             return
-        if request.streams not in (-1, flow.number):
+        if request.streaming_flow not in (-1, flow.number):
             return  # another's answer is, or was, the client's
         if ending is Ending.SERVED:
-            self._served(request, answer)
+            self._on_success(request, answer)
             return
-        if request.streams == flow.number:
-            self.keyed.unknown(request)
+        if request.streaming_flow == flow.number:
+            self.keyed.complete_unknown(request)
             self.finish(request)
             request.caller.cut()
             return
-        if ending is Ending.ERRORED and (request.progress.repeatable or not promise(answer)):
-            request.answer = answer
-        if request.progress.out:
+        if ending is Ending.ERRORED and (request.progress.repeatable or not promises_not_run(answer)):
+            request.fallback_answer = answer
+        if request.progress.in_flight:
             return  # another one is under way
-        self.next_try(request, ending)
+        self.next_attempt(request, ending)
 
-    def _served(self, request: ClientRequest, answer: Message | None) -> None:
+    def _on_success(self, request: ClientRequest, answer: Message | None) -> None:
         """A server's success, whole (`answer`), or the end of one that went to the client as it came."""
-        if answer is None or request.streams >= 0:
-            self.keyed.unknown(request)
+        if answer is None or request.streaming_flow >= 0:
+            self.keyed.complete_unknown(request)
             self.finish(request)
             request.caller.served(answer)
             return
-        size = self.sizes.get(request.route.name, 1000.0)
-        self.sizes[request.route.name] = size + 0.05 * (len(answer.body) - size)
-        self.keyed.answered(request, answer, lambda: self._deliver(request, answer))
+        size = self.answer_sizes.get(request.route.name, 1000.0)
+        self.answer_sizes[request.route.name] = size + 0.05 * (len(answer.body) - size)
+        self.keyed.complete(request, answer, lambda: self._deliver(request, answer))
 
     def _deliver(self, request: ClientRequest, answer: Message) -> None:
         if not request.over:
             self.finish(request)
             request.caller.served(answer)
 
-    def _end_of_left(self, request: ClientRequest, ending: Ending, answer: Message | None) -> None:
+    def _ended_after_client_left(
+        self, request: ClientRequest, ending: Ending, answer: Message | None
+    ) -> None:
         """A try has ended whose client has gone: what became of its operation key is told all the same."""
-        if request.claim is None or request.progress.out:
+        if request.claim is None or request.progress.in_flight:
             return
-        kept = answer if ending in (Ending.SERVED, Ending.ERRORED) and request.streams < 0 else None
-        if kept is not None and not promise(kept):
-            self.keyed.answered(request, kept, lambda: None)
-        elif request.progress.promises():
+        kept = answer if ending in (Ending.SERVED, Ending.ERRORED) and request.streaming_flow < 0 else None
+        if kept is not None and not promises_not_run(kept):
+            self.keyed.complete(request, kept, lambda: None)
+        elif request.progress.known_not_run():
             self.keyed.withdraw(request)
         else:
-            self.keyed.unknown(request)
+            self.keyed.complete_unknown(request)
 
-    def _learn(
-        self, now: float, seen: ServerState, number: int, ending: Ending, request: ClientRequest
+    def _update_load_balancer(
+        self, now: float, server_state: ServerState, number: int, ending: Ending, request: ClientRequest
     ) -> None:
-        took = self.load_balancer.ended(now, seen, number)
-        member = self.members.get(seen.server.ident)
-        seen.links = len(member.idle) if member is not None else 0
+        elapsed_s = self.load_balancer.record_ended(now, server_state, number)
+        member = self.members.get(server_state.server.ident)
+        server_state.idle_connections = len(member.idle) if member is not None else 0
         if ending in (Ending.SERVED, Ending.ERRORED):
-            self.load_balancer.answered(now, seen, took, False)
+            self.load_balancer.record_answer(now, server_state, elapsed_s, False)
         elif ending is Ending.TURNED_AWAY:
-            self.load_balancer.answered(now, seen, took, True)
+            self.load_balancer.record_answer(now, server_state, elapsed_s, True)
         elif ending is Ending.UNCONNECTED:
-            self.load_balancer.failed(now, seen, 3)
+            self.load_balancer.record_failure(now, server_state, 3)
         elif ending in (Ending.BROKEN, Ending.MALFORMED, Ending.TIMED_OUT):
-            self.load_balancer.failed(now, seen, 1)
+            self.load_balancer.record_failure(now, server_state, 1)
 
-    def next_try(self, request: ClientRequest, ending: Ending) -> None:
+    def next_attempt(self, request: ClientRequest, ending: Ending) -> None:
         """Nothing is under way any more, and no answer came."""
         message = request.arrival.message
         kept = message.upload is None or not message.upload.moved
         left_us = request.deadline_us - self.clock.now()
-        free = ending in (Ending.UNCONNECTED, Ending.NOT_SENT)  # it did not arrive anywhere
-        if kept and left_us > 50_000 and request.progress.may_go_on() and not request.revoked:
-            if free and request.progress.arrivals == 0 and len(request.progress.tried) < 5:
-                self.go(request)
+        never_arrived = ending in (Ending.UNCONNECTED, Ending.NOT_SENT)  # it did not arrive anywhere
+        if kept and left_us > 50_000 and request.progress.may_retry() and not request.revoked:
+            if never_arrived and request.progress.arrivals == 0 and len(request.progress.tried) < 5:
+                self.dispatch(request)
                 return
             if self.retry_budget(request.service).spend(self.now(), self.gatekeeper.membership.count()):
-                self.go(request)
+                self.dispatch(request)
                 return
         self.give_up(request)
 
     def give_up(self, request: ClientRequest) -> None:
         """The final answer is the system's own, or a server's error."""
-        if request.progress.out:
+        if request.progress.in_flight:
             return  # a copy could not go: the one under way ends it
-        if request.answer is not None:
-            answer, request.answer = request.answer, None
-            self.keyed.answered(request, answer, lambda: self._deliver(request, answer))
-        elif request.progress.promises():
+        if request.fallback_answer is not None:
+            answer, request.fallback_answer = request.fallback_answer, None
+            self.keyed.complete(request, answer, lambda: self._deliver(request, answer))
+        elif request.progress.known_not_run():
             self.keyed.withdraw(request)
-            self.not_counted(request)
+            self.refund_quota(request)
             if request.revoked and self.gatekeeper.sure(self.now()):
                 self.refuse(request, 401, 0.0)
             else:
                 self.refuse(request, 503, 0.15 + 0.25 * self.random.random())
         else:
-            self.keyed.unknown(request)
+            self.keyed.complete_unknown(request)
             late = self.clock.now() >= request.deadline_us - 5_000
             self.refuse(request, 504 if late else 502, 0.0)
 
-    def not_counted(self, request: ClientRequest) -> None:
+    def refund_quota(self, request: ClientRequest) -> None:
         """It reaches no server: its tenant's quota gets back what it was let in for."""
-        if request.counted and request.tenant is not None:
-            request.counted = False
-            self.gatekeeper.admission.give_back(request.tenant)
+        if request.quota_counted and request.tenant is not None:
+            request.quota_counted = False
+            self.gatekeeper.admission.refund(request.tenant)
 
-    def refuse(self, request: ClientRequest, status: int, after_s: float) -> None:
+    def refuse(self, request: ClientRequest, status: int, retry_after_s: float) -> None:
         """Answer with the gatekeeper's own status.
 
         :param after_s: seconds of ``Retry-After``; 0: the answer has none
         """
-        fields: Fields = [(b"Retry-After", b"%.3f" % after_s)] if after_s > 0 else []
+        fields: Fields = [(b"Retry-After", b"%.3f" % retry_after_s)] if retry_after_s > 0 else []
         self.finish(request)
         request.caller.give(relay.own(status, b"", fields))
 
     def finish(self, request: ClientRequest) -> None:
         """Its one answer is about to go out."""
         request.over = True
-        self.open -= 1
+        self.open_requests -= 1
         if request.timer is not None:
             request.timer.cancel()
             request.timer = None
@@ -532,5 +556,5 @@
             if request.progress.repeatable or not request.whole:
                 flow.cancel()
         held = request.claim is not None and request.claim.decided is None  # granted, and sent to none
-        if held and not request.flows and request.progress.promises():
+        if held and not request.flows and request.progress.known_not_run():
             self.keyed.withdraw(request)
--- a/millfront/dataplane/retries.py
+++ b/millfront/dataplane/retries.py
@@ -11,9 +11,11 @@
 from millfront.environment import Bounds
 from millfront.node.endings import Ending
 
-HELD = 0.45  # of its part of retry_extra, and of what its requests of a window earn: held at most
-EARNED = 0.45  # of the same, earned over a window; held and earned together stay below the rule by a tenth
-COPY_LEAVES = 1.0  # tokens that copies of silent requests leave for tries after a failure
+MAX_HELD_SHARE = 0.45  # of its part of retry_extra, and of what its requests of a window earn: held at most
+EARNED_SHARE = (
+    0.45  # of the same, earned over a window; held and earned together stay below the rule by a tenth
+)
+HEDGE_RESERVE = 1.0  # tokens that copies of silent requests leave for tries after a failure
 
 
 class Outcome(Enum):
@@ -38,39 +40,39 @@
     max_tries: int
     outcome: Outcome = Outcome.NOT_SENT
     arrivals: int = 0  # servers that it has reached, or may have
-    out: int = 0
+    in_flight: int = 0
     may_have_run: bool = False
     tried: list[str] = field(default_factory=list)
 
-    def _turn(self, outcome: Outcome) -> None:
+    def _set_outcome(self, outcome: Outcome) -> None:
         """The one place where the outcome changes."""
         self.outcome = outcome
 
-    def sending(self, ident: str) -> None:
+    def attempt_started(self, ident: str) -> None:
         """One more try begins, to the server of that identifier."""
         self.tried.append(ident)
-        self.out += 1
-        self._turn(Outcome.SENT)
+        self.in_flight += 1
+        self._set_outcome(Outcome.SENT)
 
-    def ended(self, ending: Ending) -> None:
+    def attempt_ended(self, ending: Ending) -> None:
         """One of its tries has ended."""
-        self.out -= 1
+        self.in_flight -= 1
         if ending in ARRIVED:
             self.arrivals += 1
         if ending is Ending.SERVED:
-            self._turn(Outcome.DONE)
+            self._set_outcome(Outcome.DONE)
         elif ending not in NEVER_RAN:
             self.may_have_run = True
-        if self.out == 0 and self.outcome is not Outcome.DONE:
-            self._turn(Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN)
+        if self.in_flight == 0 and self.outcome is not Outcome.DONE:
+            self._set_outcome(Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN)
 
-    def may_go_on(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether another server may get it, as far as running twice and the route's `max_tries` go."""
-        return self.arrivals + self.out < self.max_tries and (self.repeatable or not self.may_have_run)
+        return self.arrivals + self.in_flight < self.max_tries and (self.repeatable or not self.may_have_run)
 
-    def promises(self) -> bool:
+    def known_not_run(self) -> bool:
         """Whether the client may be told that it has not run and never will."""
-        return not self.may_have_run and self.out == 0
+        return not self.may_have_run and self.in_flight == 0
 
 
 class RetryBudget:
@@ -85,26 +87,26 @@
         self.fixed = 0.5  # tokens, of retry_extra
         self.earned = 0.5  # of own requests
         self.requests = 0.0  # in a window, fading
-        self.at = now
+        self.updated_at = now
 
     def _fill(self, now: float, n: int) -> None:
-        part = self.bounds.retry_extra / max(1, n)
-        windows = max(0.0, now - self.at) / self.bounds.retry_window
-        self.at = now
-        self.fixed = min(self.fixed + EARNED * part * windows, max(0.5, HELD * part))
+        share = self.bounds.retry_extra / max(1, n)
+        windows = max(0.0, now - self.updated_at) / self.bounds.retry_window
+        self.updated_at = now
+        self.fixed = min(self.fixed + EARNED_SHARE * share * windows, max(0.5, MAX_HELD_SHARE * share))
         self.requests *= math.exp(-windows)
-        self.earned = min(self.earned, max(0.5, HELD * self.bounds.retry_ratio * self.requests))
+        self.earned = min(self.earned, max(0.5, MAX_HELD_SHARE * self.bounds.retry_ratio * self.requests))
 
-    def request(self, now: float, n: int) -> None:
+    def record_request(self, now: float, n: int) -> None:
         """A client's request for the service earns a part of a try."""
         self.requests += 1.0
-        self.earned += EARNED * self.bounds.retry_ratio
+        self.earned += EARNED_SHARE * self.bounds.retry_ratio
         self._fill(now, n)
 
-    def spend(self, now: float, n: int, copy: bool = False) -> bool:
+    def spend(self, now: float, n: int, hedge: bool = False) -> bool:
         """Pay for one more arrival at the service."""
         self._fill(now, n)
-        if self.fixed + self.earned < (1.0 + COPY_LEAVES if copy else 1.0):
+        if self.fixed + self.earned < (1.0 + HEDGE_RESERVE if hedge else 1.0):
             return False
         self.earned -= 1.0
         if self.earned < 0.0:
--- a/millfront/dataplane/router.py
+++ b/millfront/dataplane/router.py
@@ -40,5 +40,5 @@
             return
         if not self.proxy.still_allowed(flow.opened):
             raise Ended(Ending.NOT_SENT, "not allowed any more")
-        if self.proxy.evacuated(flow):
+        if self.proxy.in_evacuated_zone(flow):
             raise Ended(Ending.NOT_SENT, f"the zone of {member.id} is evacuated")
--- a/millfront/gatekeeper/metrics.py
+++ b/millfront/gatekeeper/metrics.py
@@ -77,8 +77,8 @@
     yield "quota_share", round(granter.share, 4)
     yield "quota_tokens_granted_total", granter.granted_total
     yield "quota_tokens_declined_total", granter.declined_total
-    yield "quota_questions_total", float(requester.questions_total)
-    yield "quota_questions_silent_total", float(requester.silent_total)
+    yield "quota_questions_total", float(requester.token_requests_total)
+    yield "quota_questions_silent_total", float(requester.unanswered_total)
     for outcome, count in requester.outcomes.items():
         yield f'quota_requests_total{{outcome="{outcome.name.lower()}"}}', float(count)
 
--- a/millfront/gatekeeper/node.py
+++ b/millfront/gatekeeper/node.py
@@ -170,7 +170,7 @@
                     case Ok(made):
                         self.configuration = made
                         self.admission.tenants = made.by_name
-                        self.quotas.granter.configured(self.io.now(), made.by_name)
+                        self.quotas.granter.set_tenants(self.io.now(), made.by_name)
                         self.note("register", f"configuration {made.version:08x} is in force")
                     case Err(fault):
                         self.note("register", f"configuration {value.version:08x} can't be used: {fault}")
@@ -241,7 +241,7 @@
         me = self.membership.me
         me.totals, me.age = self.admission.totals(), now - self.membership.born
         # Of few tenants all are named: that one has not moved lowers what it is taken to send
-        moved = self.admission.moved(now, FLUSHED_S) if len(me.totals) > WHOLE else None
+        moved = self.admission.changed_totals(now, FLUSHED_S) if len(me.totals) > WHOLE else None
         for address, message in self.membership.flush(moved):
             self.io.datagram(address, message)
 
@@ -273,7 +273,7 @@
         me.ready, me.totals = self.ready(now), self.admission.totals()
         me.version = self.configuration.version if self.configuration is not None else 0
         sparse = len(me.totals) > WHOLE and self.membership.ticks > 3 and self.membership.ticks % WHOLE_TICKS
-        moved = self.admission.moved(now, MOVED_S) if sparse else None
+        moved = self.admission.changed_totals(now, MOVED_S) if sparse else None
         for address, message in self.membership.tick(now, moved):
             self.io.datagram(address, message)
         self.admission.tick(now, *self.membership.may_run(now, self._gone_after()))
@@ -462,7 +462,7 @@
         if received.taken:
             self.discovery.others_heard(now)
         for told in received.taken:
-            self.admission.heard(now, told.name, told.incarnation, told.age, told.totals)
+            self.admission.handle_totals(now, told.name, told.incarnation, told.age, told.totals)
 
     def _held_up(self, now: float) -> float:
         """Seconds that what is read now may have waited here: this process did nothing since its last beat,
--- a/millfront/gatekeeper/process.py
+++ b/millfront/gatekeeper/process.py
@@ -205,7 +205,7 @@
         while True:
             try:
                 self.gatekeeper.beat(self.now())
-                self.proxy.share_cold()
+                self.proxy.update_cold_owners()
                 if self.gatekeeper.beats % LOOK_BEATS == 0:
                     self.look()
             except Exception:  # one beat's fault must not stop all others
@@ -251,7 +251,7 @@
     def _under_way(self) -> bool:
         """Whether something is open that is to end before this process does."""
         server = self.proxy.server
-        if self.proxy.open > 0 or server.unanswered() or server.untaken():
+        if self.proxy.open_requests > 0 or server.unanswered() or server.untaken():
             return True
         return not self.gatekeeper.reconfiguration.may_go(self.now())
 
--- a/millfront/gatekeeper/quota_grants.py
+++ b/millfront/gatekeeper/quota_grants.py
@@ -8,7 +8,7 @@
 from millfront.control.configuration import Tenant
 from millfront.membership.gossip import weight
 from millfront.membership.record import Liveness
-from millfront.quotas.allowance import token_life_s
+from millfront.quotas.allowance import token_lifetime_s
 from millfront.quotas.granter import Grant, Granter
 from millfront.quotas.messages import (
     REPLY,
@@ -18,8 +18,8 @@
     TokenReply,
     TokenRequest,
 )
-from millfront.quotas.requester import Decision, Owner, Then, TokenRequester
-from millfront.quotas.share import KeptShare, ShareOfAllowance
+from millfront.quotas.requester import Decision, DecisionCallback, GranterInfo, TokenRequester
+from millfront.quotas.share import ShareOfAllowance, StoredShare
 from millfront.register.recovery import SELF
 from millfront.register.replica import Persist, Voting
 from millfront.register.values import FOUNDED, OWN
@@ -38,14 +38,14 @@
     def __init__(self, gatekeeper: "Gatekeeper", now: float) -> None:
         self.gatekeeper = gatekeeper
         replica = gatekeeper.replica
-        kept = KeptShare.of(replica.values.get(KEPT_SHARE)) if replica is not None else None
+        kept = StoredShare.from_value(replica.values.get(KEPT_SHARE)) if replica is not None else None
         self._first_start = replica is not None and replica.state is Voting.NEW
         self.share = ShareOfAllowance(gatekeeper.name, gatekeeper.subscriber.lease_s, kept)
         bounds = gatekeeper.settings.bounds
         self.granter = Granter(bounds, now, gatekeeper.invariants)
         first_ref = gatekeeper.random.getrandbits(FIRST_REF_BITS)
-        self.requester = TokenRequester(self, gatekeeper.name, token_life_s(bounds), first_ref)
-        self._owners: list[Owner] = []
+        self.requester = TokenRequester(self, gatekeeper.name, token_lifetime_s(bounds), first_ref)
+        self._owners: list[GranterInfo] = []
         self._replies: dict[tuple[str, int], TokenReply] = {}  # of this tick and the last, by who asked what
         self._earlier_replies: dict[tuple[str, int], TokenReply] = {}
         self._unsaved = False
@@ -70,10 +70,10 @@
             self._unsaved = True
         replica, founded = self.gatekeeper.replica, subscriber.core
         full = self._first_start and founded is not None and founded.epoch == FOUNDED
-        self.granter.shared(now, self.share.in_force(), full)
+        self.granter.set_share(now, self.share.in_force(), full)
         if self._unsaved and replica is not None and replica.votes:
             self._unsaved = False
-            kept = self.share.kept().value()
+            kept = self.share.stored().to_value()
             self.gatekeeper.io.persist(Persist({KEPT_SHARE: kept}, (SELF, {"t": "stored", "r": ""})))
 
     def core_changed(self, now: float) -> None:
@@ -81,7 +81,7 @@
         self.core_looked_at(now)
         self._owners = self._ordered()
 
-    def _ordered(self) -> list[Owner]:
+    def _ordered(self) -> list[GranterInfo]:
         """The members of the core, the nearest first; of equally near ones each process has its own order, so
         that they share the work; none that is known to be lost."""
         gatekeeper = self.gatekeeper
@@ -94,30 +94,30 @@
             if name == gatekeeper.name or name not in records or records[name].liveness is not Liveness.LOST
         ]
         names.sort(key=lambda name: (gatekeeper.distance(name), weight(gatekeeper.name, name)))
-        return [Owner(name, gatekeeper.distance(name).far) for name in names]
+        return [GranterInfo(name, gatekeeper.distance(name).far) for name in names]
 
-    # ---- what the requester asks for (Owners) ----------------------------------------------------------
+    # ---- RequesterContext: what the requester asks for -------------------------------------------------
 
-    def owners(self) -> list[Owner]:
+    def granters(self) -> list[GranterInfo]:
         """The granters, the nearest and soundest first."""
         return self._owners
 
-    def grant_here(self, tenant: str, tokens: float) -> Grant | None:
+    def grant_locally(self, tenant: str, tokens: float) -> Grant | None:
         """This process's own grant; None without a lease, a share or a limit of that tenant."""
         now = self.now_s()
         if now >= self.gatekeeper.subscriber.lease_until():
             return None
         return self.granter.grant(now, tenant, tokens)
 
-    def to_owner(self, name: str, request: TokenRequest) -> None:
+    def send_request(self, name: str, request: TokenRequest) -> None:
         """Send it a question, which may be lost."""
         core = self.gatekeeper.subscriber.core
         if core is not None and name in core.all:
-            self.gatekeeper.io.datagram(core.all[name], request.wire())
+            self.gatekeeper.io.datagram(core.all[name], request.to_wire())
 
-    def later(self, seconds: float, then: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
         """Call that after so long."""
-        self.gatekeeper.io.later(seconds, then)
+        self.gatekeeper.io.later(seconds, callback)
 
     def now_s(self) -> float:
         """Seconds on the process's steady clock."""
@@ -126,35 +126,35 @@
     # ---- requests and messages -------------------------------------------------------------------------
 
     def request(
-        self, now: float, tenant: Tenant, most_wait_s: float, ahead: int, then: Then
+        self, now: float, tenant: Tenant, max_wait_s: float, prefetch: int, callback: DecisionCallback
     ) -> Decision | None:
         """A token for a request; see `TokenRequester.request`."""
-        return self.requester.request(now, tenant.name, most_wait_s, ahead, then)
+        return self.requester.request(now, tenant.name, max_wait_s, prefetch, callback)
 
-    def scarce(self, now: float, tenant: Tenant) -> bool:
+    def is_scarce(self, now: float, tenant: Tenant) -> bool:
         """Whether there were no tokens left somewhere a moment ago."""
-        return self.requester.scarce(now, tenant.name)
+        return self.requester.is_scarce(now, tenant.name)
 
     def message(self, back: str, message: Message) -> None:
         """A question, or an answer, from the process at `back`; one that can't be read is dropped."""
         try:
             if message["t"] == REQUEST:
-                self._asked(back, TokenRequest.of(message))
+                self._asked(back, TokenRequest.from_wire(message))
             else:
-                self.requester.take(self.now_s(), TokenReply.of(message))
+                self.requester.handle_reply(self.now_s(), TokenReply.from_wire(message))
         except MessageError as wrong:
             self.gatekeeper.note("quotas", f"a message of {back} can't be read: {wrong}")
 
     def _asked(self, back: str, request: TokenRequest) -> None:
         """A question that comes again, since an answer was lost or late, is given the same answer."""
-        question = (back, request.ref)
+        question = (back, request.request_id)
         reply = self._replies.get(question) or self._earlier_replies.get(question)
         if reply is None:
             reply = self._replies[question] = self._reply(request)
-        self.gatekeeper.io.datagram(back, reply.wire())
+        self.gatekeeper.io.datagram(back, reply.to_wire())
 
     def _reply(self, request: TokenRequest) -> TokenReply:
-        grant = self.grant_here(request.tenant, request.tokens)
+        grant = self.grant_locally(request.tenant, request.tokens)
         if grant is None:
-            return TokenReply(request.ref, 0.0, 0.0, available=False)
-        return TokenReply(request.ref, grant.tokens, grant.after_s)
+            return TokenReply(request.request_id, 0.0, 0.0, available=False)
+        return TokenReply(request.request_id, grant.tokens, grant.retry_after_s)
--- a/millfront/gatekeeper/status.py
+++ b/millfront/gatekeeper/status.py
@@ -51,8 +51,11 @@
 
 def _tenant(gatekeeper: Gatekeeper, tenant: Tenant) -> dict[str, Any]:
     quotas = gatekeeper.quotas
-    told = gatekeeper.admission.told(tenant)
-    told |= {"tokens": quotas.granter.level(quotas.now_s(), tenant.name), "grants": quotas.granter.share}
+    told = gatekeeper.admission.describe(tenant)
+    told |= {
+        "tokens": quotas.granter.available_tokens(quotas.now_s(), tenant.name),
+        "grants": quotas.granter.share,
+    }
     return {key: round(value, 4) for key, value in told.items()}
 
 
--- a/millfront/quotas/allowance.py
+++ b/millfront/quotas/allowance.py
@@ -11,11 +11,13 @@
 from millfront.control.configuration import Tenant
 from millfront.environment import Bounds
 
-LIFE_SHARE = 0.05  # of the window: the refill that a token's life costs
-LONGEST_LIFE_S = 0.25
-REFILL = 1.05  # times the tenant's rate: makes up for tokens that are lost or void, where the rule leaves it
-LEAST_REFILL = 0.5  # times the tenant's rate: so much in any case
-LEAST_CAPACITY = 1.0  # tokens: with less no request would ever be let in
+TOKEN_LIFETIME_SHARE = 0.05  # of the window: the refill that a token's life costs
+MAX_TOKEN_LIFETIME_S = 0.25
+REFILL_FACTOR = (
+    1.05  # times the tenant's rate: makes up for tokens that are lost or void, where the rule leaves it
+)
+MIN_REFILL_FACTOR = 0.5  # times the tenant's rate: so much in any case
+MIN_CAPACITY = 1.0  # tokens: with less no request would ever be let in
 CLOCK_ERROR = 0.01  # a clock may run so much too fast
 
 
@@ -26,20 +28,20 @@
     capacity: float
     rate: float
 
-    def part(self, share: float) -> "Allowance":
+    def scaled(self, share: float) -> "Allowance":
         """The same for one of several that share it out."""
         return Allowance(share * self.capacity, share * self.rate)
 
 
-def token_life_s(bounds: Bounds) -> float:
+def token_lifetime_s(bounds: Bounds) -> float:
     """T: seconds from the request for a token until it is void."""
-    return min(LONGEST_LIFE_S, LIFE_SHARE * bounds.rate_window)
+    return min(MAX_TOKEN_LIFETIME_S, TOKEN_LIFETIME_SHARE * bounds.rate_window)
 
 
-def most_in_window(tenant: Tenant, bounds: Bounds) -> float:
+def max_requests_in_window(tenant: Tenant, bounds: Bounds) -> float:
     """A: the requests that may run in any window."""
-    owed = tenant.rate * bounds.rate_window + tenant.burst
-    return owed * (1.0 + bounds.rate_excess) + bounds.rate_extra
+    entitled = tenant.rate * bounds.rate_window + tenant.burst
+    return entitled * (1.0 + bounds.rate_excess) + bounds.rate_extra
 
 
 def allowance_of(tenant: Tenant, bounds: Bounds) -> Allowance:
@@ -53,8 +55,8 @@
     >>> round(allowance.capacity, 1), allowance.rate
     (25.2, 5.25)
     """
-    span = (bounds.rate_window + token_life_s(bounds)) * (1.0 + CLOCK_ERROR)
-    most = most_in_window(tenant, bounds)
-    left = (most - max(tenant.burst, LEAST_CAPACITY)) / span
-    rate = max(min(REFILL * tenant.rate, left), LEAST_REFILL * tenant.rate)
-    return Allowance(max(LEAST_CAPACITY, most - rate * span), rate)
+    span = (bounds.rate_window + token_lifetime_s(bounds)) * (1.0 + CLOCK_ERROR)
+    max_requests = max_requests_in_window(tenant, bounds)
+    max_rate = (max_requests - max(tenant.burst, MIN_CAPACITY)) / span
+    rate = max(min(REFILL_FACTOR * tenant.rate, max_rate), MIN_REFILL_FACTOR * tenant.rate)
+    return Allowance(max(MIN_CAPACITY, max_requests - rate * span), rate)
--- a/millfront/quotas/messages.py
+++ b/millfront/quotas/messages.py
@@ -18,24 +18,24 @@
 class TokenRequest:
     """Asks for up to ``tokens`` of a tenant. ``ref`` comes back with the answer.
 
-    >>> TokenRequest.of(TokenRequest(7, "t", 2.0).wire())
-    TokenRequest(ref=7, tenant='t', tokens=2.0)
+    >>> TokenRequest.from_wire(TokenRequest(7, "t", 2.0).to_wire())
+    TokenRequest(request_id=7, tenant='t', tokens=2.0)
     """
 
-    ref: int
+    request_id: int
     tenant: str
     tokens: float
 
-    def wire(self) -> Message:
+    def to_wire(self) -> Message:
         """As it is sent."""
-        return {"t": REQUEST, "r": self.ref, "k": self.tenant, "n": self.tokens}
+        return {"t": REQUEST, "r": self.request_id, "k": self.tenant, "n": self.tokens}
 
     @classmethod
-    def of(cls, message: Message) -> "TokenRequest":
+    def from_wire(cls, message: Message) -> "TokenRequest":
         """:raises MessageError: it can't be read"""
         match message:
-            case {"r": int(ref), "k": str(tenant), "n": int() | float() as tokens} if tokens > 0.0:
-                return cls(ref, tenant, float(tokens))
+            case {"r": int(request_id), "k": str(tenant), "n": int() | float() as tokens} if tokens > 0.0:
+                return cls(request_id, tenant, float(tokens))
         raise MessageError("no request for tokens")
 
 
@@ -44,30 +44,30 @@
     """Grants ``tokens``; ``after_s``: when more may be had, seconds. ``available``: false where the one that
     was asked grants nothing at all now (no lease, no share, no such tenant)."""
 
-    ref: int
+    request_id: int
     tokens: float
-    after_s: float
+    retry_after_s: float
     available: bool = True
 
-    def wire(self) -> Message:
+    def to_wire(self) -> Message:
         """As it is sent."""
         return {
             "t": REPLY,
-            "r": self.ref,
+            "r": self.request_id,
             "n": self.tokens,
-            "a": round(self.after_s, 3),
+            "a": round(self.retry_after_s, 3),
             "u": not self.available,
         }
 
     @classmethod
-    def of(cls, message: Message) -> "TokenReply":
+    def from_wire(cls, message: Message) -> "TokenReply":
         """:raises MessageError: it can't be read"""
         match message:
             case {
-                "r": int(ref),
+                "r": int(request_id),
                 "n": int() | float() as tokens,
-                "a": int() | float() as after,
-                "u": bool(no),
+                "a": int() | float() as retry_after_s,
+                "u": bool(unavailable),
             }:
-                return cls(ref, float(tokens), float(after), not no)
+                return cls(request_id, float(tokens), float(retry_after_s), not unavailable)
         raise MessageError("no answer to a request for tokens")
--- a/tests/rule_checkers.py
+++ b/tests/rule_checkers.py
@@ -9,7 +9,7 @@
 from millfront.dataplane.proxy import Proxy
 from millfront.environment import Bounds
 from millfront.gatekeeper.node import Gatekeeper
-from millfront.quotas.allowance import allowance_of, most_in_window
+from millfront.quotas.allowance import allowance_of, max_requests_in_window
 from tests.system_world import Node, World
 
 
@@ -192,7 +192,7 @@
     whole = allowance_of(limit, bounds)
     granted = sum(gatekeeper.quotas.granter.granted_total for gatekeeper in world.gatekeepers())
     given = whole.capacity + whole.rate * (float(world.env.now) - since)
-    return (granted - given) / (most_in_window(limit, bounds) - (rate * bounds.rate_window + rate))
+    return (granted - given) / (max_requests_in_window(limit, bounds) - (rate * bounds.rate_window + rate))
 
 
 @dataclass(slots=True)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,7 +10,7 @@
 
 from millfront.control.configuration import Tenant
 from millfront.environment import Bounds
-from millfront.quotas.allowance import allowance_of, most_in_window
+from millfront.quotas.allowance import allowance_of, max_requests_in_window
 from millfront.quotas.granter import Granter
 from millfront.quotas.requester import ADMITTED, Decision, Outcome
 from tests.system_world import Node, World, document
@@ -18,7 +18,7 @@
 RATE = 30.0
 
 
-def rush(world: World, load: Callable[[float, Node], float], seconds: float) -> list[tuple[float, bool]]:
+def run_load(world: World, load: Callable[[float, Node], float], seconds: float) -> list[tuple[float, bool]]:
     """Requests of one tenant at each process, `load` a second; each as (when, let in)."""
     told: list[tuple[float, bool]] = []
 
@@ -55,7 +55,7 @@
     return most
 
 
-def allowed(b: Bounds) -> float:
+def max_allowed(b: Bounds) -> float:
     return (RATE * b.rate_window + RATE) * (1 + b.rate_excess) + b.rate_extra
 
 
@@ -67,14 +67,14 @@
 
 def test_a_tenant_within_its_quota_is_hardly_ever_refused() -> None:
     world = quota_world()
-    told = rush(world, lambda now, node: 0.6 * RATE / 11, 30.0)
+    told = run_load(world, lambda now, node: 0.6 * RATE / 11, 30.0)
     refused = sum(1 for _, well in told if not well)
     assert len(told) > 400 and refused <= 0.01 * len(told)
 
 
 def test_a_tenant_that_comes_to_one_gatekeeper_alone_gets_its_quota() -> None:
     world = quota_world()
-    told = rush(world, lambda now, node: 0.8 * RATE if node.number == 6 else 0.0, 20.0)
+    told = run_load(world, lambda now, node: 0.8 * RATE if node.number == 6 else 0.0, 20.0)
     let_in = sum(1 for _, well in told if well)
     assert let_in >= 0.9 * len(told)
 
@@ -108,27 +108,29 @@
             return 0.0  # it refuses what has a key
         return (5.0 if hot else 0.6) * RATE / 11
 
-    told = rush(world, load, 18.0)
-    assert worst_window(told, world.bounds.rate_window) <= allowed(world.bounds)
+    told = run_load(world, load, 18.0)
+    assert worst_window(told, world.bounds.rate_window) <= max_allowed(world.bounds)
     if name in ("calm", "loss"):
         hot = [well for when, well in told if begin + 8 < when < begin + 18]
         assert sum(hot) >= 0.85 * RATE * 10
 
 
-def limited(rate: float, burst: float) -> Tenant:
+def limited_tenant(rate: float, burst: float) -> Tenant:
     return Tenant("t", frozenset(("k",)), None, rate, burst, frozenset())
 
 
 def test_what_others_sent_is_charged_exactly_whatever_the_phase_of_their_cards() -> None:
     """Questions of three processes come at any time: what one granter has granted, and still has, is what it
     began with and what it was given since, to a thousandth."""
-    tenant, random_ = limited(10.0, 500.0), random.Random(3)
+    tenant, random_ = limited_tenant(10.0, 500.0), random.Random(3)
     granter = Granter(Bounds(), 0.0)
-    granter.shared(0.0, 1.0)
-    granter.configured(0.0, {"t": tenant})
+    granter.set_share(0.0, 1.0)
+    granter.set_tenants(0.0, {"t": tenant})
     begun = granter.grant(1000.0, "t", 300.0)  # given long ago: its bucket was full
     whole = allowance_of(tenant, Bounds())
-    assert begun is not None and granter.level(1000.0, "t") == pytest.approx(whole.capacity - 300.0)
+    assert begun is not None and granter.available_tokens(1000.0, "t") == pytest.approx(
+        whole.capacity - 300.0
+    )
     times = sorted(1000.0 + 120.0 * random_.random() for _ in range(3 * 400))
     granted = 0.0
     for at in times:
@@ -137,10 +139,10 @@
         granted += grant.tokens
     exact = whole.capacity - 300.0 + 120.0 * whole.rate - granted
     assert granted > 0.9 * 120.0 * whole.rate
-    assert granter.level(1120.0, "t") == pytest.approx(exact, abs=0.001)
+    assert granter.available_tokens(1120.0, "t") == pytest.approx(exact, abs=0.001)
 
 
-def spent(world: World, node: Node) -> None:
+def send_full_allowance(world: World, node: Node) -> None:
     """One process sends all that is owed in one go."""
     assert node.gatekeeper is not None and node.gatekeeper.configuration is not None
     tenant = node.gatekeeper.configuration.by_name["t"]
@@ -157,7 +159,7 @@
     world.nodes[7].request("t", decisions.append)
     world.run(20.0)
     assert decisions == [ADMITTED]
-    spent(world, world.nodes[5])
+    send_full_allowance(world, world.nodes[5])
     world.nodes[7].request("t", decisions.append)
     world.run(0.3)
     assert decisions[1].outcome is Outcome.EXHAUSTED, "all that is owed was let in by another a moment ago"
@@ -165,14 +167,16 @@
 
 def test_what_others_sent_counts_before_the_first_request_here() -> None:
     world = quota_world(rate=2.0)
-    spent(world, world.nodes[5])
+    send_full_allowance(world, world.nodes[5])
     decisions: list[Decision] = []
     world.nodes[7].request("t", decisions.append)
     world.run(0.3)
     assert [decision.outcome for decision in decisions] == [Outcome.EXHAUSTED]
 
 
-def poisson(world: World, total: Callable[[float], float], seconds: float) -> list[tuple[float, bool]]:
+def run_poisson_load(
+    world: World, total: Callable[[float], float], seconds: float
+) -> list[tuple[float, bool]]:
     """Requests of one tenant, `total` a second, each at a process drawn at random."""
     told: list[tuple[float, bool]] = []
 
@@ -200,12 +204,12 @@
     world.put(0, document(1, {"t": ["k"]}, rate=rate))
     world.run(3.0)
     begin = world.env.now
-    told = poisson(world, lambda now: (12.0 if now > begin + 2.0 else 0.6) * rate, 12.0)
+    told = run_poisson_load(world, lambda now: (12.0 if now > begin + 2.0 else 0.6) * rate, 12.0)
     bounds = world.bounds
-    tenant = limited(rate, rate)
+    tenant = limited_tenant(rate, rate)
     whole, let_in = allowance_of(tenant, bounds), sum(well for _, well in told)
     granted = sum(gatekeeper.quotas.granter.granted_total for gatekeeper in world.gatekeepers())
     assert let_in <= granted <= whole.capacity + whole.rate * world.env.now, "each token was granted once"
-    assert worst_window(told, bounds.rate_window) <= most_in_window(tenant, bounds)
+    assert worst_window(told, bounds.rate_window) <= max_requests_in_window(tenant, bounds)
     late = [well for when, well in told if when > begin + 5.0]
     assert sum(late) >= 0.75 * rate * 7.0
--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class Said:
+class AttemptRecord:
     """What is known of one attempt."""
 
     kind: str
@@ -74,7 +74,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.said: dict[bytes, Said] = {}
+        self.said: dict[bytes, AttemptRecord] = {}
         self.plans: dict[bytes, tuple[str, str]] = {}  # by attempt: at its first arrival
         self.dead: list[str] = []  # what becomes of the next connections
         self.covered: set[tuple[str, str, str, bool]] = set()
@@ -193,7 +193,7 @@
     def open(self, kind: str, plan: tuple[str, str] | None = None) -> bytes:
         self.number += 1
         name = b"%08x" % self.number
-        self.said[name] = Said(kind)
+        self.said[name] = AttemptRecord(kind)
         if plan is not None:
             if plan[0] == "accepted":
                 self.dead.append(plan[1])
@@ -285,25 +285,25 @@
     """Short times of what else takes seconds."""
     for name in ("FOUNDING_S", "SETTLED_S"):
         monkeypatch.setattr(reconfiguration, name, 0.0)
-    monkeypatch.setattr(load_balancer, "REST_S", 0.0)
+    monkeypatch.setattr(load_balancer, "FULL_PAUSE_S", 0.0)
     monkeypatch.setattr(send, "LOOK_S", 0.05)
     monkeypatch.setattr(send, "STALL_US", 100_000)
     monkeypatch.setattr(send, "BEGIN_S", 0.01)
 
 
-class Pays:
+class UnlimitedBudget:
     """A retry budget that has enough: what is looked at here is not the budget."""
 
-    def request(self, *_: Any) -> None: ...
+    def record_request(self, *_: Any) -> None: ...
     def spend(self, *_: Any) -> bool:
         return True
 
 
-def prepared(made: History, monkeypatch: pytest.MonkeyPatch) -> Proxy:
+def instrument(made: History, monkeypatch: pytest.MonkeyPatch) -> Proxy:
     proxy = made.service.proxy
     proxy.send.rest_s, proxy.server.partial_us = 0.1, 100_000
-    monkeypatch.setattr(proxy, "retry_budget", lambda _: Pays())
-    for word in ("failed", "misdirected"):  # servers stay in, whatever they do
+    monkeypatch.setattr(proxy, "retry_budget", lambda _: UnlimitedBudget())
+    for word in ("record_failure", "record_misdirected"):  # servers stay in, whatever they do
         monkeypatch.setattr(proxy.load_balancer, word, lambda *_: None)
     asked = MemberConnection.request
     whole = Link.send
@@ -341,12 +341,18 @@
     return proxy
 
 
-def rested(proxy: Proxy) -> None:
+def reset_servers(proxy: Proxy) -> None:
     """Servers that are well thought of again."""
-    proxy.load_balancer.work["shop"] = 0.004
+    proxy.load_balancer.service_times["shop"] = 0.004
     proxy.members.wear = Wear()
-    for seen in proxy.load_balancer.seen.values():
-        seen.fails, seen.state, seen.rests_until, seen.slowness, seen.slots = 0, State.SOUND, 0.0, 1.0, 50
+    for seen in proxy.load_balancer.server_states.values():
+        seen.failures, seen.state, seen.paused_until, seen.latency_ratio, seen.slots = (
+            0,
+            State.HEALTHY,
+            0.0,
+            1.0,
+            50,
+        )
         seen.server.cold_until = 0.0
 
 
@@ -363,7 +369,7 @@
     return json.dumps(told)
 
 
-async def story(
+async def run_cases(
     tmp_path: Path, patch: pytest.MonkeyPatch, seed: int, cases: list[tuple[str, str]]
 ) -> History:
     """All kinds and both sorts of connections for these cases; six clients at once, each with two requests,
@@ -372,17 +378,17 @@
     made = History()
     async with calls.stage(tmp_path, [], servers=3, made=made):
         assert await made.put(routes()) == 200
-        proxy = prepared(made, patch)
+        proxy = instrument(made, patch)
         todo = list(product(cases, KINDS, (False, True)))
         chance.shuffle(todo)
         todo.sort(key=lambda each: (each[2], each[0][0] == "accepted"))
         while todo:
             batch = [todo.pop() for _ in range(min(6, len(todo)))]
-            rested(proxy)
+            reset_servers(proxy)
             if batch[0][2]:
                 warm = [made.open("idempotent") for _ in batch]
                 await asyncio.gather(*(made.client([name], chance) for name in warm))
-                rested(proxy)
+                reset_servers(proxy)
             else:
                 for member in list(proxy.members._by_id.values()):
                     proxy.members.close_idle(member)
@@ -395,8 +401,10 @@
     return made
 
 
-def played(tmp_path: Path, patch: pytest.MonkeyPatch, seed: int, cases: list[tuple[str, str]]) -> History:
-    return asyncio.run(story(tmp_path, patch, seed, cases))
+def run_cases_sync(
+    tmp_path: Path, patch: pytest.MonkeyPatch, seed: int, cases: list[tuple[str, str]]
+) -> History:
+    return asyncio.run(run_cases(tmp_path, patch, seed, cases))
 
 
 @pytest.mark.parametrize("point", POINTS)
@@ -404,7 +412,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, point: str
 ) -> None:
     cases = [case for case in CASES if case[0] == point]
-    made = played(tmp_path, monkeypatch, 7, cases)
+    made = run_cases_sync(tmp_path, monkeypatch, 7, cases)
     assert made.faults() == set()
     kinds = {(fault, kind) for _, fault, kind, _ in made.covered if fault}
     short = set(product(("leaves midway", "stalls midway"), ("idempotent", "effectful")))  # never sent
@@ -428,51 +436,55 @@
 
 def run_again(patch: pytest.MonkeyPatch) -> None:
     """What may have run goes to another server."""
-    patch.setattr(RequestProgress, "may_go_on", lambda self: self.arrivals + self.out < self.max_tries)
+    patch.setattr(RequestProgress, "may_retry", lambda self: self.arrivals + self.in_flight < self.max_tries)
 
 
 def ids_not_compared(patch: pytest.MonkeyPatch) -> None:
-    whole = Proxy.judge
+    whole = Proxy.classify_answer
 
     def judge(self: Proxy, flow: Any, answer: Message) -> Ending:
-        fields = [(b"millfront-attempt-id", flow.opened.attempt)]
+        fields = [(b"millfront-attempt-id", flow.opened.attempt_id)]
         fields += [(name, value) for name, value in answer.fields if name != b"millfront-attempt-id"]
         return whole(self, flow, Message(answer.start, fields, answer.raw, answer.body))
 
-    patch.setattr(Proxy, "judge", judge)
+    patch.setattr(Proxy, "classify_answer", judge)
 
 
 def always_promised(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RequestProgress, "promises", lambda self: True)
+    patch.setattr(RequestProgress, "known_not_run", lambda self: True)
 
 
 def promises_passed_on(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("millfront.dataplane.proxy.promise", lambda answer: False)
+    patch.setattr("millfront.dataplane.proxy.promises_not_run", lambda answer: False)
 
 
 def long_ones_copied(patch: pytest.MonkeyPatch) -> None:
-    whole = Proxy._copy
+    whole = Proxy._hedge
 
     def copy(self: Proxy, request: ClientRequest) -> None:
-        if request.arrival.message.upload is not None and not request.over and request.progress.out == 1:
+        if (
+            request.arrival.message.upload is not None
+            and not request.over
+            and request.progress.in_flight == 1
+        ):
             request.timer = None
-            self.go(request)
+            self.dispatch(request)
         else:
             whole(self, request)
 
-    patch.setattr(Proxy, "_copy", copy)
+    patch.setattr(Proxy, "_hedge", copy)
 
 
 def streams_mixed(patch: pytest.MonkeyPatch) -> None:
     """An answer under way to the client keeps no other from it."""
-    whole = Proxy.book
+    whole = Proxy.attempt_ended
 
     def book(self: Proxy, flow: Any, ending: Ending, answer: Message | None) -> None:
-        if ending is Ending.SERVED and flow.opened.streams >= 0:
-            flow.opened.streams = flow.number
+        if ending is Ending.SERVED and flow.opened.streaming_flow >= 0:
+            flow.opened.streaming_flow = flow.number
         whole(self, flow, ending, answer)
 
-    patch.setattr(Proxy, "book", book)
+    patch.setattr(Proxy, "attempt_ended", book)
 
 
 @pytest.mark.parametrize(
@@ -495,10 +507,10 @@
     found: str,
 ) -> None:
     plant(monkeypatch)
-    assert found in played(tmp_path, monkeypatch, 3, [case]).faults()
+    assert found in run_cases_sync(tmp_path, monkeypatch, 3, [case]).faults()
 
 
-def raced(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> bool:
+def race_two_servers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> bool:
     """Of two servers that have one request, the first begins a long answer that reaches the client, then the
     second answers too: whether the client gets the first's, and the next request its own."""
 
@@ -521,8 +533,8 @@
         async with calls.stage(tmp_path, [first, second, calls.well], made=made):
             assert await made.put(routes()) == 200
             proxy = made.service.proxy
-            monkeypatch.setattr(proxy, "retry_budget", lambda _: Pays())
-            proxy.load_balancer.work["shop"] = 0.004
+            monkeypatch.setattr(proxy, "retry_budget", lambda _: UnlimitedBudget())
+            proxy.load_balancer.service_times["shop"] = 0.004
             host, _, port = made.plain.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             ask = f"GET /idempotent/x HTTP/1.1\r\nHost: a.example\r\n{calls.KEY}Millfront-Attempt-Id: "
@@ -531,8 +543,8 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 got = await reader.readexactly(1000)
                 begun.set()
-                seen = proxy.load_balancer.seen.values()
-                await made.until(lambda: sum(len(server.out) for server in seen) == 1)
+                seen = proxy.load_balancer.server_states.values()
+                await made.until(lambda: sum(len(server.in_flight) for server in seen) == 1)
                 writer.write(f"{ask}2\r\n\r\n".encode())
                 for _ in range(3):  # another's, so that the second had its time
                     assert (await made.ask("GET", "/idempotent/b7", more=calls.KEY))[0] == 200
@@ -547,9 +559,9 @@
 
 
 def test_a_second_answer_does_not_end_one_under_way(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert raced(tmp_path, monkeypatch)
+    assert race_two_servers(tmp_path, monkeypatch)
 
 
 def test_answers_that_mix_are_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     streams_mixed(monkeypatch)
-    assert not raced(tmp_path, monkeypatch)
+    assert not race_two_servers(tmp_path, monkeypatch)
--- a/tests/test_gatekeeper_calls.py
+++ b/tests/test_gatekeeper_calls.py
@@ -396,7 +396,9 @@
         places = range(1, len(whole), 7)
         async with stage(tmp_path, [cut_at(at) for at in places], servers=1) as made:
             for _ in places:
-                made.service.proxy.load_balancer.seen["i-0"].fails = 0  # not what is looked at here
+                made.service.proxy.load_balancer.server_states[
+                    "i-0"
+                ].failures = 0  # not what is looked at here
                 assert (await made.ask("POST", "/p/b7", b"order", more=KEY))[0] == 502
 
     play(story)
@@ -523,7 +525,7 @@
             made.service.ending.set()
             await made.until(lambda: server.closing)
             writer.write(f"GET /p/a1 HTTP/1.1\r\n{fields}\r\n".encode())
-            await made.until(lambda: len(made.seen) == 1 and proxy.open == 0)
+            await made.until(lambda: len(made.seen) == 1 and proxy.open_requests == 0)
             connection = next(iter(server._connections))
             assert server.untaken() == 1
             connection.expire(server.clock.now() + 2_000_000, server.partial_us)
@@ -650,10 +652,10 @@
     async def story() -> None:
         async with stage(tmp_path, [well]) as made:
             proxy = made.service.proxy
-            for seen in proxy.load_balancer.seen.values():
-                seen.rests_until = proxy.now() + 0.12  # no server takes it for a moment: it is held
+            for seen in proxy.load_balancer.server_states.values():
+                seen.paused_until = proxy.now() + 0.12  # no server takes it for a moment: it is held
             asked = asyncio.get_running_loop().create_task(made.ask("POST", "/p/a1", b"order", more=KEY))
-            await made.until(lambda: proxy.open == 1)
+            await made.until(lambda: proxy.open_requests == 1)
             assert await made.put(document(2, {"t": ["key-2"]})) == 200
             assert (await asked)[0] == 401
             assert made.seen == []
@@ -667,10 +669,10 @@
     async def story() -> None:
         async with stage(tmp_path, [well]) as made:
             gatekeeper, proxy = made.service.gatekeeper, made.service.proxy
-            for seen in proxy.load_balancer.seen.values():
-                seen.rests_until = proxy.now() + 0.12  # no server takes it for a moment: it is held
+            for seen in proxy.load_balancer.server_states.values():
+                seen.paused_until = proxy.now() + 0.12  # no server takes it for a moment: it is held
             asked = asyncio.get_running_loop().create_task(made.ask("POST", "/p/a1", b"order", more=KEY))
-            await made.until(lambda: proxy.open == 1)
+            await made.until(lambda: proxy.open_requests == 1)
             gatekeeper.server_list.in_time = lambda now: False  # type: ignore[method-assign]
             assert (await asked)[0] == 503
             assert (await made.ask("POST", "/p/a1", b"order", more=KEY))[0] == 503
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -109,7 +109,9 @@
     assert configuration is not None and len(sent) >= 30
     allowance = allowance_of(configuration.by_name["t0"], world.bounds)
     levels = [
-        node.gatekeeper.quotas.granter.level(node.now(), "t0") for node in world.nodes if node.gatekeeper
+        node.gatekeeper.quotas.granter.available_tokens(node.now(), "t0")
+        for node in world.nodes
+        if node.gatekeeper
     ]
     assert sum(levels) >= 0.95 * allowance.capacity - 1.0
     assert sorted(datagrams)[len(datagrams) // 2] < 400  # not thirty tenants in each
--- a/tests/test_operation_keys.py
+++ b/tests/test_operation_keys.py
@@ -65,7 +65,7 @@
             first.cancel()
             await asyncio.gather(first, return_exceptions=True)
             proxy = made.service.proxy
-            await made.until(lambda: proxy.open == 0)  # the gatekeeper has seen that it left
+            await made.until(lambda: proxy.open_requests == 0)  # the gatekeeper has seen that it left
             left.set()
             status = 409
             async with asyncio.timeout(5):
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -9,27 +9,27 @@
 
 from millfront.control.configuration import Tenant
 from millfront.environment import Bounds
-from millfront.quotas.allowance import Allowance, allowance_of, most_in_window, token_life_s
+from millfront.quotas.allowance import Allowance, allowance_of, max_requests_in_window, token_lifetime_s
 from millfront.quotas.granter import Grant, Granter, TokenBucket
 from millfront.quotas.messages import MessageError, TokenReply, TokenRequest
 from millfront.quotas.requester import (
     ADMITTED,
-    NEAR_S,
-    SILENT_S,
-    TRIES,
+    MAX_SENDS,
+    NEAR_TIMEOUT_S,
+    SILENT_BACKOFF_S,
     Decision,
+    GranterInfo,
     Outcome,
-    Owner,
     TokenRequester,
 )
-from millfront.quotas.share import KeptShare, ShareOfAllowance
+from millfront.quotas.share import ShareOfAllowance, StoredShare
 from millfront.register.values import FOUNDED, Core, read_quorum, write_quorum
 
 LEASE_S, LIFE_S = 4.0, 0.25
 NAMES = "abcdef"
 
 
-def limited(rate: float, burst: float, name: str = "t") -> Tenant:
+def limited_tenant(rate: float, burst: float, name: str = "t") -> Tenant:
     return Tenant(name, frozenset(), None, rate, burst, frozenset())
 
 
@@ -44,9 +44,9 @@
 def test_an_allowance_fits_into_the_rule_and_gives_what_is_owed(
     rate: float, burst: float, bounds: Bounds
 ) -> None:
-    tenant = limited(rate, burst)
+    tenant = limited_tenant(rate, burst)
     allowance = allowance_of(tenant, bounds)
-    span, most = bounds.rate_window + token_life_s(bounds), most_in_window(tenant, bounds)
+    span, most = bounds.rate_window + token_lifetime_s(bounds), max_requests_in_window(tenant, bounds)
     assert allowance.capacity + allowance.rate * span <= (most if most >= 2.5 else most + 1.0) + 1e-9
     assert allowance.capacity >= max(1.0, burst) - 1e-9 and allowance.rate >= 0.5 * rate
     if bounds.rate_extra:
@@ -64,7 +64,7 @@
     share: ShareOfAllowance
     core: Core | None = None
     lease_until: float = -1.0
-    kept: KeptShare | None = None
+    kept: StoredShare | None = None
     up: bool = True
 
 
@@ -80,21 +80,21 @@
     members: dict[str, Member] = field(default_factory=dict)
     proposed: Core | None = None
 
-    def begin(self) -> None:
+    def bootstrap(self) -> None:
         core = Core(FOUNDED, {name: name for name in NAMES[:4]})
         for name in NAMES:
             self.replicas[name] = core
             self.members[name] = Member(name, ShareOfAllowance(name, LEASE_S, None), core)
 
-    def written(self, core: Core) -> bool:
+    def is_written(self, core: Core) -> bool:
         """Whether majorities of all its sets hold it, or a later one."""
         had = [name for name, held in self.replicas.items() if held.epoch >= core.epoch]
         return core.majority(had)
 
-    def change(self) -> None:
+    def change_core(self) -> None:
         """The next step of a change of the core, or a new change."""
         newest = max(self.replicas.values(), key=lambda core: core.epoch)
-        if not self.written(newest):  # somebody goes on writing it
+        if not self.is_written(newest):  # somebody goes on writing it
             self.replicas[self.random.choice(sorted(newest.all))] = newest
             return
         if newest.old:
@@ -106,7 +106,7 @@
             return
         self.replicas[self.random.choice(sorted(later.all))] = later
 
-    def ask(self, member: Member) -> None:
+    def read_replicas(self, member: Member) -> None:
         """It asks some of the replicas that it knows, and learns what they hold."""
         assert member.core is not None
         answered = []
@@ -126,7 +126,7 @@
     def update(self, member: Member, answered: list[str]) -> None:
         assert member.core is not None
         if member.share.update(self.now, member.core, member.core.majority(answered)):
-            member.kept = member.share.kept() if self.random.random() < 0.8 else member.kept
+            member.kept = member.share.stored() if self.random.random() < 0.8 else member.kept
 
     def restart(self, member: Member) -> None:
         """It has lost what it had in memory, and knows the core that its disk has."""
@@ -142,34 +142,34 @@
         member = self.members[self.random.choice(NAMES)]
         chance = self.random.random()
         if chance < 0.15:
-            self.change()
+            self.change_core()
         elif chance < 0.2:
             self.restart(member)
         else:
-            self.ask(member)
+            self.read_replicas(member)
 
-    def granted(self) -> float:
+    def granted_shares(self) -> float:
         """The sum of the shares that may be granted now."""
         return sum(
             member.share.in_force() for member in self.members.values() if self.now < member.lease_until
         )
 
 
-def search(seeds: range, steps: int = 300) -> tuple[float, int]:
+def search_core_changes(seeds: range, steps: int = 300) -> tuple[float, int]:
     """The largest sum of shares that was met, and how many cores there were."""
     largest, cores = 0.0, 0
     for seed in seeds:
         cluster = Cluster(random.Random(seed))
-        cluster.begin()
+        cluster.bootstrap()
         for _ in range(steps):
             cluster.step()
-            largest = max(largest, cluster.granted())
+            largest = max(largest, cluster.granted_shares())
         cores += max(core.epoch for core in cluster.replicas.values()) - FOUNDED
     return largest, cores
 
 
 def test_shares_sum_to_1_at_most_through_any_changes_of_the_core() -> None:
-    largest, cores = search(range(300))
+    largest, cores = search_core_changes(range(300))
     assert 0.99 <= largest <= 1.0 + 1e-9
     assert cores > 1000
 
@@ -177,8 +177,8 @@
 @pytest.mark.parametrize(
     ("name", "planted"),
     [
-        ("_waits_s", 0.0),  # a share grows as soon as a majority has answered
-        ("_final", True),  # and before
+        ("_growth_delay_s", 0.0),  # a share grows as soon as a majority has answered
+        ("_settled", True),  # and before
     ],
 )
 def test_shares_that_grow_too_early_are_found(
@@ -191,26 +191,26 @@
         setattr(self, name, planted)
 
     def taken(self: ShareOfAllowance, core: Core) -> None:
-        self._missed(core.epoch)
-        self.share = self._even(core)
+        self._reset(core.epoch)
+        self.share = self._even_share(core)
 
     monkeypatch.setattr(ShareOfAllowance, "__init__", faulty)
-    if name == "_final":
-        monkeypatch.setattr(ShareOfAllowance, "_next", taken)
-    assert search(range(300))[0] > 1.01
+    if name == "_settled":
+        monkeypatch.setattr(ShareOfAllowance, "_enter_epoch", taken)
+    assert search_core_changes(range(300))[0] > 1.01
 
 
 def test_a_member_that_restarts_in_the_same_epoch_goes_on_and_one_that_has_missed_an_epoch_waits() -> None:
     core = Core(FOUNDED + 4, {name: name for name in "abcd"})
-    goes_on = ShareOfAllowance("a", LEASE_S, KeptShare(core.epoch, 0.25))
+    goes_on = ShareOfAllowance("a", LEASE_S, StoredShare(core.epoch, 0.25))
     assert not goes_on.update(0.0, core, False)
     assert goes_on.in_force() == 0.25
-    missed = ShareOfAllowance("a", LEASE_S, KeptShare(core.epoch - 4, 0.25))
+    missed = ShareOfAllowance("a", LEASE_S, StoredShare(core.epoch - 4, 0.25))
     missed.update(0.0, core, True)
     assert missed.in_force() == 0.0
     assert not missed.update(LEASE_S, core, True)
     assert missed.update(1.1 * LEASE_S, core, True)
-    assert missed.in_force() == 0.25 and missed.kept() == KeptShare(core.epoch, 0.25)
+    assert missed.in_force() == 0.25 and missed.stored() == StoredShare(core.epoch, 0.25)
 
 
 def test_quorums_are_what_the_wait_of_a_share_stands_on() -> None:
@@ -226,35 +226,35 @@
     for seed in range(40):
         rng, granted = random.Random(seed), list[tuple[float, float]]()
         granter, rates = Granter(Bounds(), 0.0), (5.0, 10.0, 0.5)
-        granter.shared(0.0, 0.25)
+        granter.set_share(0.0, 0.25)
         now = 0.0
         for _ in range(400):
             now += rng.expovariate(8.0)
             match rng.randrange(8):
                 case 0:
                     rate = rng.choice(rates)
-                    granter.configured(now, {"t": limited(rate, rate)})
+                    granter.set_tenants(now, {"t": limited_tenant(rate, rate)})
                 case 1:
-                    granter.configured(now, {})
+                    granter.set_tenants(now, {})
                 case 2:
-                    granter.shared(now, rng.choice((0.0, 0.2, 0.25)))
+                    granter.set_share(now, rng.choice((0.0, 0.2, 0.25)))
                 case 3:
                     granter.tick(now)
                 case _:
                     grant = granter.grant(now, "t", float(rng.randint(1, 4)))
                     granted.append((now, grant.tokens if grant is not None else 0.0))
-        most = allowance_of(limited(10.0, 10.0), Bounds()).part(0.25)
+        most = allowance_of(limited_tenant(10.0, 10.0), Bounds()).scaled(0.25)
         for at, _ in granted:
             inside = sum(tokens for when, tokens in granted if at <= when <= at + 5.0)
             assert inside <= most.capacity + 5.0 * most.rate + 1e-9
 
 
 def test_buckets_begin_full_at_the_very_first_start_alone() -> None:
-    tenant = limited(5.0, 5.0)
+    tenant = limited_tenant(5.0, 5.0)
     for full in (True, False):
         granter = Granter(Bounds(), 0.0)
-        granter.shared(3.0, 0.5, full)
-        granter.configured(3.0, {"t": tenant})
+        granter.set_share(3.0, 0.5, full)
+        granter.set_tenants(3.0, {"t": tenant})
         grant = granter.grant(3.0, "t", 5.0)
         assert grant is not None and grant.tokens == (5.0 if full else 0.0)
 
@@ -262,14 +262,14 @@
 def test_a_small_bucket_grants_parts_of_a_token() -> None:
     bucket = TokenBucket(Allowance(0.4, 0.1), 0.4, 0.0)
     grant = bucket.take(0.0, 1.0)
-    assert grant.tokens == pytest.approx(0.4) and grant.after_s > 0.0
+    assert grant.tokens == pytest.approx(0.4) and grant.retry_after_s > 0.0
 
 
 def test_a_granter_without_a_share_or_a_limit_of_the_tenant_grants_nothing() -> None:
     granter = Granter(Bounds(), 0.0)
-    granter.configured(0.0, {"t": limited(5.0, 5.0), "free": limited(0.0, 0.0, "free")})
+    granter.set_tenants(0.0, {"t": limited_tenant(5.0, 5.0), "free": limited_tenant(0.0, 0.0, "free")})
     assert granter.grant(9.0, "t", 1.0) is None
-    granter.shared(9.0, 1.0)
+    granter.set_share(9.0, 1.0)
     assert granter.grant(9.0, "nobody", 1.0) is None
     assert granter.grant(9.0, "free", 3.0) == Grant(3.0, 0.0)
 
@@ -282,22 +282,22 @@
     """A process that asks: questions go nowhere until the test answers them."""
 
     names: list[str]
-    here: Grant | None = None
+    local_grant: Grant | None = None
     now: float = 100.0
     sent: list[tuple[str, TokenRequest]] = field(default_factory=list)
     timers: list[tuple[float, Callable[[], None]]] = field(default_factory=list)
 
-    def owners(self) -> list[Owner]:
-        return [Owner(name) for name in self.names]
+    def granters(self) -> list[GranterInfo]:
+        return [GranterInfo(name) for name in self.names]
 
-    def grant_here(self, tenant: str, tokens: float) -> Grant | None:
-        return self.here
+    def grant_locally(self, tenant: str, tokens: float) -> Grant | None:
+        return self.local_grant
 
-    def to_owner(self, name: str, request: TokenRequest) -> None:
+    def send_request(self, name: str, request: TokenRequest) -> None:
         self.sent.append((name, request))
 
-    def later(self, seconds: float, then: Callable[[], None]) -> None:
-        self.timers.append((self.now + seconds, then))
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
+        self.timers.append((self.now + seconds, callback))
 
     def now_s(self) -> float:
         return self.now
@@ -313,7 +313,7 @@
         self.now = ends
 
 
-def asked(process: Process, requester: TokenRequester, wait: float = 0.2) -> list[Decision]:
+def request_token(process: Process, requester: TokenRequester, wait: float = 0.2) -> list[Decision]:
     """One request; the list holds what becomes of it."""
     decisions: list[Decision] = []
     decision = requester.request(process.now, "t", wait, 0, decisions.append)
@@ -323,51 +323,51 @@
 def test_the_nearest_granter_is_asked_and_its_token_lets_the_request_in() -> None:
     process = Process(["p", "q"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
-    decisions = asked(process, requester)
+    decisions = request_token(process, requester)
     (name, request) = process.sent.pop()
     assert (name, request.tenant, request.tokens, decisions) == ("p", "t", 1.0, [])
-    requester.take(process.now, TokenReply(request.ref, 1.0, 0.0))
+    requester.handle_reply(process.now, TokenReply(request.request_id, 1.0, 0.0))
     assert decisions == [ADMITTED]
 
 
 def test_a_granter_that_is_empty_is_passed_over_until_it_may_have_a_token_again() -> None:
     process = Process(["p", "q"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
-    decisions = asked(process, requester)
-    requester.take(process.now, TokenReply(process.sent[0][1].ref, 0.0, 0.7))
+    decisions = request_token(process, requester)
+    requester.handle_reply(process.now, TokenReply(process.sent[0][1].request_id, 0.0, 0.7))
     assert process.sent[1][0] == "q"
-    requester.take(process.now, TokenReply(process.sent[1][1].ref, 0.0, 0.4))
-    assert decisions[0].outcome is Outcome.EXHAUSTED and decisions[0].after_s == pytest.approx(0.4)
-    assert asked(process, requester)[0].outcome is Outcome.EXHAUSTED and len(process.sent) == 2
+    requester.handle_reply(process.now, TokenReply(process.sent[1][1].request_id, 0.0, 0.4))
+    assert decisions[0].outcome is Outcome.EXHAUSTED and decisions[0].retry_after_s == pytest.approx(0.4)
+    assert request_token(process, requester)[0].outcome is Outcome.EXHAUSTED and len(process.sent) == 2
     process.wait(0.5)
-    asked(process, requester)
+    request_token(process, requester)
     assert process.sent[2][0] == "q"
 
 
 def test_one_question_is_under_way_for_all_that_wait() -> None:
     process = Process(["p"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
-    waiting = [asked(process, requester) for _ in range(4)]
+    waiting = [request_token(process, requester) for _ in range(4)]
     assert len(process.sent) == 1
-    requester.take(process.now, TokenReply(process.sent[0][1].ref, 1.0, 0.0))
+    requester.handle_reply(process.now, TokenReply(process.sent[0][1].request_id, 1.0, 0.0))
     assert waiting[0] == [ADMITTED] and process.sent[1][1].tokens == 3.0
-    requester.take(process.now, TokenReply(process.sent[1][1].ref, 2.0, 0.3))
+    requester.handle_reply(process.now, TokenReply(process.sent[1][1].request_id, 2.0, 0.3))
     assert [decisions[0].outcome for decisions in waiting] == [Outcome.ADMITTED] * 3 + [Outcome.EXHAUSTED]
 
 
 def test_a_silent_granter_is_asked_the_same_again_and_then_left_out_for_a_while() -> None:
     process = Process(["p", "q"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
-    asked(process, requester)
-    process.wait(TRIES * NEAR_S + 0.001)
-    assert [name for name, _ in process.sent] == ["p"] * TRIES + ["q"]
-    assert len({request.ref for name, request in process.sent if name == "p"}) == 1
-    requester.take(process.now, TokenReply(process.sent[-1][1].ref, 1.0, 0.0))
-    asked(process, requester)
+    request_token(process, requester)
+    process.wait(MAX_SENDS * NEAR_TIMEOUT_S + 0.001)
+    assert [name for name, _ in process.sent] == ["p"] * MAX_SENDS + ["q"]
+    assert len({request.request_id for name, request in process.sent if name == "p"}) == 1
+    requester.handle_reply(process.now, TokenReply(process.sent[-1][1].request_id, 1.0, 0.0))
+    request_token(process, requester)
     assert process.sent[-1][0] == "q"
-    requester.take(process.now, TokenReply(process.sent[-1][1].ref, 1.0, 0.0))
-    process.wait(SILENT_S)
-    asked(process, requester)
+    requester.handle_reply(process.now, TokenReply(process.sent[-1][1].request_id, 1.0, 0.0))
+    process.wait(SILENT_BACKOFF_S)
+    request_token(process, requester)
     assert process.sent[-1][0] == "p"
 
 
@@ -375,20 +375,20 @@
     for late, outcome in ((0.9 * LIFE_S, Outcome.ADMITTED), (1.1 * LIFE_S, None)):
         process = Process(["p"])
         requester = TokenRequester(process, "me", LIFE_S, 0)
-        asked(process, requester)
+        request_token(process, requester)
         process.wait(late)
-        requester.take(process.now, TokenReply(process.sent[0][1].ref, 1.0, 0.0))
-        decisions = asked(process, requester)
+        requester.handle_reply(process.now, TokenReply(process.sent[0][1].request_id, 1.0, 0.0))
+        decisions = request_token(process, requester)
         assert [decision.outcome for decision in decisions] == ([outcome] if outcome else [])
 
 
 def test_a_granter_that_is_slow_is_waited_for_where_nobody_else_is_left() -> None:
     process = Process(["p"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
-    in_time, too_late = asked(process, requester), asked(process, requester, wait=0.08)
-    process.wait(TRIES * NEAR_S + 0.01)
+    in_time, too_late = request_token(process, requester), request_token(process, requester, wait=0.08)
+    process.wait(MAX_SENDS * NEAR_TIMEOUT_S + 0.01)
     assert in_time == too_late == []
-    requester.take(process.now, TokenReply(process.sent[0][1].ref, 1.0, 0.0))
+    requester.handle_reply(process.now, TokenReply(process.sent[0][1].request_id, 1.0, 0.0))
     assert in_time == [ADMITTED]
     process.wait(0.1)
     assert [decision.outcome for decision in too_late] == [Outcome.UNREACHABLE]
@@ -397,31 +397,31 @@
 def test_who_reaches_no_granter_refuses_within_its_time_and_says_when_to_come_again() -> None:
     process = Process(["p", "q", "r", "s"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
-    decisions = asked(process, requester, wait=0.1)
-    process.wait(0.1 + TRIES * NEAR_S)
-    assert decisions[0].outcome is Outcome.UNREACHABLE and decisions[0].after_s > 0.0
+    decisions = request_token(process, requester, wait=0.1)
+    process.wait(0.1 + MAX_SENDS * NEAR_TIMEOUT_S)
+    assert decisions[0].outcome is Outcome.UNREACHABLE and decisions[0].retry_after_s > 0.0
     alone = TokenRequester(Process([]), "me", LIFE_S, 0)
-    assert asked(process, alone)[0].outcome is Outcome.UNREACHABLE
+    assert request_token(process, alone)[0].outcome is Outcome.UNREACHABLE
 
 
 def test_a_member_of_the_core_takes_its_own_tokens_at_once() -> None:
-    process = Process(["me", "p"], here=Grant(1.0, 0.0))
+    process = Process(["me", "p"], local_grant=Grant(1.0, 0.0))
     requester = TokenRequester(process, "me", LIFE_S, 0)
-    assert asked(process, requester) == [ADMITTED] and not process.sent
-    process.here = None
-    asked(process, requester)
+    assert request_token(process, requester) == [ADMITTED] and not process.sent
+    process.local_grant = None
+    request_token(process, requester)
     assert process.sent[0][0] == "p"
 
 
 def test_answers_to_nobody_and_messages_that_cannot_be_read_change_nothing() -> None:
     process = Process(["p"])
     requester = TokenRequester(process, "me", LIFE_S, 5)
-    requester.take(process.now, TokenReply(77, 9.0, 0.0))
-    decisions = asked(process, requester)
-    assert decisions == [] and process.sent[0][1].ref == 6
+    requester.handle_reply(process.now, TokenReply(77, 9.0, 0.0))
+    decisions = request_token(process, requester)
+    assert decisions == [] and process.sent[0][1].request_id == 6
     for wire in ({"r": 1}, {"r": 1, "k": "t", "n": 0.0}, {"r": "x", "k": "t", "n": 1.0}):
         with pytest.raises(MessageError):
-            TokenRequest.of(wire)
+            TokenRequest.from_wire(wire)
     with pytest.raises(MessageError):
-        TokenReply.of({"r": 1, "n": "2", "a": 0.0, "u": False})
-    assert TokenReply.of(TokenReply(1, 2.0, 0.5, False).wire()) == TokenReply(1, 2.0, 0.5, False)
+        TokenReply.from_wire({"r": 1, "n": "2", "a": 0.0, "u": False})
+    assert TokenReply.from_wire(TokenReply(1, 2.0, 0.5, False).to_wire()) == TokenReply(1, 2.0, 0.5, False)
--- a/tests/test_restart_from_disk.py
+++ b/tests/test_restart_from_disk.py
@@ -54,7 +54,7 @@
         [f"i-{zone}", "shop", f"10.0.2.{number}:80", zone, 9, 0, 0.0] for number, zone in enumerate(ZONES)
     ]
     data_plane.gatekeeper.server_list.take(100.0, {"f": 1, "p": 0, "e": entries, "g": []})
-    data_plane.relisted()
+    data_plane.on_servers_changed()
     shop = Service("shop", "/health", 100, 0.0, 0.0)
     chosen: set[str] = set()
     for _ in range(100):
--- a/tests/test_rules_together.py
+++ b/tests/test_rules_together.py
@@ -282,7 +282,7 @@
 
 
 def test_a_data_plane_that_is_not_told_what_its_disk_held_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    made, changed = Proxy.__init__, Proxy.changed
+    made, changed = Proxy.__init__, Proxy.on_configuration_changed
     making: list[Proxy] = []
 
     def init(self: Proxy, *args: Any) -> None:
@@ -295,7 +295,7 @@
             changed(self)
 
     monkeypatch.setattr(Proxy, "__init__", init)
-    monkeypatch.setattr(Proxy, "changed", told)
+    monkeypatch.setattr(Proxy, "on_configuration_changed", told)
     story = Story(11, 4, 1).tell(8.0).lose_power()
     assert found(story, "LOST") and found(story, "EVAC")
 
@@ -368,7 +368,7 @@
     def full(self: Granter, now: float, limits: Allowance) -> TokenBucket:
         return TokenBucket(limits, limits.capacity, now)
 
-    monkeypatch.setattr(Granter, "_made", full)
+    monkeypatch.setattr(Granter, "_new_bucket", full)
     assert any(stories())
 
 
@@ -396,7 +396,7 @@
     assert beyond() <= 0.0
 
     def filling(self: TokenBucket, now: float) -> None:
-        filled = self.level + self.limits.rate * max(0.0, now - self.at)
+        filled = self.level + self.limits.rate * max(0.0, now - self.updated_at)
         self.level = min(self.limits.capacity, filled)  # and `at` stays
 
     monkeypatch.setattr(TokenBucket, "advance", filling)
--- a/tests/test_system_parts.py
+++ b/tests/test_system_parts.py
@@ -10,7 +10,7 @@
 from millfront import environment
 from millfront.control import configuration
 from millfront.control.configuration import Service
-from millfront.dataplane.load_balancer import MOST_EJECTED, LoadBalancer, State
+from millfront.dataplane.load_balancer import MAX_EJECTED_SHARE, LoadBalancer, State
 from millfront.dataplane.retries import Outcome, RequestProgress, RetryBudget
 from millfront.discovery.server_list import Phase, Server
 from millfront.environment import Bounds
@@ -173,19 +173,19 @@
     ending: Ending, repeatable: bool, outcome: Outcome, goes_on: bool, promises: bool
 ) -> None:
     progress = RequestProgress(repeatable, 2)
-    progress.sending("i-1")
-    progress.ended(ending)
-    assert (progress.outcome, progress.may_go_on(), progress.promises()) == (outcome, goes_on, promises)
+    progress.attempt_started("i-1")
+    progress.attempt_ended(ending)
+    assert (progress.outcome, progress.may_retry(), progress.known_not_run()) == (outcome, goes_on, promises)
 
 
 def test_a_second_copy_under_way_takes_the_promise_away() -> None:
     progress = RequestProgress(True, 3)
-    progress.sending("i-1")
-    progress.sending("i-2")
-    progress.ended(Ending.TURNED_AWAY)
-    assert not progress.promises()
-    progress.ended(Ending.BROKEN)
-    assert progress.outcome is Outcome.UNKNOWN and not progress.promises()
+    progress.attempt_started("i-1")
+    progress.attempt_started("i-2")
+    progress.attempt_ended(Ending.TURNED_AWAY)
+    assert not progress.known_not_run()
+    progress.attempt_ended(Ending.BROKEN)
+    assert progress.outcome is Outcome.UNKNOWN and not progress.known_not_run()
 
 
 @pytest.mark.parametrize("n", [1, 11, 82])
@@ -199,7 +199,7 @@
         retry_budget = retry_budgets[step * 7 % n]
         if step % 5 < 2:
             requests.append(now)
-            retry_budget.request(now, n)
+            retry_budget.record_request(now, n)
         spent += [now for one in retry_budgets if one.spend(now, n)]
     for at in range(31):
         window = [t for t in spent if at <= t < at + 10]
@@ -221,7 +221,7 @@
 
 def load_balancer(count: int = 6, cold: float = 0.0) -> LoadBalancer:
     made = LoadBalancer("aa", ZONES, 1)
-    made.listed(
+    made.update_servers(
         Server(f"i-{k}", "shop", f"10.0.2.{k}:80", list(ZONES)[k % 4], 3, Phase.READY, cold, 0.0)
         for k in range(count)
     )
@@ -237,53 +237,56 @@
 
 def test_homes_evacuations_and_phases_bind_the_choice() -> None:
     made = load_balancer(8)
-    assert {made.seen[i].server.zone for i in picks(made, 1.0, 50, homes=frozenset({"b"}))} <= {"ba", "bb"}
+    assert {made.server_states[i].server.zone for i in picks(made, 1.0, 50, homes=frozenset({"b"}))} <= {
+        "ba",
+        "bb",
+    }
     made.evacuated = frozenset({"aa"})
-    assert all(made.seen[i].server.zone != "aa" for i in picks(made, 1.0, 50))
-    for seen in made.seen.values():
+    assert all(made.server_states[i].server.zone != "aa" for i in picks(made, 1.0, 50))
+    for seen in made.server_states.values():
         seen.server.become(Phase.DRAINING, 1.0)
-    made.listed([seen.server for seen in made.seen.values()])
+    made.update_servers([seen.server for seen in made.server_states.values()])
     assert picks(made, 1.0, 5) == []
 
 
 def test_a_server_that_does_not_come_up_is_ejected_and_comes_back_on_trial() -> None:
     made = load_balancer(2)
-    first = made.seen["i-0"]
-    made.failed(1.0, first, 3)
+    first = made.server_states["i-0"]
+    made.record_failure(1.0, first, 3)
     assert first.state.name == "EJECTED" and "i-0" not in picks(made, 1.5, 20)
     assert "i-0" not in picks(made, 2.5, 20, repeatable=False)
     assert first.state.name == "TRIAL"
-    made.sent(2.5, first, 1)
+    made.record_sent(2.5, first, 1)
     assert "i-0" not in picks(made, 2.5, 20)  # one at a time
-    made.ended(2.8, first, 1)
-    made.answered(2.8, first, 0.3, False)
-    assert first.state.name == "SOUND"
+    made.record_ended(2.8, first, 1)
+    made.record_answer(2.8, first, 0.3, False)
+    assert first.state.name == "HEALTHY"
 
 
 def test_never_more_than_a_share_of_a_service_is_ejected() -> None:
     made = load_balancer(8)
-    for seen in made.seen.values():
-        made.failed(1.0, seen, 3)
-    ejected = [seen for seen in made.seen.values() if seen.state is State.EJECTED]
-    assert len(ejected) == MOST_EJECTED * 8 and picks(made, 1.1, 5)
+    for seen in made.server_states.values():
+        made.record_failure(1.0, seen, 3)
+    ejected = [seen for seen in made.server_states.values() if seen.state is State.EJECTED]
+    assert len(ejected) == MAX_EJECTED_SHARE * 8 and picks(made, 1.1, 5)
 
 
 def test_a_silent_server_gets_nothing_more_until_it_answers() -> None:
     made = load_balancer(2)
-    dark = made.seen["i-0"]
-    made.sent(1.0, dark, 1)
+    dark = made.server_states["i-0"]
+    made.record_sent(1.0, dark, 1)
     assert "i-0" not in picks(made, 4.0, 20)
-    made.ended(4.1, dark, 1)
-    made.answered(4.1, dark, 3.1, False)
-    assert made._may(4.2, dark, SHOP, False)
+    made.record_ended(4.1, dark, 1)
+    made.record_answer(4.1, dark, 3.1, False)
+    assert made._may_send(4.2, dark, SHOP, False)
 
 
 def test_the_loaded_one_is_passed_over_and_a_long_body_stays_in_its_zone() -> None:
     made = load_balancer(8)
     for ident, load in (("i-0", 3), ("i-4", 0)):
-        made.reported(1.0, made.seen[ident], load, load, 3)
+        made.record_load(1.0, made.server_states[ident], load, load, 3)
     assert "i-0" not in picks(made, 1.1, 30)
-    assert {made.seen[i].server.zone for i in picks(made, 1.1, 30)} <= {"aa", "ab"}
+    assert {made.server_states[i].server.zone for i in picks(made, 1.1, 30)} <= {"aa", "ab"}
     large = made.pick(1.1, SHOP, True, ANY, 300_000.0)
     assert large is not None and large.server.zone == "aa"
 
@@ -291,14 +294,14 @@
 def test_a_cold_server_gets_a_trickle_and_only_from_its_holder() -> None:
     made = load_balancer(1, cold=100.0)
     assert picks(made, 1.0, 3) == []
-    made.cold_mine = {"i-0": True}
+    made.cold_owned = {"i-0": True}
     sent = 0
     for step in range(400):
         now = 1.0 + step / 100
         seen = made.pick(now, SHOP, True, ANY, 500.0)
         if seen is not None:
-            made.sent(now, seen, step)
-            made.ended(now, seen, step)
+            made.record_sent(now, seen, step)
+            made.record_ended(now, seen, step)
             sent += 1
     assert 4 * SHOP.warmup_rate * 0.7 < sent <= 4 * SHOP.warmup_rate + 2
 
