--- a/millfront/quotas/granter.py
+++ b/millfront/quotas/granter.py
@@ -1,8 +1,9 @@
-"""Grants tokens of tenants' allowances from this process's share of them. No I/O, no clock.
+"""Grants tokens from this process's share of the tenants' allowances. No I/O, no clock.
 
-Each tenant has a token bucket here, which is this process's share of its allowance. A bucket is empty when
-the process starts, and it outlives its tenant in the configuration, so that neither a restart nor a change
-fills it: what is granted is bounded by capacity and refill alone. Times are seconds on the caller's clock.
+Each tenant has a token bucket here that holds this process's share of its allowance. A bucket is empty when
+the process starts and outlives its tenant's entry in the configuration, so neither a restart nor a
+configuration change fills it: capacity and refill alone bound the grants. Times are seconds on the caller's
+clock.
 """
 
 import math
@@ -15,20 +16,18 @@
 from millfront.quotas.allowance import Allowance, allowance_of
 
 SWEEP_INTERVAL_S = 10.0
-WHOLE_TOKENS_CAPACITY = (
-    2.0  # a bucket of less capacity grants parts of a token: it may never hold a whole one
-)
+WHOLE_TOKENS_CAPACITY = 2.0  # tokens; a smaller bucket grants fractions, as it may never hold a whole token
 MAX_WAIT_S = 5.0
 ROUNDING_TOLERANCE = 1e-6  # tokens
-FULL_REFILL_S = 1e6  # in which any bucket is filled
+FULL_REFILL_S = 1e6  # long enough to fill any bucket
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """An answer to a request for tokens.
+    """The answer to a request for tokens.
 
-    ``tokens``: granted now; ``after_s``: when there may be a token again, 0 where all that was asked for was
-    granted."""
+    ``tokens``: granted now; ``retry_after_s``: seconds until a token may be available, 0 if everything
+    requested was granted."""
 
     tokens: float
     retry_after_s: float
@@ -36,40 +35,40 @@
 
 @dataclass(slots=True)
 class GrantCounter:
-    """What a bucket has granted in a span that begins at a time, and the largest limits in it: a second
-    count, beside the bucket's level, that finds a bucket which grants more than it was given."""
+    """Counts what a bucket has granted since ``window_start``, with the largest limits in force since then.
+    It is independent of the bucket's level, so it detects a bucket that grants more than its limits allow."""
 
     window_start: float
     tokens: float
     limits: Allowance
 
     def raise_limits(self, limits: Allowance) -> None:
-        """These limits hold besides."""
+        """Raise the recorded maximum to include these limits."""
         capacity = max(self.limits.capacity, limits.capacity)
         self.limits = Allowance(capacity, max(self.limits.rate, limits.rate))
 
     def is_within_limits(self, now: float) -> bool:
-        """Whether it is as much as the limits give, or less."""
+        """Whether the granted tokens are at most what the limits allow by now."""
         given = self.limits.capacity + self.limits.rate * (now - self.window_start)
         return self.tokens <= given + ROUNDING_TOLERANCE
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Fills at `limits.rate` up to `limits.capacity`."""
+    """A token bucket; refills at `limits.rate` up to `limits.capacity`."""
 
     limits: Allowance
     level: float
-    updated_at: float  # the level is as of then
+    updated_at: float  # time to which the level applies
     counter: GrantCounter | None = None
 
     def advance(self, now: float) -> None:
-        """Bring the level up to now by the limits that held until now."""
+        """Refill up to now at the current limits."""
         filled = self.level + self.limits.rate * max(0.0, now - self.updated_at)
         self.level, self.updated_at = min(self.limits.capacity, filled), now
 
     def set_limits(self, now: float, limits: Allowance) -> None:
-        """Other limits hold from now on; nothing is filled up by that."""
+        """Change the limits from now on. The level is never raised by this."""
         self.advance(now)
         self.limits = limits
         self.level = min(self.level, limits.capacity)
@@ -77,7 +76,7 @@
             self.counter.raise_limits(limits)
 
     def take(self, now: float, requested: float) -> Grant:
-        """Take up to so many tokens."""
+        """Take up to ``requested`` tokens."""
         self.advance(now)
         whole = self.limits.capacity >= WHOLE_TOKENS_CAPACITY
         tokens = min(requested, math.floor(self.level) if whole else self.level)
@@ -90,20 +89,20 @@
 
 
 class Granter:
-    """This process's token buckets."""
+    """All token buckets of this process."""
 
     def __init__(self, bounds: Bounds, now: float, invariants: Invariants | None = None) -> None:
         self.bounds, self.invariants = bounds, invariants or Invariants()
         self.share = 0.0
         self.granted_total = self.declined_total = 0.0
-        self._empty_at = now  # a bucket that is not there yet was empty then
+        self._empty_at = now  # a bucket not created yet counts as empty at this time
         self._last_sweep = now
         self._buckets: dict[str, TokenBucket] = {}
-        self._limits: dict[str, Allowance] = {}  # of whole allowances, by tenant
+        self._limits: dict[str, Allowance] = {}  # undivided allowances, by tenant
         self._tenants: Mapping[str, Tenant] = {}
 
     def set_tenants(self, now: float, tenants: Mapping[str, Tenant]) -> None:
-        """A configuration has come into force.
+        """Apply the tenants of a new configuration.
 
         :param tenants: by name
         """
@@ -113,13 +112,14 @@
             self._apply_limits(now, name)
 
     def set_share(self, now: float, share: float, start_full: bool = False) -> None:
-        """This process's share is another one from now on.
+        """Change this process's share from now on.
 
-        :param full: nobody has ever granted anything: the buckets begin full
+        :param share: of every allowance, 0 to 1
+        :param start_full: no process has ever granted anything, so the buckets start full
         """
         if share == self.share:
             return
-        if share > self.share:  # what is not there yet would be filled by the larger share since it was empty
+        if share > self.share:  # a bucket created later would refill at the larger share from `_empty_at` on
             for name, tenant in self._tenants.items():
                 if self.share > 0.0 and tenant.rate > 0.0:
                     self._bucket(now, name)
@@ -129,7 +129,7 @@
             self._apply_limits(now, name)
 
     def grant(self, now: float, tenant: str, requested: float) -> Grant | None:
-        """Tokens for a tenant; None where this process knows of no limit of it, or has no share."""
+        """Grant up to ``requested`` tokens; None if the tenant is unknown or this process has no share."""
         known = self._tenants.get(tenant)
         if known is None or self.share <= 0.0:
             return None
@@ -147,11 +147,11 @@
         if counter is None or now - counter.window_start > self.bounds.rate_window:
             counter = bucket.counter = GrantCounter(now, 0.0, bucket.limits)
         counter.tokens += tokens
-        detail = f"{counter.tokens:g} tokens of {tenant} were granted in {now - counter.window_start:.2f} s"
+        detail = f"granted {counter.tokens:g} tokens of {tenant} in {now - counter.window_start:.2f} s"
         self.invariants.check(Invariant.QUOTA_AS_GIVEN, counter.is_within_limits(now), detail)
 
     def available_tokens(self, now: float, tenant: str) -> float:
-        """Tokens that are there for a tenant."""
+        """Tokens that this process could grant a tenant now."""
         known = self._tenants.get(tenant)
         if known is None or known.rate <= 0.0 or self.share <= 0.0:
             return 0.0
@@ -160,7 +160,7 @@
         return bucket.level
 
     def tick(self, now: float) -> None:
-        """Each second: forget full buckets, which can be made again as they are."""
+        """Called every second: drop full buckets, which can be recreated in the same state."""
         if now - self._last_sweep < SWEEP_INTERVAL_S:
             return
         self._last_sweep = now
@@ -190,7 +190,7 @@
         return found
 
     def _apply_limits(self, now: float, name: str) -> None:
-        """The limits in force, to a bucket; one whose tenant has none keeps its own."""
+        """Apply the limits in force to a bucket. A bucket whose tenant has no limit keeps its own."""
         tenant = self._tenants.get(name)
         if tenant is not None and tenant.rate > 0.0:
             self._buckets[name].set_limits(now, self._limits_of(tenant).scaled(self.share))
--- a/millfront/quotas/messages.py
+++ b/millfront/quotas/messages.py
@@ -1,6 +1,6 @@
-"""What processes say to one another of tokens. No I/O, no clock.
+"""Messages by which processes request and grant tokens. No I/O, no clock.
 
-A request and its answer are one datagram each, JSON as all messages of the system's own; either may be lost.
+A request and its reply are one JSON datagram each, like all internal messages; either may be lost.
 """
 
 from dataclasses import dataclass
@@ -11,12 +11,12 @@
 
 
 class MessageError(Exception):
-    """A message can't be read."""
+    """A message has missing or invalid fields."""
 
 
 @dataclass(frozen=True, slots=True)
 class TokenRequest:
-    """Asks for up to ``tokens`` of a tenant. ``ref`` comes back with the answer.
+    """Requests up to ``tokens`` of a tenant. The reply repeats ``request_id``.
 
     >>> TokenRequest.from_wire(TokenRequest(7, "t", 2.0).to_wire())
     TokenRequest(request_id=7, tenant='t', tokens=2.0)
@@ -27,22 +27,22 @@
     tokens: float
 
     def to_wire(self) -> Message:
-        """As it is sent."""
+        """The message as sent."""
         return {"t": REQUEST, "r": self.request_id, "k": self.tenant, "n": self.tokens}
 
     @classmethod
     def from_wire(cls, message: Message) -> "TokenRequest":
-        """:raises MessageError: it can't be read"""
+        """:raises MessageError: a field is missing or invalid"""
         match message:
             case {"r": int(request_id), "k": str(tenant), "n": int() | float() as tokens} if tokens > 0.0:
                 return cls(request_id, tenant, float(tokens))
-        raise MessageError("no request for tokens")
+        raise MessageError("token request: expected r (int), k (string) and n (number above 0)")
 
 
 @dataclass(frozen=True, slots=True)
 class TokenReply:
-    """Grants ``tokens``; ``after_s``: when more may be had, seconds. ``available``: false where the one that
-    was asked grants nothing at all now (no lease, no share, no such tenant)."""
+    """Grants ``tokens``; ``retry_after_s``: seconds until more may be available. ``available``: false if the
+    granter can't grant anything now (no lease, no share or no such tenant)."""
 
     request_id: int
     tokens: float
@@ -50,7 +50,7 @@
     available: bool = True
 
     def to_wire(self) -> Message:
-        """As it is sent."""
+        """The message as sent."""
         return {
             "t": REPLY,
             "r": self.request_id,
@@ -61,7 +61,7 @@
 
     @classmethod
     def from_wire(cls, message: Message) -> "TokenReply":
-        """:raises MessageError: it can't be read"""
+        """:raises MessageError: a field is missing or invalid"""
         match message:
             case {
                 "r": int(request_id),
@@ -70,4 +70,4 @@
                 "u": bool(unavailable),
             }:
                 return cls(request_id, float(tokens), float(retry_after_s), not unavailable)
-        raise MessageError("no answer to a request for tokens")
+        raise MessageError("token reply: expected r (int), n and a (numbers) and u (boolean)")
--- a/millfront/quotas/requester.py
+++ b/millfront/quotas/requester.py
@@ -1,9 +1,10 @@
-"""Gets a token for each request of a tenant with a limit, from the members of the core. No I/O, no clock.
+"""Obtains a token from the members of the core for each request of a limited tenant. No I/O, no clock.
 
-The granters are asked one after another, the nearest first, until one grants; who has said that it is empty
-is left out until it may have a token again, and who is silent for a moment. A token is void when its life is
-over, which begins when it is asked for, on this process's clock alone. Of one tenant there is one question
-under way at a time, for all of its requests that wait. Times are seconds on the caller's steady clock.
+Granters are tried one after another, nearest first, until one grants. One that reported itself empty is
+skipped until it may have a token again; one that did not answer is skipped for a short while. A token's
+lifetime starts when it is requested and is measured on this process's clock alone. Each tenant has at most
+one token request in flight, on behalf of all its waiting requests. Times are seconds on the caller's steady
+clock.
 """
 
 from collections import deque
@@ -15,17 +16,17 @@
 from millfront.quotas.granter import Grant
 from millfront.quotas.messages import TokenReply, TokenRequest
 
-NEAR_TIMEOUT_S, FAR_TIMEOUT_S = 0.03, 0.07  # in which a granter of this region, or of another one, answers
-MAX_SENDS = 2  # a question is sent so often, the same one: it is granted once
-SILENT_BACKOFF_S = 0.5  # a granter that has not answered is asked again after so long
-UNAVAILABLE_BACKOFF_S = 0.3  # and one that grants nothing at all now
-SCARCITY_S = 1.0  # after a granter was empty
+NEAR_TIMEOUT_S, FAR_TIMEOUT_S = 0.03, 0.07  # reply time of a granter in this / another region
+MAX_SENDS = 2  # of the same token request; resending is safe because a granter grants it only once
+SILENT_BACKOFF_S = 0.5  # before a granter that did not answer is asked again
+UNAVAILABLE_BACKOFF_S = 0.3  # before a granter that can't grant anything is asked again
+SCARCITY_S = 1.0  # tokens count as scarce for this long after a granter was empty
 IDLE_TIMEOUT_S = 30.0
-ONE_TOKEN = 1.0 - 1e-9  # tokens that a request needs; parts of a token may not add up exactly
+ONE_TOKEN = 1.0 - 1e-9  # fractions of a token may not add up to exactly 1
 
 
 class Outcome(Enum):
-    """What became of a request."""
+    """How a request was decided."""
 
     ADMITTED = "admitted"
     EXHAUSTED = "no granter has a token left"
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """Of one request; ``after_s``: when a refused one may come again, seconds."""
+    """The decision on one request; ``retry_after_s``: seconds until a refused request may be retried."""
 
     outcome: Outcome
     retry_after_s: float = 0.0
@@ -46,34 +47,34 @@
 
 @dataclass(frozen=True, slots=True)
 class GranterInfo:
-    """A process that grants. ``far``: it is in another region."""
+    """A process that grants tokens."""
 
     name: str
     in_other_region: bool = False
 
 
 class RequesterContext(Protocol):
-    """What the requester asks of its process."""
+    """What the requester needs from its process."""
 
     def granters(self) -> list[GranterInfo]:
-        """The granters, the nearest and soundest first."""
+        """All usable granters, nearest first."""
 
     def grant_locally(self, tenant: str, tokens: float) -> Grant | None:
-        """This process's own grant; None: it grants nothing now."""
+        """Grant tokens from this process's own share; None if it can't grant anything now."""
 
     def send_request(self, name: str, request: TokenRequest) -> None:
-        """Send it a question, which may be lost."""
+        """Send a token request to a granter; it may be lost."""
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call that after so long."""
+        """Call `callback` after that many seconds."""
 
     def now_s(self) -> float:
-        """The time."""
+        """The current time in seconds."""
 
 
 @dataclass(slots=True)
 class HeldTokens:
-    """Tokens that may be used before a time."""
+    """Tokens that may be used until they expire."""
 
     tokens: float
     expires_at: float
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingRequest:
-    """A request without a token yet, which is answered by that time."""
+    """A request without a token yet, to be decided by its deadline."""
 
     callback: DecisionCallback
     deadline: float
@@ -89,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """A request for tokens that is under way."""
+    """A token request in flight."""
 
     request_id: int
     tenant: str
@@ -99,27 +100,27 @@
 
 @dataclass(slots=True)
 class TenantState:
-    """One tenant, as this process carries it."""
+    """One tenant's tokens and waiting requests in this process."""
 
     last_used: float
     held: list[HeldTokens] = field(default_factory=list)
     waiting: deque[WaitingRequest] = field(default_factory=deque)
     pending: PendingRequest | None = None
-    unanswered: dict[int, float] = field(default_factory=dict)  # questions, and until when a token would do
+    unanswered: dict[int, float] = field(default_factory=dict)  # by request id: when its tokens would expire
     empty_until: dict[str, float] = field(default_factory=dict)  # by granter
     scarce_until: float = -1e9
 
     def valid_tokens(self, now: float) -> float:
-        """Tokens that are not void yet."""
+        """The number of held tokens that have not expired; drops the others."""
         self.held = [held for held in self.held if held.expires_at > now and held.tokens > 0.0]
         return sum(held.tokens for held in self.held)
 
     def late_reply_possible(self, now: float) -> bool:
-        """Whether a granter that was passed over, since it was silent, may still answer in time."""
+        """Whether a granter that missed its reply time may still answer before its tokens expire."""
         return any(until > now for until in self.unanswered.values())
 
     def use_token(self) -> None:
-        """One token, of those that are void first."""
+        """Use one token, the earliest to expire first."""
         needed = 1.0
         for held in self.held:
             taken = min(held.tokens, needed)
@@ -128,13 +129,12 @@
 
 
 class TokenRequester:
-    """The tokens of one process."""
+    """Requests, holds and hands out the tokens of one process."""
 
     def __init__(
         self, context: RequesterContext, name: str, token_lifetime_s: float, first_request_id: int
     ) -> None:
-        """:param life_s: of a token
-        :param first_ref: drawn anew in each incarnation: an answer to an earlier one is not taken"""
+        """:param first_request_id: random in each incarnation: replies to an earlier one are ignored"""
         self.context, self.name, self.token_lifetime_s = context, name, token_lifetime_s
         self._last_request_id = first_request_id
         self._tenants: dict[str, TenantState] = {}
@@ -146,11 +146,11 @@
     def request(
         self, now: float, tenant: str, max_wait_s: float, prefetch: int, callback: DecisionCallback
     ) -> Decision | None:
-        """A request that needs a token.
+        """Decide a client's request, which needs one token; None if it has to wait.
 
-        :param most_wait_s: it is decided within so long
-        :param ahead: tokens that are asked for besides, for requests that will come soon
-        :param then: called once with what became of it, where None is returned
+        :param max_wait_s: time within which it is decided
+        :param prefetch: additional tokens to request for requests expected soon
+        :param callback: called once with the decision if None is returned
         """
         state = self._tenants.get(tenant)
         if state is None:
@@ -176,12 +176,12 @@
         return decided[0] if decided else None
 
     def is_scarce(self, now: float, tenant: str) -> bool:
-        """Whether a granter was empty a moment ago."""
+        """Whether a granter was empty within the last `SCARCITY_S`."""
         state = self._tenants.get(tenant)
         return state is not None and now < state.scarce_until
 
     def handle_reply(self, now: float, reply: TokenReply) -> None:
-        """A granter's answer."""
+        """Handle a granter's reply; an unknown request id is ignored."""
         pending = self._pending.pop(reply.request_id, None)
         state = self._tenants.get(pending.tenant) if pending is not None else None
         if pending is None or state is None:
@@ -195,7 +195,7 @@
         self._advance(now, pending.tenant, state)
 
     def tick(self, now: float) -> None:
-        """Each second: forget what is over."""
+        """Called every second: drop expired token requests and idle tenants."""
         expired = [
             request_id
             for request_id, pending in self._pending.items()
@@ -209,10 +209,10 @@
             if now - state.last_used > IDLE_TIMEOUT_S and not state.waiting:
                 del self._tenants[name]
 
-    # ---- the next step of one tenant -----------------------------------------------------------------
+    # ---- one tenant ----------------------------------------------------------------------------------
 
     def _advance(self, now: float, tenant: str, state: TenantState, prefetch: int = 0) -> None:
-        """Admit who waits, and ask the next granter for the others."""
+        """Admit waiting requests, and request tokens from the next granter for the rest."""
         while True:
             self._admit(now, state)
             if not state.waiting or state.pending is not None:
@@ -270,7 +270,7 @@
     def _on_timeout(
         self, pending: PendingRequest, request: TokenRequest, timeout_s: float, sends: int
     ) -> None:
-        """The granter has had its time."""
+        """The granter has not answered in time: resend, or move on to the next granter."""
         state = self._tenants.get(pending.tenant)
         if state is None or state.pending is not pending:
             return
@@ -284,7 +284,7 @@
         self._advance(now, pending.tenant, state)
 
     def _on_deadline(self, tenant: str) -> None:
-        """The first request that waits has waited for as long as it may."""
+        """The first waiting request has reached its deadline."""
         state = self._tenants.get(tenant)
         if state is not None:
             self._advance(self.context.now_s(), tenant, state)
@@ -303,7 +303,7 @@
             state.scarce_until = now + SCARCITY_S
 
     def _refuse_all(self, now: float, state: TenantState) -> None:
-        """Nobody is left to be asked."""
+        """Refuse all waiting requests: no granter is left to ask."""
         while state.waiting:
             state.waiting.popleft().callback(self._refusal(now, state))
 
--- a/millfront/quotas/share.py
+++ b/millfront/quotas/share.py
@@ -1,16 +1,17 @@
-"""Which part of every tenant's allowance this process may grant. No I/O, no clock.
+"""The share of every tenant's allowance that this process may grant. No I/O, no clock.
 
-The allowance is shared out evenly among the members of the core, on which all agree by its epoch. At every
-moment the shares of all processes that may grant sum to 1 at most, through any changes of the core:
+The allowance is divided evenly among the members of the core, whose epoch identifies the agreed set of
+members. The shares of all processes that may grant sum to at most 1 at any time, through any changes of the
+core:
 
 - Only a process with a lease of the register grants. Once a majority of a new core answers in its epoch, no
-  lease is renewed in an earlier one, and after `lease_s` none is left.
-- A member that learns of the next core keeps the smaller of its two shares, and one that leaves has none; a
-  share grows, or is taken up by a new member, only `lease_s` after that majority was seen.
-- Who has missed an epoch can't know what it had in it, and starts from nothing in the same way.
-- A share that has come into force is kept on disk, so that a member that restarts in the same epoch goes on.
+  lease is renewed in an earlier epoch, and after `lease_s` the last one has ended.
+- A member that learns of the next core keeps the smaller of its two shares, and a departing member has
+  none. A share grows, or starts at a new member, only `lease_s` after that majority was seen.
+- A member that missed an epoch can't know its share in it, so it starts from 0 and waits in the same way.
+- A share in force is stored on disk, so a member that restarts within the same epoch keeps it.
 
-While the core changes (it has an old and a new set of members) the shares are those of the old one.
+While the core changes (it has an old and a new set of members), the shares of the old set apply.
 """
 
 import json
@@ -18,24 +19,24 @@
 
 from millfront.register.values import FOUNDED, Core, Value
 
-LEASE_MARGIN = 1.05  # clocks may differ by a few percent
-EPOCHS_PER_CHANGE = 2  # a change of the core takes two epochs: both sets of members, then the new one
+LEASE_MARGIN = 1.05  # clock rates may differ by a few percent
+EPOCHS_PER_CHANGE = 2  # a change of the core takes two epochs: both sets of members, then the new set
 
 
 @dataclass(frozen=True, slots=True)
 class StoredShare:
-    """A share in force, as it is kept on disk. ``epoch``: of the core that it is of."""
+    """A share in force, as stored on disk, with the epoch of its core."""
 
     epoch: int
     share: float
 
     def to_value(self) -> Value:
-        """As a value of the replica's own."""
+        """As a local value of the replica."""
         return Value(self.epoch, "", json.dumps(self.share))
 
     @classmethod
     def from_value(cls, value: Value | None) -> "StoredShare | None":
-        """What was kept; None where nothing was."""
+        """The stored share; None if nothing was stored."""
         return None if value is None else cls(value.version, float(json.loads(value.data)))
 
 
@@ -44,20 +45,20 @@
 
     def __init__(self, name: str, lease_s: float, stored: StoredShare | None) -> None:
         """:param lease_s: the longest that a lease lasts without being renewed
-        :param kept: what an earlier incarnation had in force
+        :param stored: the share that an earlier incarnation had in force
         """
         self.name = name
         self._growth_delay_s = LEASE_MARGIN * lease_s
         self.epoch = stored.epoch if stored is not None else 0
         self.share = stored.share if stored is not None else 0.0
-        self._settled = stored is not None  # it is the whole of what this epoch's core gives
+        self._settled = stored is not None  # the share is the even share of this epoch's core
         self._majority_at: float | None = None
-        self._core_checked = False  # whether the core in force was compared with what was kept
+        self._core_checked = False  # whether the core in force was compared with the stored share
 
     def update(self, now: float, core: Core | None, majority: bool) -> bool:
-        """Bring the share up to the core in force here; whether one has come into force that is to be kept.
+        """Update the share for the core in force here; returns whether a new share must be stored.
 
-        :param majority: a majority of that core has answered in its epoch
+        :param majority: whether a majority of that core has answered in its epoch
         """
         if core is None:
             return False
@@ -74,7 +75,7 @@
         return self._grow_if_due(now, core, majority)
 
     def in_force(self) -> float:
-        """The part that may be granted now, 0 to 1, under a lease of the register."""
+        """The share that may be granted now, 0 to 1, while this process has a lease of the register."""
         return self.share if self._core_checked else 0.0
 
     def _reset(self, epoch: int) -> None:
@@ -94,7 +95,7 @@
             return False
         if self._majority_at is None and majority:
             self._majority_at = now
-        first = core.epoch == FOUNDED  # there was no core before
+        first = core.epoch == FOUNDED  # no earlier core exists
         waited = self._majority_at is not None and now - self._majority_at >= self._growth_delay_s
         if not first and not waited:
             return False
@@ -102,5 +103,5 @@
         return True
 
     def stored(self) -> StoredShare:
-        """What is to be kept on disk."""
+        """The share to store on disk."""
         return StoredShare(self.epoch, self.share)
