--- a/millfront/dataplane/__init__.py
+++ b/millfront/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""A request's way: admission, the choice of a server, retries and the proxy that ties them to the loop."""
+"""The data plane: admission, choice of a server, retries, and the proxy that runs them on the event loop."""
--- a/millfront/dataplane/admission.py
+++ b/millfront/dataplane/admission.py
@@ -1,13 +1,17 @@
-"""Admission: what of a tenant's requests this process lets in. No I/O, no clock.
-
-Two things decide. A *token* of the tenant's allowance is needed for each request (`millfront.quotas`): tokens
-are granted once, so that all processes together keep to the limit whatever any of them believes of the
-others. And one *price* per tenant moves by the projected step on the sent total of all processes; the level
-comes from a concave utility under the room cap. While tokens are scarce, what is above the level is refused
-at once, without asking anybody: so the scarce ones go to whoever asks for them, by share. The totals travel
-on each process's member record (`membership/gossip.py`), as sums since its start: one that comes late, twice
-or after others changes nothing, and the next one makes up for it. A wrong total makes a price wrong, never
-the limit. Units are requests, rates requests a second, times seconds on the caller's clock.
+"""Admission control: decides which of a tenant's requests this process admits. No I/O, no clock.
+
+Two mechanisms decide. First, each request needs a *token* of the tenant's allowance (`millfront.quotas`).
+Tokens are granted once, so all processes together keep to the limit, however outdated a process's view of
+the others is. Second, each tenant has a *price* that follows the total sent by all processes in projected
+gradient steps. It determines the *level*: the rate at which this process's bucket refills, from a concave
+utility and capped by the unused quota. While tokens are scarce, requests above the level are refused at
+once without asking a granter, so that scarce tokens go to the processes in proportion to their share of the
+demand.
+
+The totals travel on each process's member record (`membership/gossip.py`) as sums since its start: a record
+that arrives late, twice or out of order does no harm, and the next one corrects it. A wrong total makes a
+price wrong but never breaks the limit. Units are requests, rates requests per second, times seconds on the
+caller's clock.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,37 +25,37 @@
 from millfront.quotas.requester import ADMITTED, Decision, DecisionCallback, Outcome
 
 INITIAL_PRICE = 1.0
-MAX_PRICE = 8.0  # an n undercounted by so much is still outbid
-SHARE_WEIGHT_UNITS = 8.0  # asked by all in a tick for it to weigh half in a share
-MIN_REFILL_RATE = 0.02  # requests a second: a process that had no share yet admits something
-MIN_EVEN_SHARE = 0.25  # of the even slice: what a level is at least while all send less than the quota
-PREFETCH_BELOW = 0.5  # of the quota: below it tokens that come to nothing are not missed
-SMOOTHING = 0.2  # of the newest tick in what is asked here
-PEER_SMOOTHING = 0.6  # of the newest record in the rates of another process
-UNCHANGED_DECAY = 0.4  # what is left of a rate after a tick in which nothing moved
-MIN_RATE_SPAN_S = 0.2  # over which a rate is taken
+MAX_PRICE = 8.0  # compensates for a process count that is too low by up to this factor
+SHARE_WEIGHT_UNITS = 8.0  # requests/s of all processes at which demand counts for half of a share
+MIN_REFILL_RATE = 0.02  # requests/s; lets a process without a share yet admit something
+MIN_EVEN_SHARE = 0.25  # of the even share: the minimum level while all together send less than the quota
+PREFETCH_BELOW = 0.5  # of the quota; at lower use, prefetched tokens that expire unused do no harm
+SMOOTHING = 0.2  # weight of the latest tick in this process's demand rate
+PEER_SMOOTHING = 0.6  # weight of the latest record in another process's rates
+UNCHANGED_DECAY = 0.4  # factor on a rate after a tick without change
+MIN_RATE_SPAN_S = 0.2  # shortest span over which a rate is computed
 IDLE_TIMEOUT_S = 30.0
-RECORD_LATE_S = 1.5  # a process not heard of for so long may have been cut off: records come each second
-UNCHANGED_S = 1.6  # of a tenant nothing was told with that many seconds of a process's records: nothing moved
+RECORD_LATE_S = 1.5  # records come every second; a process overdue by this may have been cut off
+UNCHANGED_S = 1.6  # a tenant missing from a process's records for this long has not changed there
 MIN_TICK_S = 0.05
 MIN_WAIT_S, MAX_WAIT_S = 0.05, 5.0
 
 
 class TokenSource(Protocol):
-    """Where admission gets its tokens from."""
+    """Source of the tokens that admission needs."""
 
     def request(
         self, now: float, tenant: Tenant, max_wait_s: float, prefetch: int, callback: DecisionCallback
     ) -> Decision | None:
-        """As `TokenRequester.request`."""
+        """See `TokenRequester.request`."""
 
     def is_scarce(self, now: float, tenant: Tenant) -> bool:
-        """Whether there were none left somewhere a moment ago."""
+        """Whether a granter recently had no token left."""
 
 
 @dataclass(slots=True)
 class PeerTotals:
-    """One other process's totals of one tenant."""
+    """Another process's totals of one tenant."""
 
     incarnation: int = -1
     age: float = 0.0
@@ -62,7 +66,7 @@
     updated_at: float = 0.0
 
     def update(self, now: float, incarnation: int, age: float, sent: float, demand: float) -> None:
-        """Its newest totals: rates are differences within one incarnation."""
+        """Store newer totals. Rates are computed from differences within one incarnation."""
         if self.incarnation == incarnation:
             elapsed = max(age - self.age, MIN_RATE_SPAN_S)
             self.sent_rate += PEER_SMOOTHING * (max(0.0, sent - self.sent) / elapsed - self.sent_rate)
@@ -78,7 +82,7 @@
         )
 
     def decay(self, now: float) -> None:
-        """Its process is heard of, and not with this tenant: nothing has moved there."""
+        """Lower the rates: the process sends records without this tenant, so its totals have not changed."""
         self.sent_rate, self.demand_rate = (
             UNCHANGED_DECAY * self.sent_rate,
             UNCHANGED_DECAY * self.demand_rate,
@@ -88,7 +92,7 @@
 
 @dataclass(slots=True)
 class Account:
-    """One tenant, as this process sees it."""
+    """One tenant's admission state in this process."""
 
     sent: float = 0.0  # since the process started
     demand: float = 0.0
@@ -98,28 +102,28 @@
     share: float = 0.0
     rate: float = 0.0  # the tenant's limit as last known here
     burst: float = 0.0
-    bucket_at: float = 0.0  # the bucket stands as of then
-    changed_at: float = -1e9  # when `sent` or `asked` last rose
+    bucket_at: float = 0.0  # time to which the bucket applies
+    changed_at: float = -1e9  # when `sent` or `demand` last rose
     last_used: float = 0.0
     last_sent: float = 0.0  # `sent` at the last tick
     last_demand: float = 0.0
-    own_demand_rate: float = 0.0  # a second, smoothed
+    own_demand_rate: float = 0.0  # requests/s, smoothed
     own_sent_rate: float = 0.0
-    others_rate: float = 0.0  # the rate at which all others send, as of the last tick
-    admitted_level: int = 0  # from the bucket that is filled at this process's level
-    admitted_beyond: int = 0  # beyond it, while tokens were not scarce
-    refused_level: int = 0  # this process's level was reached while tokens were scarce
-    refused_exhausted: int = 0  # no token was left, with anybody who grants
-    refused_unreachable: int = 0  # nobody who grants answered
+    others_rate: float = 0.0  # sent by all other processes, as of the last tick
+    admitted_level: int = 0  # within the level: covered by the bucket
+    admitted_beyond: int = 0  # above the level, while tokens were not scarce
+    refused_level: int = 0  # above the level, while tokens were scarce
+    refused_exhausted: int = 0  # no granter had a token left
+    refused_unreachable: int = 0  # no granter answered
     peers: dict[str, PeerTotals] = field(default_factory=dict)
 
     def advance(self, now: float) -> None:
-        """Bring the bucket up to now, by the level that held until now."""
+        """Refill the bucket up to now at the current refill rate."""
         filled = self.bucket + self.refill_rate * max(0.0, now - self.bucket_at)
         self.bucket, self.bucket_at = min(filled, max(1.0, self.share * self.burst)), now
 
     def count_decision(self, decision: Decision, within_level: bool) -> None:
-        """Count what became of a request."""
+        """Count the decision on a request."""
         match decision.outcome:
             case Outcome.ADMITTED:
                 self.sent += 1.0
@@ -135,7 +139,7 @@
     """All tenants' accounts in one process."""
 
     def __init__(self, bounds: Bounds, now: float, tokens: TokenSource, name: str = "") -> None:
-        """:param name: of this process"""
+        """:param name: this process's name"""
         self.bounds, self.tokens, self.name = bounds, tokens, name
         self.accounts: dict[str, Account] = {}
         self.tenants: Mapping[str, Tenant] = {}  # by name, of the configuration in force
@@ -143,10 +147,10 @@
         self.process_count = 1
         self.started_at = now
         self._token_lifetime_s = token_lifetime_s(bounds)
-        self._last_record_at: dict[str, float] = {}  # of whom a record came last when
+        self._last_record_at: dict[str, float] = {}  # by process
 
     def account(self, now: float, tenant: Tenant) -> Account:
-        """The account of a limited tenant; created, or brought up to a changed limit, where needed."""
+        """The account of a limited tenant, created or updated to a changed limit if necessary."""
         account = self._find_or_create(now, tenant.name)
         if (account.rate, account.burst) != (tenant.rate, tenant.burst):
             account.advance(now)
@@ -156,7 +160,7 @@
         return account
 
     def _find_or_create(self, now: float, name: str) -> Account:
-        """The account that another process's totals go to, whether or not a limit of it is known here."""
+        """A tenant's account. The tenant may be unknown here: other processes' totals are stored anyway."""
         account = self.accounts.get(name)
         if account is None:
             account = self.accounts[name] = Account(
@@ -169,10 +173,10 @@
     def admit(
         self, now: float, tenant: Tenant, max_wait_s: float, callback: DecisionCallback
     ) -> Decision | None:
-        """A request: let in or refused at once, or decided within `most_wait_s`.
+        """Admit or refuse a request at once, or return None and decide within ``max_wait_s``.
 
-        :param now: as it is, not as of the last event: tokens are void by it
-        :param then: called once with what became of it, where None is returned
+        :param now: the actual time, not that of the last event, because tokens expire by it
+        :param callback: called once with the decision if None is returned
         """
         if tenant.rate <= 0.0:
             return ADMITTED
@@ -204,24 +208,24 @@
 
     @staticmethod
     def _refill_wait_s(account: Account) -> float:
-        """Until the bucket has a whole request again."""
+        """Seconds until the bucket covers a whole request again."""
         wait = (1.0 - account.bucket) / max(account.refill_rate, MIN_REFILL_RATE)
         return max(MIN_WAIT_S, min(MAX_WAIT_S, wait))
 
     def _prefetch(self, account: Account) -> int:
-        """Tokens that requests of the next moments will need, where the quota is not pressed."""
+        """Tokens that requests within one token lifetime will need; 0 if much of the quota is used."""
         if account.own_sent_rate + account.others_rate >= PREFETCH_BELOW * account.rate:
             return 0
         return int(account.own_sent_rate * self._token_lifetime_s)
 
     def refund(self, tenant: Tenant) -> None:
-        """Let in, and never sent to a server. Its token is void."""
+        """Uncount an admitted request that was never sent to a server. Its token is not reused."""
         account = self.accounts.get(tenant.name)
         if account is not None and tenant.rate > 0.0:
             account.sent -= 1.0
 
     def describe(self, tenant: Tenant) -> dict[str, float | int]:
-        """Why a tenant's requests are let in or refused here. Units are requests, rates requests a second."""
+        """The figures behind the decisions on a tenant's requests, in requests and requests per second."""
         account = self.accounts.get(tenant.name)
         limits = {"rate": tenant.rate, "burst": tenant.burst, "n": self.process_count}
         if account is None or tenant.rate <= 0.0:
@@ -245,17 +249,20 @@
     # ---- totals --------------------------------------------------------------------------------------
 
     def totals(self) -> dict[str, list[float]]:
-        """For this process's record."""
+        """By tenant: [sent, demand] since the start, for this process's record."""
         return {name: [a.sent, a.demand] for name, a in self.accounts.items()}
 
     def changed_totals(self, now: float, within: float) -> dict[str, list[float]]:
-        """Of the totals those that rose in so many seconds."""
+        """The totals that rose within the last ``within`` seconds."""
         return {name: [a.sent, a.demand] for name, a in self.accounts.items() if now - a.changed_at < within}
 
     def handle_totals(
         self, now: float, name: str, incarnation: int, age: float, totals: dict[str, Any]
     ) -> None:
-        """Another process's record, of all its totals or of some."""
+        """Handle another process's record, which holds all or some of its totals.
+
+        :param age: seconds that its process had run when it wrote the record
+        """
         for tenant, (sent, demand) in totals.items():
             peers = self._find_or_create(now, tenant).peers
             peers.setdefault(name, PeerTotals()).update(now, incarnation, age, sent, demand)
@@ -263,10 +270,10 @@
         self.process_count = max(self.process_count, len(self._last_record_at) + 1)
 
     def tick(self, now: float, names: set[str], silent: set[str]) -> None:
-        """One price step for each tenant.
+        """Update every tenant's price.
 
-        :param names: all processes that may be running, this one among them
-        :param silent: of these the ones not heard of: each may use its even slice, whatever it did before
+        :param names: all processes that may be running, including this one
+        :param silent: those of them not heard from; each is assumed to use at least its even share
         """
         elapsed = max(now - self.last_tick, MIN_TICK_S)
         self.last_tick, self.process_count = now, max(1, len(names))
@@ -286,7 +293,7 @@
             self._update_price(elapsed, tenant, account)
 
     def _sent_by_others(self, now: float, account: Account, names: set[str], late: set[str]) -> float:
-        """Whoever is late may have taken part in a rush that this process doesn't see."""
+        """Requests/s sent by all others; a late process may take part in a load peak unseen by this one."""
         for name in account.peers.keys() - names:
             del account.peers[name]
         for name, peer in account.peers.items():
--- a/millfront/dataplane/client_request.py
+++ b/millfront/dataplane/client_request.py
@@ -1,5 +1,4 @@
-"""One client's request on its way through the data plane: what is known of it, and its state until its one
-answer. No I/O."""
+"""A client's request in the data plane: its properties, and its state until it is answered once. No I/O."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -12,18 +11,18 @@
 from millfront.node.stages.send import ServerSideFlow
 from millfront.operations.claims import PendingClaim
 
-ATTEMPT_ID = b"millfront-attempt-id"  # the client's; an answer bears that of its own request
+ATTEMPT_ID = b"millfront-attempt-id"  # chosen by the client; an answer carries the id of its request
 
 
 def promises_not_run(answer: Message | None) -> bool:
-    """Whether to the client this says that it has not run and never will, which a server says by
-    Millfront-Not-Executed alone."""
+    """Whether the client takes this answer as a promise that its request has not run and never will. Servers
+    express that by Millfront-Not-Executed alone."""
     return answer is not None and answer.start in (408, 429, 503)
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """What the flows of the present program ask of a request."""
+    """The part of a request that server-side flows (`millfront.node`) read."""
 
     message: Message
     timeout_us: int
@@ -31,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTarget:
-    """The chosen server for one try, and its time limit in microseconds."""
+    """The server chosen for one attempt, and the attempt's time limit in microseconds (0: the client's)."""
 
     backend: str
     timeout_us: int = 0
@@ -39,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One client's request, open until its one answer."""
+    """A client's request, open until it is answered."""
 
     arrival: Arrival
     attempt_id: bytes
@@ -59,12 +58,12 @@
     flows: dict[int, ServerSideFlow] = field(default_factory=dict)
     server_states: dict[int, ServerState] = field(default_factory=dict)
     timer: asyncio.TimerHandle | None = None
-    fallback_answer: Message | None = None  # a server's own error, to be relayed if nothing better comes
+    fallback_answer: Message | None = None  # a server's error, relayed if no attempt succeeds
     revoked: bool = False
     operation_key: bytes = b""
-    claim: PendingClaim | None = None  # of its operation key, from the claim until the end
+    claim: PendingClaim | None = None  # on its operation key, from the claim until the request ends
 
     @property
     def deadline_us(self) -> int:
-        """When the client's time limit ends, in microseconds on the proxy's clock."""
+        """End of the client's time limit, in microseconds on the proxy's clock."""
         return self.arrived_us + self.arrival.timeout_us
--- a/millfront/dataplane/keyed_requests.py
+++ b/millfront/dataplane/keyed_requests.py
@@ -1,6 +1,7 @@
-"""Requests with an operation key: claimed before they are sent, and their answers kept for repeats.
+"""Requests with an operation key: the key is claimed before sending, and the answer is stored for repeats.
 
-The decisions are `millfront.operations.claims`; this module ties them to the proxy's requests and the loop.
+`millfront.operations.claims` takes the decisions; this module connects them to the proxy's requests and the
+event loop.
 """
 
 import asyncio
@@ -17,16 +18,16 @@
     from millfront.dataplane.proxy import Proxy
 
 OPERATION_KEY = b"millfront-operation-key"
-KEYED_KIND = "keyed"  # of routes whose requests carry a key
-WIDEN_AFTER_S = 0.1  # two ways to another region and a sync: then all members of the core are asked
-CLAIM_SHARE = 0.22  # of the target time that a request waits for a majority at most
-STORE_WAIT_S = 0.15  # that an answer waits at most for the owner and the successor of its key
-RUNNING_MARGIN_S = 1.0  # beyond the route's deadline a request that was claimed may be at work
-RETRY_AFTER_S = 0.3  # after which a client may ask again while the first request is at work
+KEYED_KIND = "keyed"  # kind of routes whose requests carry a key
+WIDEN_AFTER_S = 0.1  # two trips to another region and a disk sync; then all core members are asked
+CLAIM_SHARE = 0.22  # of the target time: the longest wait for a majority
+STORE_WAIT_S = 0.15  # longest time an answer waits until the key's owner and successor have stored it
+RUNNING_MARGIN_S = 1.0  # time beyond the route's deadline that a claimed request may still be running
+RETRY_AFTER_S = 0.3  # for a repeat that comes while the first request is running
 
 
 class KeyedRequests:
-    """The keyed requests of one proxy."""
+    """The requests with operation keys of one proxy."""
 
     def __init__(self, proxy: "Proxy", claims: OperationClaims) -> None:
         self.proxy, self.claims = proxy, claims
@@ -34,7 +35,7 @@
     # ---- before it is sent ---------------------------------------------------------------------------
 
     def begin(self, request: ClientRequest, key: bytes) -> None:
-        """Claim the request's key; it is sent once that is granted, or answered."""
+        """Claim the request's key. The request is sent when the claim is granted, and answered otherwise."""
         tenant = request.tenant.name if request.tenant is not None else ""
         operation = operation_id(tenant, key.decode("latin-1"))
         running_s = request.route.deadline + RUNNING_MARGIN_S
@@ -67,7 +68,7 @@
             self.proxy.give_up(request)
 
     def _on_claim_granted(self, request: ClientRequest) -> None:
-        if request.over:  # its client left meanwhile
+        if request.over:  # its client has disconnected
             self.withdraw(request)
         else:
             self.proxy.dispatch(request)
@@ -75,12 +76,12 @@
     # ---- after it was sent ---------------------------------------------------------------------------
 
     def complete(self, request: ClientRequest, answer: Message, deliver: Callable[[], None]) -> None:
-        """A server has run it: its answer is kept, then delivered."""
+        """A server has run it: store its answer, then deliver it."""
         stored = _stored(answer) if request.claim is not None else None  # most requests have no key
         self._finish(request, stored, deliver)
 
     def complete_unknown(self, request: ClientRequest) -> None:
-        """It was sent, and no answer came, or a longer one than is kept."""
+        """It was sent, but no answer came, or one too long to store."""
         self._finish(request, None, lambda: None)
 
     def _finish(
@@ -96,7 +97,7 @@
             asyncio.get_running_loop().call_later(STORE_WAIT_S, self.claims.let_go, claim)
 
     def withdraw(self, request: ClientRequest) -> None:
-        """It was not run by any server, and will not be."""
+        """Release the claim: no server has run the request or will run it."""
         claim: PendingClaim | None = request.claim
         request.claim = None
         if claim is not None:
