--- a/millfront/dataplane/load_balancer.py
+++ b/millfront/dataplane/load_balancer.py
@@ -1,10 +1,9 @@
-"""Load balancing: the server where the next request is expected to end first, bytes and distance weighed in.
-No I/O.
+"""Load balancing: picks the server expected to finish a request first, given distance and size. No I/O.
 
-Times are seconds on the caller's clock. A server's load is what it last told of itself (running, waiting,
-slots), aged towards the mean of its service, plus what was sent there since. States of a server as seen from
-here change by `_set_state` alone: a *sound* one takes anything; an *ejected* one nothing; a *trial* one only
-what may be repeated, until it answers.
+Times are seconds on the caller's clock. A server's load is its last report (running, waiting, slots),
+decaying towards the mean of its service, plus the requests sent there since. Its state, as this process
+sees it, changes in `_set_state` alone: a healthy server takes any request, an ejected one none, and one on
+trial a single repeatable request at a time until it answers.
 """
 
 import math
@@ -16,26 +15,26 @@
 from millfront.control.configuration import Service
 from millfront.discovery.server_list import Phase, Server
 
-REPORT_DECAY_S = 1.0  # a load report is worth 1/e after so long
+REPORT_DECAY_S = 1.0  # a load report's weight falls to 1/e in this time
 LATENCY_WEIGHT = 0.15
 INITIAL_SERVICE_TIME_S = 0.3
 EJECT_FAILURES = 3
 MIN_EJECT_S, MAX_EJECT_S = 1.0, 8.0
-FULL_PAUSE_S = 0.4  # a server that turned one away as full
-MAX_EJECTED_SHARE = 0.5  # of a service's servers: beyond that the fault is likelier here or everywhere
-MIN_SILENT_S = 1.2  # the least time without an answer after which a server with requests out is suspected
-SILENT_SERVICE_TIMES = 4.0  # and the same in mean works
-ZONE_ROUND_TRIP_S, REGION_ROUND_TRIP_S = 0.002, 0.045  # of a way there and back, where nothing was measured
-ZONE_BYTE_COST_S, REGION_BYTE_COST_S = 1e-5, 1e-4  # a byte weighed as time, so that long bodies stay near
+FULL_PAUSE_S = 0.4  # for a server that rejected a request as full
+MAX_EJECTED_SHARE = 0.5  # of a service's servers; if more fail, the cause is more likely here or everywhere
+MIN_SILENT_S = 1.2  # a server with requests in flight is suspect only after this long without an answer
+SILENT_SERVICE_TIMES = 4.0  # and after this many mean service times
+ZONE_ROUND_TRIP_S, REGION_ROUND_TRIP_S = 0.002, 0.045  # assumed, to another zone / region
+ZONE_BYTE_COST_S, REGION_BYTE_COST_S = 1e-5, 1e-4  # cost per byte, to keep long bodies near
 CONNECT_COST_S = 0.012
-SAMPLE_SIZE = 10  # of many servers, as many are looked at
-COLD_SHARE = 0.9  # of what a cold server bears
+SAMPLE_SIZE = 10  # of many servers, only this many random ones are compared
+COLD_SHARE = 0.9  # of the request rate that a cold server can take
 MAX_COLD_CREDIT = 1.5
-COST_JITTER = 0.15  # of the cost, at random: processes that see alike must not choose alike
+COST_JITTER = 0.15  # random share of the cost: processes with the same view must not all pick the same server
 
 
 class State(Enum):
-    """Of a server, as seen from here."""
+    """The state of a server, as this process sees it."""
 
     HEALTHY = "sound"
     EJECTED = "ejected"
@@ -44,28 +43,28 @@
 
 @dataclass(slots=True)
 class ServerState:
-    """What this process has seen of one life of a server."""
+    """What this process knows of one incarnation of a server."""
 
     server: Server
-    in_flight: dict[int, float] = field(default_factory=dict)  # requests under way -> since
+    in_flight: dict[int, float] = field(default_factory=dict)  # time sent, by attempt
     state: State = State.HEALTHY
-    ejected_until: float = 0.0  # ejected
+    ejected_until: float = 0.0
     ejections: int = 0
     failures: int = 0
     paused_until: float = 0.0
-    latency_ratio: float = 1.0  # of its times over its service's
+    latency_ratio: float = 1.0  # its answer time over the service's mean
     last_answer_at: float = 0.0
-    load: float = 0.0  # requests there by its last report, over its slots
+    load: float = 0.0  # running and waiting requests of its last report per slot
     slots: int = 0
     reported_at: float = -1e9
     sent_since_report: int = 0
-    idle_connections: int = 0  # connections taken to be idle
-    send_credit: float = 1.0  # while cold
+    idle_connections: int = 0  # as of the last attempt that ended
+    send_credit: float = 1.0  # requests that may be sent while it is cold
     credit_at: float = 0.0
 
 
 class LoadBalancer:
-    """All servers, by service."""
+    """The servers of all services."""
 
     def __init__(self, zone: str, zones: Mapping[str, str], seed: int) -> None:
         self.zone, self.zones = zone, zones
@@ -73,15 +72,15 @@
         self.random = random.Random(seed)
         self.server_states: dict[str, ServerState] = {}
         self.by_service: dict[str, list[ServerState]] = {}
-        self.service_times: dict[str, float] = {}  # by service: mean time in service
+        self.service_times: dict[str, float] = {}  # mean, by service
         self.mean_loads: dict[str, float] = {}
         self.evacuated: frozenset[str] = frozenset()
-        self.cold_owned: dict[str, bool] = {}  # cold servers whose trickle is this process's
+        self.cold_owned: dict[str, bool] = {}  # whether this process may send to a cold server
 
-    # ---- which there are ---------------------------------------------------------------------------
+    # ---- list of servers ---------------------------------------------------------------------------
 
     def update_servers(self, servers: Iterable[Server]) -> list[str]:
-        """The list of servers has changed; returns the servers that are gone or drain."""
+        """Apply a new list of servers; returns the ids of those that are gone or draining."""
         stopped = []
         self.by_service = {}
         listed_ids = set()
@@ -101,7 +100,7 @@
         return stopped
 
     def _set_state(self, now: float, server_state: ServerState, state: State) -> None:
-        """The one change of a server's state."""
+        """Change a server's state; nothing else does."""
         if state is State.EJECTED:
             server_state.ejected_until = now + min(MIN_EJECT_S * 2.0**server_state.ejections, MAX_EJECT_S)
             server_state.ejections = min(server_state.ejections + 1, 3)
@@ -121,11 +120,12 @@
         tried: Iterable[str] = (),
         max_in_flight: int = 1 << 30,
     ) -> ServerState | None:
-        """The server expected to answer first, or None.
+        """The server expected to answer first; None if no server may take the request.
 
         :param homes: regions that may serve it; empty: all
-        :param size: bytes both ways, as far as known
-        :param most_out: requests of this process that one server may have
+        :param size: bytes of the request and its answer, as far as known
+        :param tried: servers to leave out
+        :param max_in_flight: requests of this process that one server may have
         """
         tried = set(tried)
         near: list[ServerState] = []
@@ -179,7 +179,7 @@
         return True
 
     def is_cold(self, now: float, server_state: ServerState) -> bool:
-        """Whether a server is still warming up, so that only its holder may send to it."""
+        """Whether a server is still warming up, so that only the process that owns it may send to it."""
         return now < server_state.server.cold_until
 
     def _refill_credit(self, now: float, server_state: ServerState, service: Service) -> float:
@@ -191,7 +191,7 @@
         return server_state.send_credit
 
     def _is_silent(self, now: float, server_state: ServerState) -> bool:
-        """Requests are out there for long and nothing has come back."""
+        """Whether it has had requests in flight for a long time without any answer."""
         if not server_state.in_flight:
             return False
         service_time = self.service_times.get(server_state.server.service, INITIAL_SERVICE_TIME_S)
@@ -199,7 +199,7 @@
         return now - since > max(MIN_SILENT_S, SILENT_SERVICE_TIMES * service_time)
 
     def expected_load(self, now: float, server_state: ServerState) -> float:
-        """Requests there over its slots."""
+        """Expected requests at the server per slot."""
         report_weight = math.exp(-max(0.0, now - server_state.reported_at) / REPORT_DECAY_S)
         mean = self.mean_loads.get(server_state.server.service, 0.3)
         own = len(server_state.in_flight) / max(1, server_state.slots)
@@ -211,7 +211,7 @@
         )
 
     def cost(self, now: float, server_state: ServerState, size: float) -> float:
-        """Seconds until the answer, and what the way is worth."""
+        """Expected seconds until the answer, plus the cost of distance, bytes and a new connection."""
         server = server_state.server
         service_time = (
             self.service_times.get(server.service, INITIAL_SERVICE_TIME_S) * server_state.latency_ratio
@@ -228,21 +228,21 @@
             cost += CONNECT_COST_S
         return cost * (1.0 + server_state.failures)
 
-    # ---- what becomes of requests --------------------------------------------------------------------
+    # ---- attempts ------------------------------------------------------------------------------------
 
     def record_sent(self, now: float, server_state: ServerState, flow: int) -> None:
-        """A request was sent to this server; ``flow`` identifies the try until it ends."""
+        """A request was sent to this server; ``flow`` identifies the attempt until it ends."""
         server_state.in_flight[flow] = now
         server_state.sent_since_report += 1
         if self.is_cold(now, server_state):
             server_state.send_credit -= 1.0
 
     def record_ended(self, now: float, server_state: ServerState, flow: int) -> float:
-        """A request there is over; how long it took."""
+        """An attempt has ended; returns how many seconds it took."""
         return now - server_state.in_flight.pop(flow, now)
 
     def record_answer(self, now: float, server_state: ServerState, elapsed_s: float, full: bool) -> None:
-        """It answered: well, with an error of its own, or that it is full."""
+        """The server answered: with success, an error of its own, or that it is full (``full``)."""
         server_state.last_answer_at = now
         server_state.ejections = 0
         if server_state.state is not State.HEALTHY or server_state.failures:
@@ -262,7 +262,7 @@
     def record_load(
         self, now: float, server_state: ServerState, running: int, waiting: int, slots: int
     ) -> None:
-        """A server's own report of its load, from an answer."""
+        """Apply the load report in a server's answer."""
         server_state.slots = max(1, slots)
         server_state.load = (running + waiting) / server_state.slots
         server_state.reported_at, server_state.sent_since_report = now, 0
@@ -271,7 +271,7 @@
         self.mean_loads[service] = mean + 0.05 * (server_state.load - mean)
 
     def record_failure(self, now: float, server_state: ServerState, failures: int) -> None:
-        """It broke off, was silent, or could not be reached (which counts for all of EJECT_FAILS)."""
+        """The server broke off, was silent or was unreachable (which counts as EJECT_FAILURES failures)."""
         server_state.failures += failures
         if server_state.state is State.TRIAL or (
             server_state.failures >= EJECT_FAILURES and server_state.state is State.HEALTHY
@@ -282,7 +282,7 @@
                 self._set_state(now, server_state, State.EJECTED)
 
     def record_misdirected(self, server_state: ServerState) -> None:
-        """Another server has its address: it is gone, though the list doesn't say so yet."""
+        """Another server has its address now: this one is gone, although still listed."""
         server_state.server.become(Phase.GONE, server_state.last_answer_at)
         peers = self.by_service.get(server_state.server.service, [])
         if server_state in peers:
--- a/millfront/dataplane/retries.py
+++ b/millfront/dataplane/retries.py
@@ -1,7 +1,7 @@
-"""Retries: the outcome of a request as its tries end, and the budget of further tries. No I/O, no clock.
+"""Retries: the outcome of a request as its attempts end, and the retry budget. No I/O, no clock.
 
-The outcome of a request is explicit; only what is known not to have run moves on, unless it may be repeated.
-Times are seconds on the caller's clock.
+The outcome of a request is explicit: only a request that is known not to have run may be retried, unless it
+is repeatable. Times are seconds on the caller's clock.
 """
 
 import math
@@ -11,15 +11,13 @@
 from millfront.environment import Bounds
 from millfront.node.endings import Ending
 
-MAX_HELD_SHARE = 0.45  # of its part of retry_extra, and of what its requests of a window earn: held at most
-EARNED_SHARE = (
-    0.45  # of the same, earned over a window; held and earned together stay below the rule by a tenth
-)
-HEDGE_RESERVE = 1.0  # tokens that copies of silent requests leave for tries after a failure
+MAX_HELD_SHARE = 0.45  # of this process's part of retry_extra and of what its requests of a window earn
+EARNED_SHARE = 0.45  # likewise, earned over a window; held plus earned stays a tenth below the rule
+HEDGE_RESERVE = 1.0  # tokens that hedges must leave for attempts after a failure
 
 
 class Outcome(Enum):
-    """What is known of a request."""
+    """What is known about the execution of a request."""
 
     NOT_SENT = "not sent"
     SENT = "sent"
@@ -34,28 +32,28 @@
 
 @dataclass(slots=True)
 class RequestProgress:
-    """One client's request on its way through the servers."""
+    """The progress of one client's request over all its attempts."""
 
     repeatable: bool
     max_tries: int
     outcome: Outcome = Outcome.NOT_SENT
-    arrivals: int = 0  # servers that it has reached, or may have
+    arrivals: int = 0  # attempts that reached a server, or may have
     in_flight: int = 0
     may_have_run: bool = False
     tried: list[str] = field(default_factory=list)
 
     def _set_outcome(self, outcome: Outcome) -> None:
-        """The one place where the outcome changes."""
+        """Change the outcome; nothing else does."""
         self.outcome = outcome
 
     def attempt_started(self, ident: str) -> None:
-        """One more try begins, to the server of that identifier."""
+        """An attempt to the server with this id begins."""
         self.tried.append(ident)
         self.in_flight += 1
         self._set_outcome(Outcome.SENT)
 
     def attempt_ended(self, ending: Ending) -> None:
-        """One of its tries has ended."""
+        """One of its attempts has ended."""
         self.in_flight -= 1
         if ending in ARRIVED:
             self.arrivals += 1
@@ -67,26 +65,26 @@
             self._set_outcome(Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN)
 
     def may_retry(self) -> bool:
-        """Whether another server may get it, as far as running twice and the route's `max_tries` go."""
+        """Whether another attempt is allowed by `max_tries` and can't run an effect twice."""
         return self.arrivals + self.in_flight < self.max_tries and (self.repeatable or not self.may_have_run)
 
     def known_not_run(self) -> bool:
-        """Whether the client may be told that it has not run and never will."""
+        """Whether the client may be told that the request has not run and never will."""
         return not self.may_have_run and self.in_flight == 0
 
 
 class RetryBudget:
-    """Further tries of one service that this process may make: its part of the budget of all.
+    """This process's part of a service's retry budget; one token pays for one further attempt.
 
-    Over any window the spent tokens are at most what was held at its begin and what is earned in it: 2 x 0.45
-    of `retry_extra` / n and of `retry_ratio` x the requests of this window and of the one before.
+    The tokens spent in any window are at most those held at its start plus those earned in it: 2 x 0.45 of
+    `retry_extra` / n, and of `retry_ratio` x the requests of this window and the one before.
     """
 
     def __init__(self, bounds: Bounds, now: float) -> None:
         self.bounds = bounds
-        self.fixed = 0.5  # tokens, of retry_extra
-        self.earned = 0.5  # of own requests
-        self.requests = 0.0  # in a window, fading
+        self.fixed = 0.5  # tokens from retry_extra
+        self.earned = 0.5  # tokens from this process's requests
+        self.requests = 0.0  # of the last window, decaying exponentially
         self.updated_at = now
 
     def _fill(self, now: float, n: int) -> None:
@@ -98,13 +96,17 @@
         self.earned = min(self.earned, max(0.5, MAX_HELD_SHARE * self.bounds.retry_ratio * self.requests))
 
     def record_request(self, now: float, n: int) -> None:
-        """A client's request for the service earns a part of a try."""
+        """A client's request for the service earns a fraction of a token."""
         self.requests += 1.0
         self.earned += EARNED_SHARE * self.bounds.retry_ratio
         self._fill(now, n)
 
     def spend(self, now: float, n: int, hedge: bool = False) -> bool:
-        """Pay for one more arrival at the service."""
+        """Pay for one further attempt; returns False if the budget does not allow it.
+
+        :param n: the number of processes that share the budget
+        :param hedge: whether it is a second copy of a silent request
+        """
         self._fill(now, n)
         if self.fixed + self.earned < (1.0 + HEDGE_RESERVE if hedge else 1.0):
             return False
--- a/millfront/dataplane/router.py
+++ b/millfront/dataplane/router.py
@@ -1,5 +1,5 @@
-"""Which connection a try goes out on: asked for the chosen server, and again just before the request is
-written, when the server, its zone or the request may not be allowed any more."""
+"""Maps a chosen server to a pool member, and checks again just before the request is written: by then the
+server, its zone or the request may no longer be allowed."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -11,34 +11,34 @@
 
 
 class Router:
-    """Route, for the flows: asked again just before a request is written."""
+    """The routing callback of server-side flows (`MemberRouter` in `millfront.node.stages.send`)."""
 
     def __init__(self, proxy: "Proxy") -> None:
         self.proxy = proxy
 
     def __call__(self, backend: Any) -> PoolMember:
-        """The member for a chosen server.
+        """The pool member of a chosen server.
 
-        :raises Ended: with `Ending.NOT_SENT`; it is unknown, or not ready
+        :raises Ended: with `Ending.NOT_SENT`, if the server is unknown or not ready
         """
         member = self.proxy.members.get(backend)
         if member is None:
-            raise Ended(Ending.NOT_SENT, "no such server")
+            raise Ended(Ending.NOT_SENT, f"unknown server {backend}")
         self.check(member)
         return member
 
     def check(self, member: PoolMember, flow: Any = None) -> None:
-        """Refuse a member that is not ready, or a request that is no longer allowed to it.
+        """Refuse a member that is not ready, or a request that may no longer be sent to it.
 
         :raises Ended: with `Ending.NOT_SENT`; nothing was written
         """
         if not self.proxy.gatekeeper.server_list.in_time(self.proxy.now()):
-            raise Ended(Ending.NOT_SENT, "the list of servers is too old")
+            raise Ended(Ending.NOT_SENT, "the list of servers is outdated")
         if not member.ready:
-            raise Ended(Ending.NOT_SENT, f"{member.id} is draining or gone")
+            raise Ended(Ending.NOT_SENT, f"server {member.id} is draining or gone")
         if flow is None:
             return
         if not self.proxy.still_allowed(flow.opened):
-            raise Ended(Ending.NOT_SENT, "not allowed any more")
+            raise Ended(Ending.NOT_SENT, "the configuration in force no longer allows the request")
         if self.proxy.in_evacuated_zone(flow):
-            raise Ended(Ending.NOT_SENT, f"the zone of {member.id} is evacuated")
+            raise Ended(Ending.NOT_SENT, f"the zone of server {member.id} is evacuated")
