--- a/millfront/dataplane/proxy.py
+++ b/millfront/dataplane/proxy.py
@@ -1,8 +1,7 @@
-"""The proxy (data plane): takes a request, admits it, has a server chosen, sends it on and relays the answer.
+"""The proxy: parses and admits a request, has a server chosen, forwards the request and relays the answer.
 
-Reading and writing HTTP/1.1, connections of both sides and long bodies are the present program's
-(`millfront.node`); decisions are taken in `admission`, `load_balancer` and `retries`. This module ties them
-to the loop.
+`millfront.node` reads and writes HTTP/1.1 and handles connections and long bodies; `admission`,
+`load_balancer` and `retries` take the decisions. This module connects them to the event loop.
 """
 
 import asyncio
@@ -44,25 +43,21 @@
 TENANT, TARGET = b"millfront-tenant-name", b"millfront-target-instance"
 SEAL, NOT_RUN, LOAD = b"millfront-server-seal", b"millfront-not-executed", b"millfront-server-load"
 OWN_FIELDS = (b"authorization", DEADLINE, TENANT, TARGET)
-CONNECT_TIMEOUT_US = 350_000  # several ways there and back: a server that is dark says nothing
-KEEPALIVE_US = 16_000_000  # halved by Members: below what servers let connections lie idle
-HOLD_SHARE = 0.22  # of the target time that a request may wait for a server that takes it
+CONNECT_TIMEOUT_US = 350_000  # several round trips; an unreachable server does not answer at all
+KEEPALIVE_US = 16_000_000  # halved by Members, to stay below the idle timeouts of servers
+HOLD_SHARE = 0.22  # of the target time: the longest wait for a server that can take the request
 HOLD_RETRY_S = 0.04
-HEDGE_TARGET_SHARE = (
-    0.5  # of the target time after which a repeatable request that is silent gets a second server
-)
-HEDGE_SERVICE_TIMES = 2.5  # and of its service's mean time
-RESERVED_SOCKETS = 300  # files, the system's own connections, operators and clients that ask where to go
-RETRY_AFTER_S = (
-    0.4  # a client that comes to one that is out of touch with the register is told to wait so long
-)
-ADMIT_SHARE = 0.2  # of the target time that a request may wait for a token
-RETRY_AFTER_JITTER = 0.3  # of Retry-After, so that those refused together don't come again together
+HEDGE_TARGET_SHARE = 0.5  # of the target time without an answer: a repeatable request is hedged
+HEDGE_SERVICE_TIMES = 2.5  # but not before this many mean service times of its service
+RESERVED_SOCKETS = 300  # for files, internal connections, operators and clients that resolve addresses
+RETRY_AFTER_S = 0.4  # told to clients while this process is out of touch with the register
+ADMIT_SHARE = 0.2  # of the target time: the longest wait for a token
+RETRY_AFTER_JITTER = 0.3  # of Retry-After, so that clients refused together don't return together
 FLOW_NUMBERS = itertools.count(1)
 
 
 class Proxy:
-    """Clients' side and servers' side of one process."""
+    """The client side and the server side of one process."""
 
     def __init__(self, gatekeeper: "Gatekeeper", seed: int, now: Callable[[], float]) -> None:
         settings = gatekeeper.settings
@@ -85,27 +80,27 @@
             self.server_fields,
         )
         self.send.rest_s = 3.0
-        self.send.part_may_run = True  # servers begin work when they like
+        self.send.part_may_run = True  # a server may run a request that it has received in part
         self.server = VirtualServer(self.clock, self, self.parse_request, self.admit, None, sockets * 2 // 3)
         self.server.room = Room(memory // ROOM_PART)
         self.server.may_promise = lambda request: request.progress.known_not_run()
         self.keyed = KeyedRequests(self, gatekeeper.operations.claims)
         self.retry_budgets: dict[str, RetryBudget] = {}
-        self.answer_sizes: dict[str, float] = {}  # by route: bytes of an answer
+        self.answer_sizes: dict[str, float] = {}  # mean bytes of an answer, by route
         self.open_requests = 0
         gatekeeper.relisted = self.on_servers_changed
         gatekeeper.changed = self.on_configuration_changed
-        self.on_configuration_changed()  # what the disk had is in force already
+        self.on_configuration_changed()  # the configuration loaded from disk is already in force
 
-    # ---- what the gatekeeper tells -------------------------------------------------------------------
+    # ---- callbacks of the gatekeeper -----------------------------------------------------------------
 
     def on_servers_changed(self) -> None:
-        """The servers have changed."""
+        """Apply a changed list of servers."""
         stopped = self.load_balancer.update_servers(self.gatekeeper.server_list.servers.values())
         for server in self.gatekeeper.server_list.servers.values():
             if server.ident not in stopped:
                 known = self.members.get(server.ident)
-                detail = f"{server.ident} is ready again"
+                detail = f"server {server.ident} is ready again after it was draining or gone"
                 self.gatekeeper.invariants.check(
                     Invariant.SERVER_NOT_REVIVED, known is None or known.ready, detail
                 )
@@ -115,7 +110,7 @@
         self.update_cold_owners()
 
     def update_cold_owners(self) -> None:
-        """A cold server's trickle is one process's, in its region where there is one: a duty by key."""
+        """Only one process sends to a cold server: its owner by key, in the server's region if possible."""
         now, gatekeeper = self.now(), self.gatekeeper
         owned = {}
         for ident, server_state in self.load_balancer.server_states.items():
@@ -126,13 +121,13 @@
         self.load_balancer.cold_owned = owned
 
     def on_configuration_changed(self) -> None:
-        """Another configuration or evacuation is in force."""
+        """Apply a changed configuration or set of evacuated zones."""
         previous, self.load_balancer.evacuated = (
             self.load_balancer.evacuated,
             frozenset(self.gatekeeper.evacuated),
         )
         now = self.now()
-        for zone in previous - self.load_balancer.evacuated:  # its servers may have turned cold meanwhile
+        for zone in previous - self.load_balancer.evacuated:  # its servers may have become cold
             for server_state in self.load_balancer.server_states.values():
                 if server_state.server.zone == zone and self.gatekeeper.configuration is not None:
                     service = self.gatekeeper.configuration.services.get(server_state.server.service)
@@ -144,21 +139,21 @@
             idle = configuration.limits.idle_timeout
             self.server.at_rest_us = int(idle * 1e6)
             self.server.most_body = configuration.limits.max_body
-            self.server.keep_alive = b"timeout=%d" % (idle - 1.0) if idle >= 2.0 else b""  # a second to spare
+            self.server.keep_alive = b"timeout=%d" % (idle - 1.0) if idle >= 2.0 else b""  # 1 s of margin
             self.server.partial_us = int(configuration.limits.header_deadline * 1e6) + 300_000
 
-    # ---- a request comes ---------------------------------------------------------------------------
+    # ---- incoming requests -------------------------------------------------------------------------
 
     def parse_request(self, message: Message, arrived_us: int) -> ClientRequest:
-        """What decisions need of a request.
+        """Extract from a request what decisions need.
 
-        :raises NotTaken: it is not allowed, and why
+        :raises NotTaken: the request is not allowed; with status and reason
         """
         configuration = self.gatekeeper.configuration
         if configuration is None:
             raise NotTaken(503, "no configuration yet", RETRY_AFTER_S)
         assert isinstance(message.start, tuple)
-        fields = dict(reversed(message.fields))  # of several of a name the first counts
+        fields = dict(reversed(message.fields))  # the first field of a name counts
         host = fields.get(b"host", b"").decode("latin-1").lower().partition(":")[0]
         path = message.start[1].partition(b"?")[0].decode("latin-1")
         route = configuration.route_of(host, path)
@@ -187,14 +182,14 @@
         return request
 
     def _denied(self, status: int, reason: str) -> NotTaken:
-        """What is held here does not allow it. A client tries no more after that: where a newer version may
-        have been in force elsewhere for long, it is told to come again instead."""
+        """The rejection of a request that the configuration here does not allow. Clients take it as final, so
+        if a newer version may have been in force elsewhere for long, the client is told to retry instead."""
         if self.gatekeeper.sure(self.now()):
             return NotTaken(status, reason)
         return NotTaken(503, "out of touch with the registry", RETRY_AFTER_S)
 
     def admit(self, request: ClientRequest, caller: Caller) -> ClientRequest | None:
-        """Refused at once, or on its way."""
+        """Start a request or refuse it; returns None if it is already answered."""
         request.caller = caller
         now = self.now()
         self.open_requests += 1
@@ -216,15 +211,15 @@
         return None if request.over else request
 
     def _on_quota_decision(self, request: ClientRequest, decision: Decision) -> None:
-        """Of a request that waited for a token."""
-        if request.over:  # its client left meanwhile
+        """Handle the decision on a request that waited for a token."""
+        if request.over:  # its client has disconnected
             if decision.outcome is Outcome.ADMITTED and request.tenant is not None:
                 self.gatekeeper.admission.refund(request.tenant)
         elif self._apply_quota_decision(request, decision):
             self._start(request)
 
     def _apply_quota_decision(self, request: ClientRequest, decision: Decision) -> bool:
-        """Whether its tenant's quota lets it in; if not, it is answered."""
+        """Count a request that its tenant's quota admits, refuse others; returns whether it is admitted."""
         if decision.outcome is Outcome.ADMITTED:
             request.quota_counted = True
             return True
@@ -235,7 +230,7 @@
         return False
 
     def _start(self, request: ClientRequest) -> None:
-        """It is let in: on its way."""
+        """Start forwarding an admitted request."""
         request.service = self._choose_service(request.route)
         self.retry_budget(request.service).record_request(self.now(), self.gatekeeper.membership.count())
         if request.operation_key:
@@ -250,14 +245,14 @@
         return str(self.random.choices(names, weights)[0])
 
     def retry_budget(self, service: str) -> RetryBudget:
-        """The retry budget of a service; at its first use a new one with one try in it."""
+        """The retry budget of a service, created at its first use with one token in it."""
         found = self.retry_budgets.get(service)
         if found is None:
             found = self.retry_budgets[service] = RetryBudget(self.gatekeeper.settings.bounds, self.now())
         return found
 
     def still_allowed(self, request: ClientRequest) -> bool:
-        """Whether the configuration in force lets it go to the service it was meant for, with its key."""
+        """Whether the configuration in force still allows the request's key and its chosen service."""
         configuration = self.gatekeeper.configuration
         if configuration is None or request.over:
             return not request.over
@@ -272,14 +267,14 @@
         return route is not None and any(name == request.service for name, _ in route.arms)
 
     def in_evacuated_zone(self, flow: ServerSideFlow) -> bool:
-        """Whether the zone of the server that was chosen is evacuated by now."""
+        """Whether the chosen server's zone is being evacuated."""
         server_state = flow.opened.server_states.get(flow.number)
         return server_state is not None and server_state.server.zone in self.load_balancer.evacuated
 
-    # ---- tries ---------------------------------------------------------------------------------------
+    # ---- attempts ------------------------------------------------------------------------------------
 
     def dispatch(self, request: ClientRequest) -> None:
-        """Send it to a server, hold it a moment where none takes it, or give up."""
+        """Send the request to a server; hold it for a moment if none can take it, or give up."""
         now, configuration = self.now(), self.gatekeeper.configuration
         assert configuration is not None
         route = configuration.route_of(request.host, request.path)
@@ -290,7 +285,7 @@
             request.service = self._choose_service(route)
         service = configuration.services.get(request.service)
         homes, possible = self.homes(request)
-        if not possible:  # a home of the route and another of the tenant: no server may have it
+        if not possible:  # the homes of route and tenant don't overlap: no server may have it
             self.give_up(request)
             return
         server_state = None
@@ -319,7 +314,7 @@
             request.timer = asyncio.get_running_loop().call_later(after, self._hedge, request)
 
     def homes(self, request: ClientRequest) -> tuple[frozenset[str], bool]:
-        """Regions in which it may be served and stored (none named: all), and whether there can be any."""
+        """Regions in which it may be served and stored (empty: all), and whether any region is possible."""
         homes = request.route.homes
         if request.tenant is not None and request.tenant.homes:
             homes = homes & request.tenant.homes if homes else request.tenant.homes
@@ -327,7 +322,7 @@
         return homes, True
 
     def _hold(self, request: ClientRequest) -> None:
-        """No server takes it now."""
+        """No server can take the request now: retry soon, or give up."""
         if request.progress.in_flight:
             return
         held_us = self.clock.now() - request.arrived_us
@@ -344,7 +339,7 @@
             self.dispatch(request)
 
     def _hedge(self, request: ClientRequest) -> None:
-        """It is silent: a second server, where the retry budget allows a copy."""
+        """Send an unanswered request to a second server if the retry budget allows it."""
         request.timer = None
         if (
             request.over
@@ -354,7 +349,7 @@
         ):
             return
         if request.arrival.message.upload is not None:
-            return  # one at a time takes what follows of a long body
+            return  # only one attempt at a time can read the rest of a long body
         left_us = request.deadline_us - self.clock.now()
         if left_us > 100_000 and self.retry_budget(request.service).spend(
             self.now(), self.gatekeeper.membership.count(), True
@@ -362,7 +357,7 @@
             self.dispatch(request)
 
     def classify_answer(self, flow: ServerSideFlow, answer: Message) -> Ending:
-        """What an answer's head means, before a byte of it goes to the client."""
+        """Classify an answer by its head, before any byte of it goes to the client."""
         request: ClientRequest = flow.opened
         fields = dict(reversed(answer.fields))
         server_state = request.server_states.get(flow.number)
@@ -390,7 +385,7 @@
         self.load_balancer.record_load(self.now(), server_state, running, waiting, slots)
 
     def server_fields(self, flow: ServerSideFlow, member: PoolMember, message: Message) -> Fields:
-        """The header of a request as it goes to a server."""
+        """The header fields of a request as sent to a server."""
         request: ClientRequest = flow.opened
         left_ms = max(1, (flow.ends_us - self.clock.now()) // 1000)
         fields = passed_on(message, *OWN_FIELDS)
@@ -401,7 +396,7 @@
         return fields
 
     def begin_stream(self, flow: ServerSideFlow) -> bool:
-        """A long answer begins to go to the client."""
+        """Start streaming a long answer to the client; returns False if the client has an answer already."""
         request: ClientRequest = flow.opened
         if request.over or request.streaming_flow >= 0:
             return False
@@ -410,7 +405,7 @@
         return True
 
     def attempt_ended(self, flow: ServerSideFlow, ending: Ending, answer: Message | None) -> None:
-        """A try has ended."""
+        """Handle the end of an attempt."""
         request: ClientRequest = flow.opened
         request.flows.pop(flow.number, None)
         now = self.now()
@@ -422,7 +417,7 @@
             self._ended_after_client_left(request, ending, answer)
             return
         if request.streaming_flow not in (-1, flow.number):
-            return  # another's answer is, or was, the client's
+            return  # the client gets, or got, another attempt's answer
         if ending is Ending.SERVED:
             self._on_success(request, answer)
             return
@@ -434,11 +429,11 @@
         if ending is Ending.ERRORED and (request.progress.repeatable or not promises_not_run(answer)):
             request.fallback_answer = answer
         if request.progress.in_flight:
-            return  # another one is under way
+            return  # another attempt is in flight
         self.next_attempt(request, ending)
 
     def _on_success(self, request: ClientRequest, answer: Message | None) -> None:
-        """A server's success, whole (`answer`), or the end of one that went to the client as it came."""
+        """Handle a server's success: a whole `answer`, or the end of one streamed to the client."""
         if answer is None or request.streaming_flow >= 0:
             self.keyed.complete_unknown(request)
             self.finish(request)
@@ -456,7 +451,7 @@
     def _ended_after_client_left(
         self, request: ClientRequest, ending: Ending, answer: Message | None
     ) -> None:
-        """A try has ended whose client has gone: what became of its operation key is told all the same."""
+        """Handle the end of an attempt whose client has disconnected: its operation key is still settled."""
         if request.claim is None or request.progress.in_flight:
             return
         kept = answer if ending in (Ending.SERVED, Ending.ERRORED) and request.streaming_flow < 0 else None
@@ -483,11 +478,11 @@
             self.load_balancer.record_failure(now, server_state, 1)
 
     def next_attempt(self, request: ClientRequest, ending: Ending) -> None:
-        """Nothing is under way any more, and no answer came."""
+        """Retry or give up after the last attempt in flight ended without an answer."""
         message = request.arrival.message
         kept = message.upload is None or not message.upload.moved
         left_us = request.deadline_us - self.clock.now()
-        never_arrived = ending in (Ending.UNCONNECTED, Ending.NOT_SENT)  # it did not arrive anywhere
+        never_arrived = ending in (Ending.UNCONNECTED, Ending.NOT_SENT)  # at any server
         if kept and left_us > 50_000 and request.progress.may_retry() and not request.revoked:
             if never_arrived and request.progress.arrivals == 0 and len(request.progress.tried) < 5:
                 self.dispatch(request)
@@ -498,9 +493,9 @@
         self.give_up(request)
 
     def give_up(self, request: ClientRequest) -> None:
-        """The final answer is the system's own, or a server's error."""
+        """Answer with a server's error, or with an error of the gatekeeper."""
         if request.progress.in_flight:
-            return  # a copy could not go: the one under way ends it
+            return  # a hedge could not be sent: the attempt in flight decides
         if request.fallback_answer is not None:
             answer, request.fallback_answer = request.fallback_answer, None
             self.keyed.complete(request, answer, lambda: self._deliver(request, answer))
@@ -517,44 +512,46 @@
             self.refuse(request, 504 if late else 502, 0.0)
 
     def refund_quota(self, request: ClientRequest) -> None:
-        """It reaches no server: its tenant's quota gets back what it was let in for."""
+        """Uncount the request in its tenant's quota, because it reaches no server."""
         if request.quota_counted and request.tenant is not None:
             request.quota_counted = False
             self.gatekeeper.admission.refund(request.tenant)
 
     def refuse(self, request: ClientRequest, status: int, retry_after_s: float) -> None:
-        """Answer with the gatekeeper's own status.
+        """Answer with a status of the gatekeeper.
 
-        :param after_s: seconds of ``Retry-After``; 0: the answer has none
+        :param retry_after_s: seconds of ``Retry-After``; 0 for none
         """
         fields: Fields = [(b"Retry-After", b"%.3f" % retry_after_s)] if retry_after_s > 0 else []
         self.finish(request)
         request.caller.give(relay.own(status, b"", fields))
 
     def finish(self, request: ClientRequest) -> None:
-        """Its one answer is about to go out."""
+        """Mark the request as answered; its only answer is about to be sent."""
         request.over = True
         self.open_requests -= 1
         if request.timer is not None:
             request.timer.cancel()
             request.timer = None
 
-    # ---- what the clients' side tells ------------------------------------------------------------------
+    # ---- callbacks of the client side ------------------------------------------------------------------
 
     def whole(self, request: ClientRequest) -> None:
-        """The body's last byte has come."""
+        """The last byte of the body has arrived."""
         request.whole = True
         for flow in list(request.flows.values()):
             flow.whole()
 
     def leave(self, request: ClientRequest) -> None:
-        """The client went away. What may be repeated is given up; a request with an effect is left to end."""
+        """The client disconnected: cancel a repeatable or incomplete request, let others run to their end."""
         if request.over:
             return
         self.finish(request)
         for flow in list(request.flows.values()):
             if request.progress.repeatable or not request.whole:
                 flow.cancel()
-        held = request.claim is not None and request.claim.decided is None  # granted, and sent to none
+        held = (
+            request.claim is not None and request.claim.decided is None
+        )  # granted, but not sent to any server
         if held and not request.flows and request.progress.known_not_run():
             self.keyed.withdraw(request)
