--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -1,8 +1,9 @@
-"""A call goes out once and its answer to whoever asked: faults at every point between the choice of a
-connection and the answer's end (docs/design/call-once.md), several clients at once, over real sockets.
+"""A request is sent once, and its answer reaches the client that sent it: faults at every point between the
+choice of a connection and the end of the answer (docs/design/call-once.md), with several clients at once,
+over real sockets.
 
-A *case* is (point, fault) x kind of request x fresh or kept connection. What servers ran and said, and to
-which connections a request's bytes went, is written down; `History.faults` judges that alone.
+A *case* is (point, fault) x kind of request x new or reused connection. The test records what servers ran
+and answered and which connections carried a request's bytes; `History.faults` judges these records alone.
 """
 
 import asyncio
@@ -38,20 +39,20 @@
     "upload": b"pages " * 30_000,
     "idempotent-long": b"pages " * 50_000,
 }
-# Where a server, or the kernel between, does something wrong, and what.
+# By point: the faults that a server, a client, or the kernel in between causes there.
 CUT = ("reset", "close", "silence")
 POINTS: dict[str, tuple[str, ...]] = {
-    "accepted": ("reset", "close"),  # not a byte is read
-    "kernel": ("none", "part", "most"),  # so much of it is taken, then the connection is reset
-    "asked": (*CUT, "turned", "foreign"),  # its head has come, and the body not been read
+    "accepted": ("reset", "close"),  # before any byte is read
+    "kernel": ("none", "part", "most"),  # so much of the request is accepted, then the connection is reset
+    "asked": (*CUT, "turned", "foreign"),  # the head has been read, the body has not
     "run": (*CUT, "foreign", "nameless", "unsealed", "turned", "misdirected", "busy", "error"),
     "interim": CUT,  # after a 103
     "answer": (*CUT, "turned"),  # in the middle of the answer's head
     "body": CUT,  # in the middle of its body
-    "long": CUT,  # in the middle of a body too long to be gathered
-    "after": ("second", "late", "reset", "close"),  # the answer is whole
-    "client": ("leaves", "leaves midway", "stalls midway", "asks on"),  # the last: without its answer
-    "office": ("ends",),  # SIGTERM has come
+    "long": CUT,  # in the middle of a body too long to be buffered
+    "after": ("second", "late", "reset", "close"),  # the answer is complete
+    "client": ("leaves", "leaves midway", "stalls midway", "asks on"),  # the last: pipelines requests
+    "office": ("ends",),  # the gatekeeper drains, as after SIGTERM
 }
 CASES = [(point, fault) for point, faults in POINTS.items() for fault in faults]
 PROMISES = (408, 421, 429, 503)
@@ -59,27 +60,27 @@
 
 @dataclass
 class AttemptRecord:
-    """What is known of one attempt."""
+    """What is known about one attempt."""
 
     kind: str
-    written: list[int] = field(default_factory=list)  # connections that a byte of it was handed to
-    ran: list[bytes] = field(default_factory=list)  # the bodies that a server had whole when it began
-    turned: int = 0  # servers that said that they had not run it
+    written: list[int] = field(default_factory=list)  # connections that any of its bytes were written to
+    ran: list[bytes] = field(default_factory=list)  # the complete bodies with which servers began to run it
+    rejections: int = 0  # servers that answered that they had not run it
     answers: list[bytes] = field(default_factory=list)  # bodies of successes
-    told: tuple[int, bytes, bytes] | None = None  # the client's: status, head, body; None: it was cut
+    received: tuple[int, bytes, bytes] | None = None  # by the client: status, head, body; None: cut off
 
 
 class History(calls.Stage):
-    """A gatekeeper between scripted servers, and what happened."""
+    """A gatekeeper between scripted clients and servers, with a record of every attempt."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.said: dict[bytes, AttemptRecord] = {}
-        self.plans: dict[bytes, tuple[str, str]] = {}  # by attempt: at its first arrival
-        self.dead: list[str] = []  # what becomes of the next connections
+        self.attempts: dict[bytes, AttemptRecord] = {}
+        self.plans: dict[bytes, tuple[str, str]] = {}  # by attempt: (point, fault) of its first arrival
+        self.connection_faults: list[str] = []  # of the next accepted connections
         self.covered: set[tuple[str, str, str, bool]] = set()
-        self.reached: dict[bytes, asyncio.Event] = defaultdict(asyncio.Event)  # a server, by its head
-        self.left: dict[bytes, asyncio.Event] = defaultdict(asyncio.Event)  # by its client
+        self.reached: dict[bytes, asyncio.Event] = defaultdict(asyncio.Event)  # its head reached a server
+        self.left: dict[bytes, asyncio.Event] = defaultdict(asyncio.Event)  # its client disconnected
         self.number = 0
 
     # ---- servers -------------------------------------------------------------------------------
@@ -89,8 +90,8 @@
             late = b""
             try:
                 while True:
-                    if self.dead:
-                        return self.end(writer, self.dead.pop())
+                    if self.connection_faults:
+                        return self.end(writer, self.connection_faults.pop())
                     head = await reader.readuntil(b"\r\n\r\n")
                     late = await self.answer(head, reader, writer, late)
             except (asyncio.IncompleteReadError, ConnectionError):
@@ -111,16 +112,16 @@
     async def answer(
         self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, late: bytes
     ) -> bytes:
-        """Serve one request by its plan; returns what is sent in the place of the next one's answer."""
+        """Serve one request by its plan; returns bytes to send before the next request's answer."""
         name = calls.field(head, "Millfront-Attempt-Id")
-        said = self.said[name]
+        record = self.attempts[name]
         point, fault = self.plans.pop(name, ("", ""))
         self.reached[name].set()
 
         def foreign(more: str = calls.SEAL) -> bytes:
             return calls.answer(head, b"another's", more=more, own=b"f0f0")
 
-        async def does(fault: str) -> None:
+        async def inject(fault: str) -> None:
             if fault in ("reset", "close"):
                 self.end(writer, fault)
                 raise ConnectionError
@@ -129,13 +130,13 @@
                     pass
                 raise ConnectionError
             if fault == "turned":
-                said.turned += 1
+                record.rejections += 1
                 writer.write(calls.answer(head, status="503 Full", more="Millfront-Not-Executed: 1\r\n"))
             elif fault == "foreign":
                 writer.write(foreign())
 
         if point == "asked":
-            await does(fault)
+            await inject(fault)
         body = await body_of(head, reader)
         if point == "asked":  # answered already
             return late
@@ -144,7 +145,7 @@
         if point == "office":
             self.service.proxy.server.send_away(True)
         if point == "run" and fault in ("turned", "misdirected"):
-            said.turned += 1
+            record.rejections += 1
             how = (
                 {"status": "421 Not me"}
                 if fault == "misdirected"
@@ -152,24 +153,24 @@
             )
             writer.write(late + calls.answer(head, **how))  # type: ignore[arg-type]
             return b""
-        said.ran.append(body)
+        record.ran.append(body)
         size = 100_000 if point == "long" else 40
-        page = (b"page %d of %s " % (len(said.ran), name)) * size
+        page = (b"page %d of %s " % (len(record.ran), name)) * size
         page = page[:size]
         whole = calls.answer(head, page, more=calls.SEAL)
         ahead = whole.index(b"\r\n\r\n") + 4
         if point == "interim":
             writer.write(late + b"HTTP/1.1 103 Early Hints\r\n\r\n")
-            await does(fault)
+            await inject(fault)
         if point in ("answer", "body", "long"):
             writer.write(
                 late + whole[: {"answer": ahead // 2, "body": ahead + 7}.get(point, len(whole) // 2)]
             )
             await writer.drain()
-            await does(fault)
+            await inject(fault)
             return b""
         if point == "run":
-            await does(fault)
+            await inject(fault)
             other = {
                 "nameless": whole.replace(b"Millfront-Attempt-Id", b"X-Nothing"),
                 "unsealed": calls.answer(head, page),
@@ -178,13 +179,13 @@
             }
             writer.write(late + other.get(fault, b""))
             return b""
-        said.answers.append(page)
+        record.answers.append(page)
         writer.write(late + whole)
         if point == "after":
             if fault == "second":
                 writer.write(foreign())
             await writer.drain()
-            await does(fault)
+            await inject(fault)
             return foreign() if fault == "late" else b""
         return b""
 
@@ -193,24 +194,24 @@
     def open(self, kind: str, plan: tuple[str, str] | None = None) -> bytes:
         self.number += 1
         name = b"%08x" % self.number
-        self.said[name] = AttemptRecord(kind)
+        self.attempts[name] = AttemptRecord(kind)
         if plan is not None:
             if plan[0] == "accepted":
-                self.dead.append(plan[1])
+                self.connection_faults.append(plan[1])
             self.plans[name] = plan
         return name
 
     async def client(self, names: list[bytes], random: random.Random) -> None:
-        """One client: these requests one after another, on one connection as far as it lasts."""
+        """One client: sends these requests one after another, on one connection as long as it lasts."""
         host, _, port = self.plain.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         asked_on = False
         for name in names:
             if writer.is_closing() or reader.at_eof():
-                if asked_on:  # with the one before, and not answered
+                if asked_on:  # already sent with the previous request, but not answered
                     return
                 reader, writer = await asyncio.open_connection(host, int(port))
-            said, data = self.said[name], self.request(name, random)
+            record, data = self.attempts[name], self.request(name, random)
             _, fault = self.plans.get(name, ("", ""))
             try:
                 async with asyncio.timeout(6):
@@ -229,7 +230,7 @@
                     if name == names[0] or not asked_on:
                         writer.write(data)
                     head = await reader.readuntil(b"\r\n\r\n")
-                    said.told = int(head.split()[1]), head, await body_of(head, reader)
+                    record.received = int(head.split()[1]), head, await body_of(head, reader)
                     if calls.field(head, "Connection") == b"close":
                         writer.close()
             except (asyncio.IncompleteReadError, ConnectionError):
@@ -237,7 +238,7 @@
         writer.close()
 
     def request(self, name: bytes, random: random.Random) -> bytes:
-        kind = self.said[name].kind
+        kind = self.attempts[name].kind
         fields = f"Host: a.example\r\nMillfront-Attempt-Id: {name.decode()}\r\n{calls.KEY}"
         fields += "Millfront-Deadline-Ms: 400\r\n"
         body = KINDS[kind]
@@ -248,24 +249,24 @@
             fields += f"Content-Length: {len(body)}\r\n"
         return f"{'POST' if body else 'GET'} /{kind}/x HTTP/1.1\r\n{fields}\r\n".encode() + body
 
-    # ---- the judge -----------------------------------------------------------------------------
+    # ---- checks --------------------------------------------------------------------------------
 
     def faults(self) -> set[str]:
         found = set()
-        for name, said in self.said.items():
-            once = not said.kind.startswith("idempotent")
-            if once and (len(said.ran) > 1 or len(set(said.written)) - said.turned > 1):
+        for name, record in self.attempts.items():
+            once = not record.kind.startswith("idempotent")
+            if once and (len(record.ran) > 1 or len(set(record.written)) - record.rejections > 1):
                 found.add("sent twice")
-            if any(body != KINDS[said.kind] for body in said.ran):
+            if any(body != KINDS[record.kind] for body in record.ran):
                 found.add("changed on its way")
-            if said.told is None:
+            if record.received is None:
                 continue
-            status, head, body = said.told
+            status, head, body = record.received
             if 200 <= status < 300 and (
-                body not in said.answers or calls.field(head, "Millfront-Attempt-Id") != name
+                body not in record.answers or calls.field(head, "Millfront-Attempt-Id") != name
             ):
                 found.add("another's answer")
-            if once and status in PROMISES and (said.ran or len(set(said.written)) > said.turned):
+            if once and status in PROMISES and (record.ran or len(set(record.written)) > record.rejections):
                 found.add("a promise that does not hold")
         return found
 
@@ -281,8 +282,8 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Short times of what else takes seconds."""
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten timeouts that otherwise take seconds."""
     for name in ("FOUNDING_S", "SETTLED_S"):
         monkeypatch.setattr(reconfiguration, name, 0.0)
     monkeypatch.setattr(load_balancer, "FULL_PAUSE_S", 0.0)
@@ -292,7 +293,7 @@
 
 
 class UnlimitedBudget:
-    """A retry budget that has enough: what is looked at here is not the budget."""
+    """A retry budget that allows every attempt; the budget is not under test here."""
 
     def record_request(self, *_: Any) -> None: ...
     def spend(self, *_: Any) -> bool:
@@ -303,46 +304,46 @@
     proxy = made.service.proxy
     proxy.send.rest_s, proxy.server.partial_us = 0.1, 100_000
     monkeypatch.setattr(proxy, "retry_budget", lambda _: UnlimitedBudget())
-    for word in ("record_failure", "record_misdirected"):  # servers stay in, whatever they do
+    for word in ("record_failure", "record_misdirected"):  # servers are never ejected
         monkeypatch.setattr(proxy.load_balancer, word, lambda *_: None)
     asked = MemberConnection.request
     whole = Link.send
-    doomed: set[int] = set()
+    reset_links: set[int] = set()
 
     def request(self: MemberConnection, start: Any, fields: Any, *more: Any) -> None:
         name = next(value for key, value in fields if key == b"Millfront-Attempt-Id")
         point, fault = made.plans.get(name, ("", ""))
-        made.covered.add((point, fault, made.said[name].kind, self.idle_us > 0))
+        made.covered.add((point, fault, made.attempts[name].kind, self.idle_us > 0))
         asked(self, start, fields, *more)
 
     def sending(self: Link, data: bytes | bytearray) -> int:
         if not isinstance(self.owner, MemberConnection):
             return whole(self, data)
-        if id(self) in doomed:
+        if id(self) in reset_links:
             raise ConnectionResetError
         found = re.search(rb"\r\nMillfront-Attempt-Id: ([0-9a-f]+)\r\n", data[:2000])
-        said = made.said.get(found[1]) if found is not None else None
-        if found is None or said is None:
+        record = made.attempts.get(found[1]) if found is not None else None
+        if found is None or record is None:
             return whole(self, data)
         if made.plans.get(found[1], ("",))[0] == "kernel":
             _, fault = made.plans.pop(found[1])
-            doomed.add(id(self))
+            reset_links.add(id(self))
             if fault == "none":
                 raise ConnectionResetError
             data = data[: len(data) // 2 if fault == "part" else len(data) - 1]
         sent = whole(self, data)
-        said.written.append(id(self))
+        record.written.append(id(self))
         keep.append(self)
         return sent
 
-    keep: list[Link] = []  # so that no id comes twice
+    keep: list[Link] = []  # keeps links alive so that no id() is reused
     monkeypatch.setattr(MemberConnection, "request", request)
     monkeypatch.setattr(Link, "send", sending)
     return proxy
 
 
 def reset_servers(proxy: Proxy) -> None:
-    """Servers that are well thought of again."""
+    """Reset what the proxy has learned about servers."""
     proxy.load_balancer.service_times["shop"] = 0.004
     proxy.members.wear = Wear()
     for seen in proxy.load_balancer.server_states.values():
@@ -372,8 +373,8 @@
 async def run_cases(
     tmp_path: Path, patch: pytest.MonkeyPatch, seed: int, cases: list[tuple[str, str]]
 ) -> History:
-    """All kinds and both sorts of connections for these cases; six clients at once, each with two requests,
-    of which the first meets the fault."""
+    """Run these cases for all kinds of requests, on new and reused connections: six clients at once, each
+    with two requests, the first of which meets the fault."""
     chance = random.Random(seed)
     made = History()
     async with calls.stage(tmp_path, [], servers=3, made=made):
@@ -396,7 +397,7 @@
                 [made.open(kind, case), made.open(chance.choice(list(KINDS)))] for case, kind, _ in batch
             ]
             await asyncio.gather(*(made.client(names, chance) for names in pairs))
-            made.dead.clear()
+            made.connection_faults.clear()
             proxy.server.send_away(False)
     return made
 
@@ -408,7 +409,7 @@
 
 
 @pytest.mark.parametrize("point", POINTS)
-def test_a_call_goes_out_once_and_its_answer_to_whoever_asked(
+def test_a_request_is_sent_once_and_its_answer_reaches_the_client_that_sent_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, point: str
 ) -> None:
     cases = [case for case in CASES if case[0] == point]
@@ -416,15 +417,15 @@
     assert made.faults() == set()
     kinds = {(fault, kind) for _, fault, kind, _ in made.covered if fault}
     short = set(product(("leaves midway", "stalls midway"), ("idempotent", "effectful")))  # never sent
-    assert kinds | short == set(product(POINTS[point], KINDS)) | short  # each was met
+    assert kinds | short == set(product(POINTS[point], KINDS)) | short  # every case was covered
     assert point == "accepted" or {kept for _, fault, _, kept in made.covered if fault} == {False, True}
 
 
-# ---- the checker finds what is planted -----------------------------------------------------------------
+# ---- the checks find planted faults --------------------------------------------------------------------
 
 
-def sent_again(patch: pytest.MonkeyPatch) -> None:
-    """Another connection is tried though bytes of the request were with the kernel."""
+def resent_after_partial_write(patch: pytest.MonkeyPatch) -> None:
+    """Another connection is tried although the kernel had accepted bytes of the request."""
     whole = send.ServerSideFlow.broken
 
     def broken(self: send.ServerSideFlow, ended: Any) -> None:
@@ -434,8 +435,8 @@
     patch.setattr(send.ServerSideFlow, "broken", broken)
 
 
-def run_again(patch: pytest.MonkeyPatch) -> None:
-    """What may have run goes to another server."""
+def rerun_after_possible_execution(patch: pytest.MonkeyPatch) -> None:
+    """A request that may have run is sent to another server."""
     patch.setattr(RequestProgress, "may_retry", lambda self: self.arrivals + self.in_flight < self.max_tries)
 
 
@@ -458,7 +459,7 @@
     patch.setattr("millfront.dataplane.proxy.promises_not_run", lambda answer: False)
 
 
-def long_ones_copied(patch: pytest.MonkeyPatch) -> None:
+def long_bodies_hedged(patch: pytest.MonkeyPatch) -> None:
     whole = Proxy._hedge
 
     def copy(self: Proxy, request: ClientRequest) -> None:
@@ -475,8 +476,8 @@
     patch.setattr(Proxy, "_hedge", copy)
 
 
-def streams_mixed(patch: pytest.MonkeyPatch) -> None:
-    """An answer under way to the client keeps no other from it."""
+def streams_not_separated(patch: pytest.MonkeyPatch) -> None:
+    """An answer that is being streamed to the client does not keep another one from it."""
     whole = Proxy.attempt_ended
 
     def book(self: Proxy, flow: Any, ending: Ending, answer: Message | None) -> None:
@@ -490,13 +491,13 @@
 @pytest.mark.parametrize(
     ("plant", "case", "found"),
     [
-        (sent_again, ("kernel", "part"), "sent twice"),
-        (run_again, ("run", "reset"), "sent twice"),
+        (resent_after_partial_write, ("kernel", "part"), "sent twice"),
+        (rerun_after_possible_execution, ("run", "reset"), "sent twice"),
         (ids_not_compared, ("run", "foreign"), "another's answer"),
         (always_promised, ("answer", "close"), "a promise that does not hold"),
         (always_promised, ("client", "stalls midway"), "a promise that does not hold"),
         (promises_passed_on, ("run", "busy"), "a promise that does not hold"),
-        (long_ones_copied, ("run", "silence"), "changed on its way"),
+        (long_bodies_hedged, ("run", "silence"), "changed on its way"),
     ],
 )
 def test_a_planted_fault_is_found(
@@ -511,8 +512,8 @@
 
 
 def race_two_servers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> bool:
-    """Of two servers that have one request, the first begins a long answer that reaches the client, then the
-    second answers too: whether the client gets the first's, and the next request its own."""
+    """Two servers have the same request. The first starts streaming a long answer to the client, then the
+    second answers too. Returns whether the client gets the first answer, and the next request its own."""
 
     async def story() -> bool:
         begun, over = asyncio.Event(), asyncio.Event()
@@ -546,7 +547,7 @@
                 seen = proxy.load_balancer.server_states.values()
                 await made.until(lambda: sum(len(server.in_flight) for server in seen) == 1)
                 writer.write(f"{ask}2\r\n\r\n".encode())
-                for _ in range(3):  # another's, so that the second had its time
+                for _ in range(3):  # other requests, to give the second server time
                     assert (await made.ask("GET", "/idempotent/b7", more=calls.KEY))[0] == 200
                 over.set()
                 got += await reader.readexactly(len(page) - 1000)
@@ -558,10 +559,12 @@
     return asyncio.run(story())
 
 
-def test_a_second_answer_does_not_end_one_under_way(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_second_answer_does_not_end_a_streaming_one(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert race_two_servers(tmp_path, monkeypatch)
 
 
-def test_answers_that_mix_are_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    streams_mixed(monkeypatch)
+def test_mixed_answers_are_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    streams_not_separated(monkeypatch)
     assert not race_two_servers(tmp_path, monkeypatch)
--- a/tests/test_quota_processes.py
+++ b/tests/test_quota_processes.py
@@ -1,4 +1,4 @@
-"""Tenants' limits over 69 real processes, from what the servers saw."""
+"""Tenants' limits over 69 real processes, judged by the requests that the servers received."""
 
 import time
 from collections.abc import Iterator
@@ -10,9 +10,9 @@
 from millfront.rehearsal.system import Limit, System, document, until
 
 PROCESSES, DISKS = 69, 8
-STARTED_S = 60.0
-ANSWERED_S = 2.0
-CLUMP_S = 0.25
+START_TIMEOUT_S = 60.0
+ANSWER_TIMEOUT_S = 2.0
+BURST_INTERVAL_S = 0.25
 LIMITS = {"five": Limit(5.0, 5.0), "seven": Limit(7.0, 7.0)}
 RULE = QuotaRule()
 
@@ -22,17 +22,23 @@
     folder: Path = tmp_path_factory.mktemp("processes")
     with System(folder, PROCESSES, disks=DISKS, relays=False, servers=6) as running:
         text = document(1, LIMITS, limits=LIMITS)
-        running.settled(0, lambda number: running.put(number, text), STARTED_S)
+        running.settled(0, lambda number: running.put(number, text), START_TIMEOUT_S)
         ready = range(PROCESSES)
-        until("all are ready", lambda: all(running.ready(number) == 200 for number in ready), STARTED_S)
         until(
-            "all may be let in that is owed", lambda: all(filled(running, key) for key in LIMITS), STARTED_S
+            "all processes are ready",
+            lambda: all(running.ready(number) == 200 for number in ready),
+            START_TIMEOUT_S,
+        )
+        until(
+            "the core holds a full burst of tokens of each tenant",
+            lambda: all(has_burst_tokens(running, key) for key in LIMITS),
+            START_TIMEOUT_S,
         )
         yield running
 
 
-def filled(system: System, key: str) -> bool:
-    """Whether the members of the core together have a burst's tokens of that tenant."""
+def has_burst_tokens(system: System, key: str) -> bool:
+    """Whether the core members together have tokens for a full burst of the tenant."""
     answers = [system.call(number, "GET", "/v1/gatekeeper/tenants") for number in range(DISKS)]
     tokens = [answer.json()[f"of-{key}"]["tokens"] for answer in answers if answer.status == 200]
     return float(sum(tokens)) >= LIMITS[key].burst + DISKS
@@ -44,15 +50,15 @@
     connections = HeldConnections(system, log)
     assert connections.open() == PROCESSES
     connections.clump(key)
-    connections.read(ANSWERED_S)
+    connections.read(ANSWER_TIMEOUT_S)
     connections.close()
     ran = most_in_window(log.runs(key, system.peer.seen.attempts), RULE.window_s)
     limit = LIMITS[key]
     assert limit.burst <= ran <= RULE.allowed(limit.rate, limit.burst)
 
 
-def test_clumps_through_a_restart_of_all_69_processes_keep_to_the_limit(system: System) -> None:
-    """All are killed in one moment and started again, while clients ask each as soon as it is there."""
+def test_bursts_through_a_restart_of_all_69_processes_keep_to_the_limit(system: System) -> None:
+    """All processes are killed at once and started again, while clients send to each as soon as it is up."""
     log = SentLog()
     connections = HeldConnections(system, log)
 
@@ -62,7 +68,7 @@
             connections.open()
             for key in LIMITS:
                 connections.clump(key)
-            connections.read(CLUMP_S)
+            connections.read(BURST_INTERVAL_S)
 
     clumps(2.0)
     system.lose_power(range(PROCESSES))
@@ -75,4 +81,4 @@
         runs = log.runs(key, attempts)
         last = max(run.sent for run in runs)
         assert most_in_window(runs, RULE.window_s) <= RULE.allowed(limit.rate, limit.burst)
-        assert sum(run.sent > last - 3.0 for run in runs) >= limit.rate, "what is owed is let in again"
+        assert sum(run.sent > last - 3.0 for run in runs) >= limit.rate, "the tenant's rate is admitted again"
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,5 +1,5 @@
-"""Tokens of tenants' allowances: shares sum to 1 at most through any changes of the core, buckets grant what
-they were given, and a request gets its token or is told when to come again."""
+"""Tenant quotas: shares sum to at most 1 through any changes of the core, buckets grant no more than their
+limits allow, and a request gets a token or a time to retry."""
 
 import random
 from collections.abc import Callable
@@ -33,7 +33,7 @@
     return Tenant(name, frozenset(), None, rate, burst, frozenset())
 
 
-# ---- what may be granted -------------------------------------------------------------------------
+# ---- allowances ----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("rate", [0.2, 1.0, 5.0, 30.0, 1000.0])
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize(
     "bounds", [Bounds(), Bounds(rate_excess=0.0, rate_extra=0.0), Bounds(rate_window=1.0)]
 )
-def test_an_allowance_fits_into_the_rule_and_gives_what_is_owed(
+def test_an_allowance_satisfies_the_rule_and_grants_the_tenant_s_rate_and_burst(
     rate: float, burst: float, bounds: Bounds
 ) -> None:
     tenant = limited_tenant(rate, burst)
@@ -53,26 +53,25 @@
         assert allowance.rate >= rate
 
 
-# ---- shares: a search over changes of the core ---------------------------------------------------
+# ---- shares: random search over changes of the core ----------------------------------------------
 
 
 @dataclass
 class Member:
-    """One process of the model: what it holds of the core, and the lease that it has."""
+    """One process of the model: the core that it knows, and its lease."""
 
     name: str
     share: ShareOfAllowance
     core: Core | None = None
     lease_until: float = -1.0
-    kept: StoredShare | None = None
+    stored: StoredShare | None = None
     up: bool = True
 
 
 @dataclass
 class Cluster:
-    """Replicas that answer in their own epoch only, and subscribers that read a quorum of them; a change of
-    the core goes through one of both sets, as in reconfiguration. Messages come or not, as the dice have
-    it."""
+    """Replicas that answer only in their own epoch, and subscribers that read a quorum of them. A change of
+    the core passes through an epoch with both sets, as in reconfiguration. Messages are lost at random."""
 
     random: random.Random
     now: float = 0.0
@@ -87,14 +86,14 @@
             self.members[name] = Member(name, ShareOfAllowance(name, LEASE_S, None), core)
 
     def is_written(self, core: Core) -> bool:
-        """Whether majorities of all its sets hold it, or a later one."""
-        had = [name for name, held in self.replicas.items() if held.epoch >= core.epoch]
-        return core.majority(had)
+        """Whether majorities of all its member sets hold it or a later one."""
+        holders = [name for name, held in self.replicas.items() if held.epoch >= core.epoch]
+        return core.majority(holders)
 
     def change_core(self) -> None:
-        """The next step of a change of the core, or a new change."""
+        """Take the next step of a change of the core, or begin a change."""
         newest = max(self.replicas.values(), key=lambda core: core.epoch)
-        if not self.is_written(newest):  # somebody goes on writing it
+        if not self.is_written(newest):  # some process continues to write it
             self.replicas[self.random.choice(sorted(newest.all))] = newest
             return
         if newest.old:
@@ -107,7 +106,7 @@
         self.replicas[self.random.choice(sorted(later.all))] = later
 
     def read_replicas(self, member: Member) -> None:
-        """It asks some of the replicas that it knows, and learns what they hold."""
+        """The member reads some of the replicas that it knows."""
         assert member.core is not None
         answered = []
         for name in member.core.all:
@@ -126,13 +125,13 @@
     def update(self, member: Member, answered: list[str]) -> None:
         assert member.core is not None
         if member.share.update(self.now, member.core, member.core.majority(answered)):
-            member.kept = member.share.stored() if self.random.random() < 0.8 else member.kept
+            member.stored = member.share.stored() if self.random.random() < 0.8 else member.stored
 
     def restart(self, member: Member) -> None:
-        """It has lost what it had in memory, and knows the core that its disk has."""
+        """The member loses its memory and knows only the core on its disk."""
         if self.random.random() < 0.3:
-            member.kept = None  # its disk is lost
-        member.share = ShareOfAllowance(member.name, LEASE_S, member.kept)
+            member.stored = None  # its disk is lost
+        member.share = ShareOfAllowance(member.name, LEASE_S, member.stored)
         member.lease_until = -1.0
         member.core = self.replicas[member.name]
         self.update(member, [])
@@ -149,14 +148,14 @@
             self.read_replicas(member)
 
     def granted_shares(self) -> float:
-        """The sum of the shares that may be granted now."""
+        """The sum of the shares that may be granted now, by members with a lease."""
         return sum(
             member.share.in_force() for member in self.members.values() if self.now < member.lease_until
         )
 
 
 def search_core_changes(seeds: range, steps: int = 300) -> tuple[float, int]:
-    """The largest sum of shares that was met, and how many cores there were."""
+    """The largest sum of shares found, and the number of core epochs."""
     largest, cores = 0.0, 0
     for seed in seeds:
         cluster = Cluster(random.Random(seed))
@@ -178,7 +177,7 @@
     ("name", "planted"),
     [
         ("_growth_delay_s", 0.0),  # a share grows as soon as a majority has answered
-        ("_settled", True),  # and before
+        ("_settled", True),  # a share grows even before that
     ],
 )
 def test_shares_that_grow_too_early_are_found(
@@ -200,7 +199,7 @@
     assert search_core_changes(range(300))[0] > 1.01
 
 
-def test_a_member_that_restarts_in_the_same_epoch_goes_on_and_one_that_has_missed_an_epoch_waits() -> None:
+def test_a_restarted_member_keeps_its_share_in_the_same_epoch_and_waits_after_a_missed_one() -> None:
     core = Core(FOUNDED + 4, {name: name for name in "abcd"})
     goes_on = ShareOfAllowance("a", LEASE_S, StoredShare(core.epoch, 0.25))
     assert not goes_on.update(0.0, core, False)
@@ -213,16 +212,17 @@
     assert missed.in_force() == 0.25 and missed.stored() == StoredShare(core.epoch, 0.25)
 
 
-def test_quorums_are_what_the_wait_of_a_share_stands_on() -> None:
-    """Where a majority answers in an epoch, too few are left to renew a lease in an earlier one."""
+def test_a_majority_in_an_epoch_rules_out_lease_renewals_in_earlier_ones() -> None:
+    """Once a majority answers in an epoch, too few replicas are left to renew a lease in an earlier one. The
+    growth delay of a share depends on that."""
     assert all(n - write_quorum(n) < read_quorum(n) for n in range(1, 12))
 
 
 # ---- buckets -------------------------------------------------------------------------------------
 
 
-def test_whatever_befalls_a_bucket_it_grants_no_more_than_its_largest_limits_give() -> None:
-    """Chains of changed limits, a tenant that comes and goes, and shares that grow and shrink."""
+def test_a_bucket_never_grants_more_than_its_largest_limits_allow() -> None:
+    """Random sequences of changed limits, a tenant that comes and goes, and shares that grow and shrink."""
     for seed in range(40):
         rng, granted = random.Random(seed), list[tuple[float, float]]()
         granter, rates = Granter(Bounds(), 0.0), (5.0, 10.0, 0.5)
@@ -249,7 +249,7 @@
             assert inside <= most.capacity + 5.0 * most.rate + 1e-9
 
 
-def test_buckets_begin_full_at_the_very_first_start_alone() -> None:
+def test_buckets_start_full_only_at_the_very_first_start() -> None:
     tenant = limited_tenant(5.0, 5.0)
     for full in (True, False):
         granter = Granter(Bounds(), 0.0)
@@ -259,7 +259,7 @@
         assert grant is not None and grant.tokens == (5.0 if full else 0.0)
 
 
-def test_a_small_bucket_grants_parts_of_a_token() -> None:
+def test_a_small_bucket_grants_fractions_of_a_token() -> None:
     bucket = TokenBucket(Allowance(0.4, 0.1), 0.4, 0.0)
     grant = bucket.take(0.0, 1.0)
     assert grant.tokens == pytest.approx(0.4) and grant.retry_after_s > 0.0
@@ -279,7 +279,7 @@
 
 @dataclass
 class Process:
-    """A process that asks: questions go nowhere until the test answers them."""
+    """A requesting process: token requests are recorded, and only the test answers them."""
 
     names: list[str]
     local_grant: Grant | None = None
@@ -303,7 +303,7 @@
         return self.now
 
     def wait(self, seconds: float) -> None:
-        """Time passes, and what is due is called."""
+        """Advance the time and run the timers that are due."""
         ends = self.now + seconds
         while due := [timer for timer in self.timers if timer[0] <= ends]:
             first = min(due, key=lambda timer: timer[0])
@@ -314,13 +314,13 @@
 
 
 def request_token(process: Process, requester: TokenRequester, wait: float = 0.2) -> list[Decision]:
-    """One request; the list holds what becomes of it."""
+    """One client's request; the list will hold its decision."""
     decisions: list[Decision] = []
     decision = requester.request(process.now, "t", wait, 0, decisions.append)
     return [decision] if decision is not None else decisions
 
 
-def test_the_nearest_granter_is_asked_and_its_token_lets_the_request_in() -> None:
+def test_the_nearest_granter_is_asked_and_its_token_admits_the_request() -> None:
     process = Process(["p", "q"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
     decisions = request_token(process, requester)
@@ -330,7 +330,7 @@
     assert decisions == [ADMITTED]
 
 
-def test_a_granter_that_is_empty_is_passed_over_until_it_may_have_a_token_again() -> None:
+def test_an_empty_granter_is_skipped_until_it_may_have_a_token_again() -> None:
     process = Process(["p", "q"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
     decisions = request_token(process, requester)
@@ -344,7 +344,7 @@
     assert process.sent[2][0] == "q"
 
 
-def test_one_question_is_under_way_for_all_that_wait() -> None:
+def test_one_token_request_is_in_flight_for_all_waiting_requests() -> None:
     process = Process(["p"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
     waiting = [request_token(process, requester) for _ in range(4)]
@@ -355,7 +355,7 @@
     assert [decisions[0].outcome for decisions in waiting] == [Outcome.ADMITTED] * 3 + [Outcome.EXHAUSTED]
 
 
-def test_a_silent_granter_is_asked_the_same_again_and_then_left_out_for_a_while() -> None:
+def test_a_silent_granter_gets_the_same_request_again_and_is_then_skipped_for_a_while() -> None:
     process = Process(["p", "q"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
     request_token(process, requester)
@@ -371,7 +371,7 @@
     assert process.sent[-1][0] == "p"
 
 
-def test_a_token_that_comes_late_lets_in_nothing_once_it_is_void() -> None:
+def test_a_token_that_arrives_after_its_expiry_admits_nothing() -> None:
     for late, outcome in ((0.9 * LIFE_S, Outcome.ADMITTED), (1.1 * LIFE_S, None)):
         process = Process(["p"])
         requester = TokenRequester(process, "me", LIFE_S, 0)
@@ -382,7 +382,7 @@
         assert [decision.outcome for decision in decisions] == ([outcome] if outcome else [])
 
 
-def test_a_granter_that_is_slow_is_waited_for_where_nobody_else_is_left() -> None:
+def test_a_slow_granter_is_waited_for_if_no_other_is_left() -> None:
     process = Process(["p"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
     in_time, too_late = request_token(process, requester), request_token(process, requester, wait=0.08)
@@ -394,7 +394,7 @@
     assert [decision.outcome for decision in too_late] == [Outcome.UNREACHABLE]
 
 
-def test_who_reaches_no_granter_refuses_within_its_time_and_says_when_to_come_again() -> None:
+def test_without_a_reachable_granter_a_request_is_refused_in_time_and_told_when_to_retry() -> None:
     process = Process(["p", "q", "r", "s"])
     requester = TokenRequester(process, "me", LIFE_S, 0)
     decisions = request_token(process, requester, wait=0.1)
@@ -404,7 +404,7 @@
     assert request_token(process, alone)[0].outcome is Outcome.UNREACHABLE
 
 
-def test_a_member_of_the_core_takes_its_own_tokens_at_once() -> None:
+def test_a_core_member_uses_its_own_tokens_at_once() -> None:
     process = Process(["me", "p"], local_grant=Grant(1.0, 0.0))
     requester = TokenRequester(process, "me", LIFE_S, 0)
     assert request_token(process, requester) == [ADMITTED] and not process.sent
@@ -413,7 +413,7 @@
     assert process.sent[0][0] == "p"
 
 
-def test_answers_to_nobody_and_messages_that_cannot_be_read_change_nothing() -> None:
+def test_unknown_replies_are_ignored_and_invalid_messages_are_rejected() -> None:
     process = Process(["p"])
     requester = TokenRequester(process, "me", LIFE_S, 5)
     requester.handle_reply(process.now, TokenReply(77, 9.0, 0.0))
