--- a/millfront/dataplane/client_request.py
+++ b/millfront/dataplane/client_request.py
@@ -1,5 +1,4 @@
-"""One client's request on its way through the data plane: what is known of it, and its state until its one
-answer. No I/O."""
+"""A client's request in the data plane: its properties, and its state until it is answered once. No I/O."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -12,26 +11,26 @@
 from millfront.node.stages.send import ServerSideFlow
 from millfront.operations.claims import PendingClaim
 
-ATTEMPT_ID = b"millfront-attempt-id"  # the client's; an answer bears that of its own request
+ATTEMPT_ID = b"millfront-attempt-id"  # chosen by the client; an answer carries the id of its request
 
 
-def promise(answer: Message | None) -> bool:
-    """Whether to the client this says that it has not run and never will, which a server says by
-    Millfront-Not-Executed alone."""
+def promises_not_run(answer: Message | None) -> bool:
+    """Whether the client takes this answer as a promise that its request has not run and never will. Servers
+    express that by Millfront-Not-Executed alone."""
     return answer is not None and answer.start in (408, 429, 503)
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """What the flows of the present program ask of a request."""
+    """The part of a request that server-side flows (`millfront.node`) read."""
 
     message: Message
     timeout_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
-    """The chosen server for one try, and its time limit in microseconds."""
+class AttemptTarget:
+    """The server chosen for one attempt, and the attempt's time limit in microseconds (0: the client's)."""
 
     backend: str
     timeout_us: int = 0
@@ -39,32 +38,32 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One client's request, open until its one answer."""
+    """A client's request, open until it is answered."""
 
     arrival: Arrival
-    attempt: bytes
+    attempt_id: bytes
     route: Route
     service: str
     host: str
     path: str
     key: str
     tenant: Tenant | None
-    came_us: int
+    arrived_us: int
     progress: RequestProgress
     caller: Any = None
     over: bool = False
     whole: bool = True
-    streams: int = -1
-    counted: bool = False
+    streaming_flow: int = -1
+    quota_counted: bool = False
     flows: dict[int, ServerSideFlow] = field(default_factory=dict)
-    seen: dict[int, ServerState] = field(default_factory=dict)
+    server_states: dict[int, ServerState] = field(default_factory=dict)
     timer: asyncio.TimerHandle | None = None
-    answer: Message | None = None  # a server's own error, to be relayed if nothing better comes
+    fallback_answer: Message | None = None  # a server's error, relayed if no attempt succeeds
     revoked: bool = False
     operation_key: bytes = b""
-    claim: PendingClaim | None = None  # of its operation key, from the claim until the end
+    claim: PendingClaim | None = None  # on its operation key, from the claim until the request ends
 
     @property
     def deadline_us(self) -> int:
-        """When the client's time limit ends, in microseconds on the proxy's clock."""
-        return self.came_us + self.arrival.timeout_us
+        """End of the client's time limit, in microseconds on the proxy's clock."""
+        return self.arrived_us + self.arrival.timeout_us
