--- a/millfront/node/__init__.py
+++ b/millfront/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real gatekeeper: sockets, timers and clocks round the decision module."""
+"""The gateway as a process: sockets, timers and clocks around the decision module."""
--- a/millfront/node/bodies.py
+++ b/millfront/node/bodies.py
@@ -1,40 +1,40 @@
-"""Bodies that are too long to be gathered: passed on as they come, each side read only as fast as the other
-takes it.
+"""Streaming of bodies that are too long to be buffered whole: forwarded as they arrive, each side read only
+as fast as the other one takes the data.
 
-A request's body is held up to one read (64 KiB) that the member's kernel has not taken, beside its beginning
-of 64 KiB at most. An answer may be held longer, so that its attempt ends and its member is free while a slow
-client still reads: up to a quarter of what the budget of all of them (BufferBudget) has left, and one read
-always. The number of answers under way is bounded (BodySlots), and the next one waits unread.
+Of a request body at most one read (64 KiB) is held that the member's kernel has not taken, besides its first
+64 KiB. More of a response may be held, so that its attempt ends and its member is free while a slow client
+still reads: up to a quarter of what is left of the budget for all responses (BufferBudget), and always one
+read. The number of responses streamed at once is limited (BodySlots); the next one waits unread.
 """
 
 from collections import deque
 from collections.abc import Callable
 from typing import Protocol
 
-BODY_BUFFER_BYTES = 64 * 1024  # bytes that one body always may hold: its beginning, then one read at a time
-BODIES_MEMORY_DIVISOR = 4  # of the memory, as 1/4: for bodies under way, each with what it always has
-RESPONSES_MEMORY_DIVISOR = 8  # of the memory, as 1/8: for what slow clients have not taken, beyond that
+BODY_BUFFER_BYTES = 64 * 1024  # that each body may always hold: its beginning, then one read at a time
+BODIES_MEMORY_DIVISOR = 4  # 1/4 of the memory is for streamed bodies, each with BODY_BUFFER_BYTES
+RESPONSES_MEMORY_DIVISOR = 8  # 1/8 of the memory is for what slow clients have not read beyond that
 
 
 class Source(Protocol):
-    """Whoever brings a body, and can be told to wait."""
+    """Produces a body; stays paused until resumed."""
 
     def resume(self) -> None:
-        """Bring more: what came is with the kernel."""
+        """Produce more: the kernel has taken what came before."""
 
     def abandon(self) -> None:
-        """Nobody takes the rest."""
+        """The rest of the body is not wanted."""
 
 
 class Sink(Protocol):
-    """Whoever passes a request's body on."""
+    """Forwards a request's body."""
 
     def write_body(self, data: bytes, last: bool) -> bool:
-        """Write it; False: bring no more until drained."""
+        """Write it. False: send no more until drained."""
 
 
 class BodySlots:
-    """How many bodies may be under way at once."""
+    """Limits how many bodies are streamed at once; waiters are served in order."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -42,7 +42,7 @@
         self._waiting: deque[Callable[[], None]] = deque()
 
     def acquire(self, start: Callable[[], None]) -> None:
-        """Call `start` now, or when it is its turn. Whoever has started gives its way back once."""
+        """Call `start` now or once a slot is free. Each started caller must call release() once."""
         if self.in_use < self.limit:
             self.in_use += 1
             start()
@@ -57,30 +57,30 @@
 
 
 class BufferBudget:
-    """For what slow clients have not taken yet of their answers."""
+    """Bytes of responses that slow clients have not read yet, over all clients."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.held = 0
 
     def allows_more(self, held: int) -> bool:
-        """Whether one that holds so much may hold more."""
+        """Whether a response that holds `held` bytes may hold more."""
         return held < max(1, (self.limit - self.held) // 4)
 
 
 class Upload:
-    """A request's body under way, from its client to the one attempt that takes it."""
+    """A request's body that is still arriving, from its client to the one attempt that takes it."""
 
     def __init__(self, source: Source, length: int | None) -> None:
         self.source = source
-        self.length = length  # None: it is told by its end
+        self.length = length  # in bytes; None: unknown until its end
         self.ended = False
-        self.forwarded = False  # something was passed on that is not kept
+        self.forwarded = False  # some of it was passed on and is no longer held here
         self._held = b""
         self._sink: Sink | None = None
 
     def put(self, data: bytes, last: bool) -> bool:
-        """What came next; False: bring no more until resumed."""
+        """Take the next bytes. False: bring no more until resumed."""
         self.ended = last
         if self._sink is None:
             self._held += data
@@ -89,7 +89,7 @@
         return self._sink.write_body(data, last)
 
     def attach(self, sink: Sink) -> None:
-        """The sink has written the beginning, and takes the rest from here on."""
+        """The sink has written the beginning of the body and takes the rest from now on."""
         self._sink = sink
         held, self._held = self._held, b""
         if held or self.ended:
--- a/millfront/node/drain.py
+++ b/millfront/node/drain.py
@@ -1,30 +1,29 @@
-"""Whether clients are wanted here: a planned end, the operators' drain. No I/O, no clock.
+"""Whether this gateway takes clients: graceful shutdown and the operators' drain. No I/O, no clock.
 
-Each reason to send clients away is set and lifted by itself; what is done about them follows from those in
-force and from how long there has been one.
+Each reason to send clients away is set and lifted independently. What is done about clients follows from the
+reasons in force and from how long there has been one.
 """
 
 from enum import Flag
 
-ACCEPT_PERIOD_US = (
-    420_000  # the front brings new connections for so long, and keeps the ones it has until told
-)
-IDLE_CLOSE_DELAY_US = 100_000  # later: answers have said `Connection: close` meanwhile
+# The load balancer in front brings new connections for this long, and keeps those it has until told.
+ACCEPT_PERIOD_US = 420_000
+IDLE_CLOSE_DELAY_US = 100_000  # after ACCEPT_PERIOD_US; responses say `Connection: close` meanwhile
 
 
 class Reason(Flag):
     NONE = 0
     OPERATORS = 1  # drain-on, until drain-off
-    END = 2  # SIGTERM: for good
+    END = 2  # SIGTERM; cannot be cancelled
 
 
 class Drain:
-    """Events are the methods that change it; every question names the time."""
+    """State of a drain. It is told of events and given the current time with each question."""
 
     def __init__(self) -> None:
         self.reasons = Reason.NONE
-        self.since_us = 0  # when the first of the reasons in force came up
-        self.end_planned_us = 0  # when the end was planned
+        self.since_us = 0  # when the first of the reasons in force was added
+        self.end_planned_us = 0  # when END was added
 
     def add_reason(self, reason: Reason, now_us: int) -> None:
         if not self.reasons:
@@ -34,9 +33,9 @@
         self.reasons |= reason
 
     def remove_reason(self, reason: Reason) -> None:
-        """:raises ValueError: an end can't be called off"""
+        """:raises ValueError: END cannot be removed"""
         if reason & Reason.END:
-            raise ValueError("a planned end is for good")
+            raise ValueError("a shutdown cannot be cancelled")
         self.reasons &= ~reason
 
     @property
@@ -45,17 +44,17 @@
 
     @property
     def accepts_clients(self) -> bool:
-        """What the front is told: whether it is to bring clients."""
+        """The readiness that the load balancer in front sees: whether to bring clients here."""
         return not self.reasons
 
     def closes_after_response(self, now_us: int) -> bool:
-        """Answers ask clients to go elsewhere."""
+        """Whether responses ask clients to go elsewhere (`Connection: close`)."""
         return bool(self.reasons) and now_us >= self.since_us + ACCEPT_PERIOD_US
 
     def closes_idle(self, now_us: int) -> bool:
-        """Connections without a request are closed."""
+        """Whether connections without a request are closed."""
         return bool(self.reasons) and now_us >= self.since_us + ACCEPT_PERIOD_US + IDLE_CLOSE_DELAY_US
 
     def stops_accepting(self, now_us: int) -> bool:
-        """Nobody new is brought any more. Counted from the signal, however long a drain was on before."""
+        """Whether no new clients are brought any more. Counted from the signal, even after a long drain."""
         return self.ending and now_us >= self.end_planned_us + ACCEPT_PERIOD_US + IDLE_CLOSE_DELAY_US
--- a/millfront/node/endings.py
+++ b/millfront/node/endings.py
@@ -1,4 +1,5 @@
-"""Every way in which a connection, or one exchange on it, can end; and what each means to the module."""
+"""All the ways in which a connection, or one exchange on it, can end, and the outcome each one has for the
+decision module."""
 
 from enum import Enum
 
@@ -6,34 +7,35 @@
 
 
 class Ending(Enum):
-    SERVED = "answered well"
+    SERVED = "answered successfully"
     ERRORED = "answered with an error"
-    NOT_STARTED = "answered that it was never started"
-    CONNECT_FAILED = "did not come up, or broke before the last byte was written"
-    BROKEN = "broke or ended after the last byte was written"
-    MALFORMED = "answered with something that is no answer"
+    NOT_STARTED = "answered that the request was never started"
+    CONNECT_FAILED = "did not come up, or broke before the last byte of the request was written"
+    BROKEN = "broke or ended after the last byte of the request was written"
+    MALFORMED = "answered with an invalid message"
     TIMED_OUT = "did not answer in time"
-    CANCELLED = "given up by the module"
-    NOT_SENT = "never tried: the request was over, its time was up, or nobody was there to send it to"
-    # Of a client's connection alone: the module is told of a request that is gone, or of nothing.
-    CLIENT_LEFT = "left by the client with a request open"
+    CANCELLED = "cancelled by the decision module"
+    NOT_SENT = "never tried: the request was over, its time was up, or no member was available"
+    # Only for a client's connection: the module is told that its request is gone, or nothing.
+    CLIENT_LEFT = "closed by the client with a request open"
     CLOSED = "closed between exchanges"
 
 
-# 500, a reset and a time-out may have run: FULL, CONNECT_FAILED and MOOT are for what certainly never did.
+# After a 500, a reset or a time-out the request may have run. FULL, CONNECT_FAILED and MOOT are only for
+# requests that certainly did not.
 FLOW_OUTCOMES = {
     Ending.SERVED: Outcome.OK,
     Ending.ERRORED: Outcome.ERROR,
     Ending.NOT_STARTED: Outcome.FULL,
     Ending.CONNECT_FAILED: Outcome.CONNECT_FAILED,
     Ending.BROKEN: Outcome.RESET,
-    Ending.MALFORMED: Outcome.ERROR,  # the member is there and has answered: its connections are well
+    Ending.MALFORMED: Outcome.ERROR,  # the member is up and has answered: its connections work
     Ending.TIMED_OUT: Outcome.TIMEOUT,
     Ending.CANCELLED: Outcome.CANCELLED,
     Ending.NOT_SENT: Outcome.MOOT,
 }
-# A call that may have been added must read TIMEOUT or RESET: the module tells all other failed amounts again.
-# The first says that the counter is slow, the second that only the connection was lost.
+# A call whose amount may have been added must map to TIMEOUT or RESET: the module reports all other failed
+# amounts again. TIMEOUT says that the counter is slow, RESET that only the connection was lost.
 COUNT_OUTCOMES = {
     Ending.SERVED: Outcome.OK,
     Ending.ERRORED: Outcome.ERROR,
@@ -46,14 +48,14 @@
 
 
 class ExchangeError(Exception):
-    """A connection has ended, and how."""
+    """A connection, or an exchange on it, has failed; `ending` says how."""
 
     def __init__(
         self, ending: Ending, detail: str = "", retryable: bool = False, partially_sent: bool = False
     ) -> None:
         super().__init__(f"{ending.value}: {detail}" if detail else ending.value)
         self.ending = ending
-        self.retryable = retryable  # only this connection broke, and nothing ran: another may do at once
-        self.partially_sent = (
-            partially_sent  # the kernel had taken some of the request, so the member may have seen it
-        )
+        # Only this connection failed and nothing ran: the request may go out on another one at once.
+        self.retryable = retryable
+        # The kernel had taken part of the request, so the member may have seen it.
+        self.partially_sent = partially_sent
--- a/millfront/node/http.py
+++ b/millfront/node/http.py
@@ -1,4 +1,4 @@
-"""What the peers that speak HTTP share, over h11: limits, headers of one hop, reading and dialling."""
+"""Shared by all peers that speak HTTP: limits, hop-by-hop fields, connecting, and a connection over h11."""
 
 import math
 from collections.abc import Iterable
@@ -15,15 +15,14 @@
 from millfront.node.link import RESOURCE_ERRNOS
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # gathered before it goes on; a longer one is passed on as it comes
-MAX_STREAMED_BODY_BYTES = 33 * 1024 * 1024  # of one that is passed on as it comes
-MAX_INTERIM_RESPONSES = 8  # 1xx answers ahead of one: guards against a peer that never comes to the point
-RESPONSE_COMPLETION_TIMEOUT_S = (
-    0.5  # from an answer's first bytes to its last: what stalls inside a message will not end well
-)
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # buffered whole before it is forwarded; a longer body is streamed
+MAX_STREAMED_BODY_BYTES = 33 * 1024 * 1024  # of a body that is streamed
+MAX_INTERIM_RESPONSES = 8  # 1xx responses ahead of the final one: a peer could send them for ever
+# From a response's first bytes to its last: one that stalls midway will not end well.
+RESPONSE_COMPLETION_TIMEOUT_S = 0.5
 READ_SIZE = 64 * 1024
 
-# RFC 9110, 7.6.1: these speak of one connection only. Content-Length is set anew with the framing.
+# Fields that apply to one connection only (RFC 9110, 7.6.1). Content-Length is set again with the framing.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -39,21 +38,24 @@
         b"upgrade",
     )
 )
-FRAMING = (b"content-length", b"transfer-encoding")  # both in one message: one may hide what the other shows
+FRAMING = (
+    b"content-length",
+    b"transfer-encoding",
+)  # both in one message: one could hide what the other shows
 Fields = list[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A request or an answer as it came: what passes on of it is not rewritten."""
+    """A request or a response as received; what is forwarded of it is not rewritten."""
 
-    start: tuple[bytes, bytes] | int  # method and target, or the status
+    start: tuple[bytes, bytes] | int  # method and target of a request, status of a response
     fields: Fields  # lower-case names, as parsed
-    raw_fields: Fields  # the same, with the names as they came
+    raw_fields: Fields  # the same with the names as received
     body: bytes
-    body_incomplete: bool = False  # the body is only its beginning
-    length: int | None = None  # of the whole body of such a message, where it is told
-    upload: Upload | None = None  # the rest of such a request
+    body_incomplete: bool = False  # `body` holds only the beginning
+    length: int | None = None  # of an incomplete message's whole body, in bytes, if known
+    upload: Upload | None = None  # the rest of an incomplete request's body
 
     def field(self, name: bytes) -> bytes | None:
         for key, value in self.fields:
@@ -63,7 +65,7 @@
 
 
 def end_to_end_fields(message: Message, *exclude: bytes) -> Fields:
-    """The fields that go on to the next hop, as they came."""
+    """The fields to forward to the next hop as received, without those named in `exclude`."""
     named = message.field(b"connection")
     hop = {token.strip().lower() for token in named.split(b",")} if named else ()
     pairs = zip(message.fields, message.raw_fields, strict=True)
@@ -79,14 +81,14 @@
 
 
 class HttpConnection:
-    """One TCP connection under h11, in the role of a client or a server."""
+    """One TCP connection with HTTP/1.1 by h11, in the role of a client or a server."""
 
     def __init__(self, stream: Stream, role: type[h11.CLIENT] | type[h11.SERVER]) -> None:
         self.stream = stream
         self.h11 = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_BYTES)
 
     async def write(self, *events: h11.Event) -> None:
-        """All of one message at once. A failure here means that its last byte was not written."""
+        """Write a whole message in one call. A failure means that its last byte was not written."""
         await self.write_bytes(b"".join(self.encode(events)))
 
     def encode(self, events: Iterable[h11.Event]) -> Iterable[bytes]:
@@ -100,7 +102,7 @@
             raise ExchangeError(Ending.CONNECT_FAILED, repr(error), retryable=True) from None
 
     async def read(self) -> bytes:
-        """What has come; nothing means that the other side has ended."""
+        """The next bytes; empty if the peer has finished sending."""
         try:
             return await self.stream.receive(READ_SIZE)
         except anyio.EndOfStream:
@@ -109,24 +111,32 @@
             raise ExchangeError(Ending.BROKEN, repr(error)) from None
 
     async def next_event(self) -> h11.Event:
-        """The next event of the other side's message; a break or nonsense raises ExchangeError."""
+        """The next event of the peer's message.
+
+        :raises ExchangeError: BROKEN, the connection ended; MALFORMED, the bytes are not valid HTTP
+        """
         try:
             while (event := self.h11.next_event()) is h11.NEED_DATA:
                 self.h11.receive_data(await self.read())
         except h11.RemoteProtocolError as error:
-            # h11 words an end inside a message as a fault of protocol: it is a break like any other
+            # h11 reports an end inside a message as a protocol error: here it is a broken connection
             cut = self.h11.trailing_data[1]
             raise ExchangeError(Ending.BROKEN if cut else Ending.MALFORMED, str(error)) from None
         if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-            raise ExchangeError(Ending.BROKEN, "ended before an answer")
+            raise ExchangeError(Ending.BROKEN, "connection ended before a complete message")
         return event  # type: ignore[return-value]
 
     async def read_response(self) -> Message:
-        """A whole answer of bounded size. Its first bytes may take as long as they like, the rest may not."""
+        """A whole response of bounded size. There is no time limit for its first bytes, only for the rest.
+
+        :raises ExchangeError: BROKEN or MALFORMED
+        """
         self.h11.receive_data(await self.read())
         with anyio.move_on_after(RESPONSE_COMPLETION_TIMEOUT_S):
             return await self._read_rest_of_response()
-        raise ExchangeError(Ending.MALFORMED, "an answer begun and not ended")
+        raise ExchangeError(
+            Ending.MALFORMED, f"response not completed within {RESPONSE_COMPLETION_TIMEOUT_S} s of its start"
+        )
 
     async def _read_rest_of_response(self) -> Message:
         for _ in range(MAX_INTERIM_RESPONSES + 1):
@@ -134,49 +144,57 @@
             if not isinstance(head, h11.InformationalResponse):
                 break
         if not isinstance(head, h11.Response):
-            raise ExchangeError(Ending.MALFORMED, "no answer's head")
+            raise ExchangeError(
+                Ending.MALFORMED,
+                f"expected a final response after at most {MAX_INTERIM_RESPONSES} interim ones, "
+                f"got {type(head).__name__}",
+            )
         names = [name for name, _ in head.headers if name in FRAMING]
         if len(names) > 1:
-            raise ExchangeError(Ending.MALFORMED, "Content-Length and Transfer-Encoding")
+            raise ExchangeError(Ending.MALFORMED, "response with both Content-Length and Transfer-Encoding")
         if any(
             name == b"content-length" and int(value) > MAX_BUFFERED_BODY_BYTES for name, value in head.headers
         ):
-            raise ExchangeError(Ending.MALFORMED, f"an answer of over {MAX_BUFFERED_BODY_BYTES} bytes")
+            raise ExchangeError(Ending.MALFORMED, f"response body over {MAX_BUFFERED_BODY_BYTES} bytes")
         body = bytearray()
         while isinstance(event := await self.next_event(), h11.Data):
             body += event.data
             if len(body) > MAX_BUFFERED_BODY_BYTES:
-                raise ExchangeError(Ending.MALFORMED, f"an answer of over {MAX_BUFFERED_BODY_BYTES} bytes")
+                raise ExchangeError(Ending.MALFORMED, f"response body over {MAX_BUFFERED_BODY_BYTES} bytes")
         return Message(head.status_code, list(head.headers), head.headers.raw_items(), bytes(body))
 
     def reusable(self) -> bool:
-        """Whether both sides ended their messages and neither closes; makes ready for the next."""
+        """Whether both messages are complete and neither side closes. If so, prepares for the next one."""
         if self.h11.our_state is not h11.DONE or self.h11.their_state is not h11.DONE:
             return False
         if self.h11.trailing_data[0]:
-            return False  # bytes that answer nothing: the next answer on it could not be trusted
+            return False  # bytes that belong to no request: the next response could not be trusted
         self.h11.start_next_cycle()
         return True
 
     async def close(self) -> None:
-        """At once, whatever is on the way. It never waits, so no cancel may cut in and lose an answer."""
+        """Close at once, whatever is in flight. It never waits, so it may be shielded; a cancellation here
+        could lose a response."""
         with anyio.CancelScope(shield=True):
             await self.stream.aclose()
 
 
 async def dial(address: Address, timeout_us: int) -> SocketStream:
-    """Connect within the time; 0 is without a limit."""
+    """Connect within `timeout_us`; 0 means no limit.
+
+    :raises ExchangeError: CONNECT_FAILED; NOT_SENT if this machine is out of descriptors or ports
+    """
     try:
         with anyio.fail_after(timeout_us / 1e6 if timeout_us else math.inf):
             return await anyio.connect_tcp(address.host, address.port)
-    except OSError as error:  # a time-out is one too
-        cause = error.__cause__ or error  # anyio words the system's error anew
+    except OSError as error:  # TimeoutError is an OSError
+        cause = error.__cause__ or error  # anyio wraps the system's error
         raise connect_error(address, cause) from None
 
 
 def connect_error(address: Address, cause: BaseException) -> ExchangeError:
-    """Refused, unreachable and silent are one thing to the caller."""
-    # Out of descriptors or ports is this machine's own want: the other side is not to blame for it
+    """The error for a failed connect: refused, unreachable and timed out are the same to the caller."""
+    # Out of descriptors, buffers or ports is this machine's own fault, not the peer's.
     own = getattr(cause, "errno", None) in RESOURCE_ERRNOS
     ending = Ending.NOT_SENT if own else Ending.CONNECT_FAILED
     return ExchangeError(ending, f"{address}: {cause!r}", retryable=isinstance(cause, ConnectionResetError))
--- a/millfront/node/link.py
+++ b/millfront/node/link.py
@@ -1,9 +1,9 @@
-"""A TCP connection on the loop's readiness: no task, no stream object, and nothing read ahead.
+"""A TCP connection driven by the event loop's readiness callbacks: no task, no stream object, no read-ahead.
 
-The loop's transports would read what comes while nobody asks, and a second answer or noise behind the first
-would be out of sight until it passes for the next one's. So the socket is read here, by hand, and can be
-looked at before a write (quiet()). Writes go out at once; what the kernel does not take waits in a bounded
-buffer.
+The loop's own transports read whatever arrives, asked for or not: a second response or stray bytes behind the
+first would lie unseen in a buffer and be taken for the next request's response. So the socket is read here
+directly, and can be checked before a write (nothing_to_read()). Writes go out at once; what the kernel does
+not take waits in a bounded buffer.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
 
 
 class Owner(Protocol):
-    """Whoever speaks on a connection. After ended() nothing more is told."""
+    """The protocol side of a connection. No callback follows ended()."""
 
     def received(self, data: bytes) -> None: ...
     def ended(self, why: str) -> None:
-        """The other side has ended its sending (`why` is empty) or the connection has broken."""
+        """The peer has finished sending (`why` is empty) or the connection has broken."""
 
     def drained(self) -> None:
-        """All that was written is with the kernel."""
+        """The kernel has taken all that was written."""
 
 
 class Link:
@@ -64,24 +64,24 @@
             return
         try:
             self.owner.received(data)
-        except Exception:  # one connection's fault is its own
-            log.exception("a connection failed")
+        except Exception:  # a fault in one connection must not affect others
+            log.exception("connection handler failed; connection closed")
             self.close()
-            self._notify_ended("a fault of our own")
+            self._notify_ended("internal error")
 
     def _notify_ended(self, why: str) -> None:
-        """Once: the loop would call again and again for a socket that has ended."""
+        """Stop reading, then tell the owner: the loop would call on and on for a socket that has ended."""
         if not self.closed:
             self._loop.remove_reader(self._fd)
             self._paused = True
         try:
             self.owner.ended(why)
         except Exception:
-            log.exception("a connection did not end well")
+            log.exception("connection end handler failed; connection closed")
             self.close()
 
     def pause(self) -> None:
-        """Read no more until resume(): guards memory against a peer that sends on and on."""
+        """Stop reading until resume(): bounds memory against a peer that never stops sending."""
         if not self._paused and not self.closed:
             self._paused = True
             self._loop.remove_reader(self._fd)
@@ -101,21 +101,21 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes that wait for the kernel."""
+        """Bytes that the kernel has not taken yet."""
         return len(self._unsent)
 
     def unacknowledged(self) -> int:
-        """Bytes that the kernel has and the other side has not taken: they can be megabytes, and tell a slow
-        reader from one that reads nothing long before there is room for more."""
+        """Bytes in the kernel's send queue that the peer has not acknowledged. They can be megabytes; they
+        tell a slow reader from one that reads nothing long before the kernel takes more."""
         try:
             return int.from_bytes(fcntl.ioctl(self._fd, termios.TIOCOUTQ, b"\0\0\0\0"), sys.byteorder)
         except OSError:
             return 0
 
     def write(self, data: bytes) -> None:
-        """At once as far as the kernel takes it.
+        """Send what the kernel takes at once, and buffer the rest.
 
-        :raises OSError: the connection has broken; nothing is known of what was written before
+        :raises OSError: the connection has broken; how much of earlier writes arrived is unknown
         """
         if self._unsent:
             self._unsent += data
@@ -146,11 +146,11 @@
             try:
                 self.owner.drained()
             except Exception:
-                log.exception("a connection failed")
+                log.exception("connection handler failed; connection closed")
                 self.close()
 
     def nothing_to_read(self) -> bool:
-        """Still up, and with nothing to read."""
+        """Whether the connection is up and has no unread bytes."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -160,12 +160,12 @@
         return False
 
     def shutdown_write(self) -> None:
-        """Say that nothing more comes; reading goes on."""
+        """Send FIN; reading goes on."""
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """At once, whatever is on the way; what comes is told no more."""
+        """Close at once; unsent data is dropped and nothing more is reported."""
         if self.closed:
             return
         self.closed = True
@@ -176,12 +176,12 @@
 
 
 def create_listener(host: str, port: int, backlog: int) -> socket.socket:
-    """A listening socket at that address, which a successor may share; raises OSError."""
+    """A listening socket at that address, which a successor process may share; raises OSError."""
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if port:  # a port that is chosen is this process's alone
-            with suppress(OSError):  # without it a successor can't start beside this process, no more
+        if port:  # a port that the kernel chooses is this process's alone
+            with suppress(OSError):  # without it only a start of a successor beside this process fails
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind((host, port))
         sock.listen(backlog)
@@ -200,7 +200,7 @@
 
 
 def open_socket(host: str) -> socket.socket:
-    """A socket for that address; raises OSError where descriptors are wanting."""
+    """A socket for that address; raises OSError when out of descriptors."""
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -208,8 +208,7 @@
 
 
 class ConnectAttempt:
-    """A connection being set up. Ends once: with its socket, with what went wrong, or with nothing if given
-    up."""
+    """A connection being set up. Calls `done` once, with the socket or with the error; never if cancelled."""
 
     __slots__ = ("_done", "_loop", "_sock", "_timer")
 
@@ -221,7 +220,7 @@
         loop: asyncio.AbstractEventLoop,
         done: Callable[[socket.socket | None, OSError | None], None],
     ) -> None:
-        """:raises OSError: it failed at once; `done` is not called"""
+        """:raises OSError: connecting failed at once; `done` is not called"""
         self._loop = loop
         self._done = done
         self._sock: socket.socket | None = open_socket(host)
@@ -250,7 +249,7 @@
     def _on_timeout(self) -> None:
         if (sock := self._release()) is not None:
             sock.close()
-            self._done(None, TimeoutError(errno.ETIMEDOUT, "not up in time"))
+            self._done(None, TimeoutError(errno.ETIMEDOUT, "connect timed out"))
 
     def _release(self) -> socket.socket | None:
         sock, self._sock = self._sock, None
