--- a/millfront/node/http1.py
+++ b/millfront/node/http1.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 on bytes, both roles: a fast path for messages in their usual form, and h11 for all others.
+"""HTTP/1.1 without I/O, in both roles: a fast path for messages in canonical form, and h11 for all others.
 
-The fast path takes only what can be read one way: a request line or status line and fields in canonical
-form, one Content-Length or none, nothing that speaks of the connection beyond `keep-alive`. Whatever else
-comes, from its first byte on, goes to h11, whose strictness stays the rule. No I/O.
+The fast path takes only what can be read in one way: a request or status line and fields in canonical form,
+at most one Content-Length, and nothing about the connection but `keep-alive`. Any other message goes to h11
+from its first byte on, so h11's strictness remains the rule.
 """
 
 import re
@@ -28,21 +28,22 @@
 RESPONSE = re.compile(rb"HTTP/1\.1 ([2-5][0-9][0-9]) [ -~]*\r\n" + FIELDS)
 FIELD = re.compile(rb"([A-Za-z0-9-]+): ([!-~](?:[ -~]*[!-~])?)\r\n")
 LENGTH = re.compile(rb"[0-9]{1,8}")
-# Fields that change how a message is read or what comes after it: not for the fast path.
+# Fields that change how a message is read or what follows it. With one of them, other than `Connection:
+# keep-alive`, a message is not for the fast path.
 FALLBACK_FIELDS = frozenset((b"connection", b"expect", b"te", b"trailer", b"transfer-encoding", b"upgrade"))
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, reason) for code, reason in REASONS.items()}
 
 
 def parse_fields(block: bytes) -> tuple[Fields, Fields, int | None, int] | None:
-    """Fields as (lower-case, as they came), the content length and the number of hosts; None: not for the
-    fast path."""
+    """Fields with lower-case names, fields as received, the content length and the number of Host fields.
+    None: not for the fast path."""
     raw: Fields = FIELD.findall(block)
     fields = [(name.lower(), value) for name, value in raw]
     names = [name for name, _ in fields]
     if not FALLBACK_FIELDS.isdisjoint(names):
-        spoken = [field for field in fields if field[0] in FALLBACK_FIELDS]
-        if any(name != b"connection" or value.lower() != b"keep-alive" for name, value in spoken):
+        special = [field for field in fields if field[0] in FALLBACK_FIELDS]
+        if any(name != b"connection" or value.lower() != b"keep-alive" for name, value in special):
             return None
     length = None
     if b"content-length" in names:
@@ -54,7 +55,7 @@
 
 
 def may_match_fast_path(data: bytes, *beginnings: bytes) -> bool:
-    """Whether a head that is not whole yet may still be one for the fast path."""
+    """Whether an incomplete head may still turn out to be one for the fast path."""
     begins = any(data.startswith(b) or b.startswith(data) for b in beginnings)
     return begins and len(data) <= MAX_HEAD_BYTES and data.count(b"\n") == data.count(b"\r\n")
 
@@ -63,7 +64,7 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """RFC 9112, 3.2.2: a server takes the absolute form too; what goes on is its path and query."""
+    """The path and query to forward; a server must accept the absolute form too (RFC 9112, 3.2.2)."""
     found = ABSOLUTE_FORM.match(target)
     return target if found is None else target[found.end() :] or b"/"
 
@@ -75,11 +76,11 @@
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
-RESPONSE_TOO_LONG = f"an answer of over {MAX_STREAMED_BODY_BYTES} bytes"
+RESPONSE_TOO_LONG = f"response body over {MAX_STREAMED_BODY_BYTES} bytes"
 
 
 class ServerCodec:
-    """What a client sends, one request after another, and the bytes that answer it."""
+    """Server side of one client connection: parses its requests in turn and encodes the responses to them."""
 
     __slots__ = (
         "_body",
@@ -96,12 +97,12 @@
     )
 
     def __init__(self, max_body: int = MAX_STREAMED_BODY_BYTES) -> None:
-        """:param most: bytes of a body"""
+        """:param max_body: of a request, in bytes"""
         self._max_body = max_body
-        self.body_pending = False  # a body whose beginning was taken by next(); the rest is for piece()
-        self._remaining = 0  # bytes of it that are to come, on the fast path
-        self._body_received = 0  # bytes of it that came, on h11
-        self._chunked = False  # the answer under way
+        self.body_pending = False  # next_request() gave the beginning of a body; the rest is for read_body()
+        self._remaining = 0  # bytes of that body still to come, on the fast path
+        self._body_received = 0  # bytes of the body that came, on h11
+        self._chunked = False  # framing of the response being streamed
         self._buffer = b""
         self._head: tuple[tuple[bytes, bytes], Fields, Fields, int, int] | None = None
         self._h11: h11.Connection | None = None
@@ -111,12 +112,12 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes that are not taken yet."""
+        """Bytes received and not parsed yet."""
         return len(self._h11.trailing_data[0]) if self._h11 is not None else len(self._buffer)
 
     @property
     def in_body(self) -> bool:
-        """A head has come whole, and its body has not."""
+        """Whether a head is complete and its body is not."""
         return self._head is not None or self._request is not None
 
     @property
@@ -131,9 +132,9 @@
             self._buffer = self._buffer + data if self._buffer else data
 
     def next_request(self) -> Message | None:
-        """A request that is whole, or none yet.
+        """The next request, None until it is complete. A long body comes incomplete: see read_body().
 
-        :raises NotTaken: it can't be read to its end; nothing more can be taken from this connection
+        :raises NotTaken: the request can't be read to its end; nothing more can be read on this connection
         """
         if self._h11 is None:
             if (found := self._parse_fast()) is not None:
@@ -182,7 +183,7 @@
         self._buffer, self._head = b"", None
 
     def read_body(self) -> bytes:
-        """What has come of the body under way.
+        """What has arrived of a body whose beginning next_request() gave.
 
         :raises NotTaken: the rest of it can't be read
         """
@@ -218,7 +219,7 @@
             self._request = event
             self._is_head_request = event.method == b"HEAD"
             framing = {name: value for name, value in event.headers if name in FRAMING}
-            # Passed on, the one could hide a second request in the body that the other shows
+            # Forwarded with both, one could hide a second request in the body that the other shows
             if len(framing) > 1 or (b"transfer-encoding" in framing and event.http_version < b"1.1"):
                 raise NotTaken(400, "Content-Length or HTTP/1.0 with Transfer-Encoding")
             length = int(framing.get(b"content-length", b"0"))
@@ -258,14 +259,14 @@
         )
 
     def encode_continue(self) -> bytes:
-        """100 (Continue)."""
+        """The bytes of 100 (Continue)."""
         assert self._h11 is not None
         return self._h11.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def encode_response(self, response: Message, close: bool) -> tuple[bytes, bool]:
-        """The bytes of an answer, and whether the connection takes another request after it."""
+        """The bytes of a whole response, and whether the connection takes another request after it."""
         assert isinstance(response.start, int)
-        close = close or self.body_pending  # answered before its end: what still comes is no request
+        close = close or self.body_pending  # answered before the body's end: what follows is no request
         if self._h11 is None:
             return response_bytes(response, close), not close
         connection = self._h11
@@ -275,7 +276,7 @@
         head = h11.Response(
             status_code=response.start, headers=fields, reason=REASONS.get(response.start, b"")
         )
-        body = b"" if self._is_head_request else response.body  # HEAD is told a length and sent nothing
+        body = b"" if self._is_head_request else response.body  # a response to HEAD has a length and no body
         events: list[h11.Event] = [head, h11.Data(data=body), h11.EndOfMessage()]
         data = b"".join(connection.send(event) or b"" for event in events)
         return data, self._end_exchange(connection)
@@ -283,13 +284,13 @@
     def _end_exchange(self, connection: h11.Connection) -> bool:
         if connection.our_state is not h11.DONE or connection.their_state is not h11.DONE:
             return False
-        self._h11, self._buffer = None, connection.trailing_data[0]  # the next one may be a usual one again
+        self._h11, self._buffer = None, connection.trailing_data[0]  # the next message may be canonical
         return True
 
-    # An answer that is passed on as it comes: begin(), body() for each part, finish().
+    # A streamed response: encode_head(), encode_body() for each part, encode_end().
 
     def encode_head(self, response: Message, close: bool) -> bytes:
-        """Its head."""
+        """The bytes of the head of a streamed response; chunked if `response.length` is None."""
         assert isinstance(response.start, int)
         close = close or self.body_pending
         framing = (b"Content-Length", b"%d" % (response.length or 0))
@@ -300,7 +301,7 @@
             return response_head_bytes(response, framing, close)
         fields = [*response.raw_fields, framing, *([(b"Connection", b"close")] if close else [])]
         reason = REASONS.get(response.start, b"")
-        # To HTTP/1.0 it goes without a length and up to the close: h11 sees to that
+        # To an HTTP/1.0 client it goes without a length, up to the close: h11 takes care of that.
         return self._h11.send(h11.Response(status_code=response.start, headers=fields, reason=reason)) or b""
 
     def encode_body(self, data: bytes) -> bytes:
@@ -309,7 +310,7 @@
         return encode_chunk(data) if self._chunked else data
 
     def encode_end(self) -> tuple[bytes, bool]:
-        """The last bytes, and whether the connection may take another request."""
+        """The last bytes of a streamed response, and whether the connection takes another request."""
         if self._h11 is None:
             return (LAST_CHUNK if self._chunked else b""), not self.body_pending
         data = self._h11.send(h11.EndOfMessage()) or b""
@@ -331,7 +332,7 @@
 
 
 def request_bytes(start: tuple[bytes, bytes], fields: Fields, body: bytes) -> bytes:
-    """A request as it goes to a pool member; its parts have been read by one of the two parsers."""
+    """A request to a pool member; its parts were validated by the fast path or by h11."""
     parts = [b"%s %s HTTP/1.1\r\n" % start]
     parts += [b"%s: %s\r\n" % field for field in fields]
     parts.append(b"\r\n")
@@ -340,7 +341,7 @@
 
 
 class ResponseParser:
-    """What a pool member sends on one connection, an answer to each request."""
+    """Client side of one connection to a pool member: parses the response to each request."""
 
     __slots__ = (
         "_body",
@@ -360,11 +361,11 @@
         self._buffer = b""
         self._h11: h11.Connection | None = None
         self._method = b"GET"
-        self.reusable = False  # after an answer: whether the connection carries another request
+        self.reusable = False  # after a response: whether the connection can carry another request
         self.expect(b"GET")
 
     def expect(self, method: bytes) -> None:
-        """A request has been written."""
+        """Prepare for the response to a request that has been written."""
         self._buffer = b""
         self._head: tuple[int, Fields, Fields, int, int] | None = None
         self._h11 = None
@@ -372,10 +373,10 @@
         self._body = bytearray()
         self._interim_count = 0
         self._remaining = self._body_received = 0
-        self.body_pending = False  # a body whose beginning was taken; the rest is for piece()
+        self.body_pending = False  # feed() gave the beginning of a body; the rest is for read_body()
         self._method = method
         self.reusable = False
-        if method == b"HEAD":  # its answer tells a length and has no body
+        if method == b"HEAD":  # its response has a length and no body
             self._switch_to_h11()
 
     @property
@@ -383,9 +384,9 @@
         return bool(self._buffer) or self._h11 is not None
 
     def feed(self, data: bytes) -> Message | None:
-        """The answer once it is whole.
+        """The response once it is complete, or the beginning of one that is streamed.
 
-        :raises ExchangeError: MALFORMED, it is no answer or too long
+        :raises ExchangeError: MALFORMED, no valid response or too long; BROKEN, the connection has ended
         """
         if self._h11 is None:
             self._buffer = self._buffer + data if self._buffer else data
@@ -398,9 +399,9 @@
         return self._parse_with_h11(self._h11)
 
     def read_body(self, data: bytes) -> bytes:
-        """What these bytes bring of the body under way; without any, what was there already, or the end.
+        """What `data` adds to the streamed body; with empty `data`, what was buffered already, or its end.
 
-        :raises ExchangeError: the rest of it can't be read, or does not come
+        :raises ExchangeError: the rest of the body can't be read, or does not come
         """
         if self._h11 is None:
             data, over = data[: self._remaining], len(data) > self._remaining
@@ -408,23 +409,23 @@
             self.body_pending = self._remaining > 0
             self.reusable = not self.body_pending and not over
             return data
-        if data:  # nothing at all would be the connection's end
+        if data:  # h11 takes empty data for the connection's end
             self._h11.receive_data(data)
         self._parse_with_h11(self._h11)
         data, self._body = bytes(self._body), bytearray()
         return data
 
     def partial_response(self) -> Message | None:
-        """The beginning of an answer that tells no length: it is not to wait for 64 KiB of it."""
+        """The beginning of a response without a length, so that it need not wait for 64 KiB of body."""
         head = self._response
         if head is None or self.body_pending or any(name == b"content-length" for name, _ in head.headers):
             return None
         return self._begin_streaming(head, None)
 
     def end_of_stream(self) -> Message | None:
-        """The member has ended its sending: an answer that lasts until then is whole.
+        """The member has finished sending: the response, if it is one that lasts until then.
 
-        :raises ExchangeError: BROKEN, there is none or a part of one
+        :raises ExchangeError: BROKEN, there is no response or only a part of one
         """
         if self._h11 is None:
             self._switch_to_h11()
@@ -432,7 +433,7 @@
         self._h11.receive_data(b"")
         found = self._parse_with_h11(self._h11)
         if found is None:
-            raise ExchangeError(Ending.BROKEN, "ended before an answer")
+            raise ExchangeError(Ending.BROKEN, "connection ended before a complete response")
         return found
 
     def _parse_fast(self) -> Message | None:
@@ -465,7 +466,7 @@
                 return None
             self._remaining, self.body_pending, self._buffer = at + size - len(buffer), True, b""
             return Message(status, fields, raw, buffer[at:], body_incomplete=True, length=size)
-        self.reusable = len(buffer) == at + size  # bytes that answer nothing: the next could not be trusted
+        self.reusable = len(buffer) == at + size  # else stray bytes: the next could not be trusted
         return Message(status, fields, raw, buffer[at : at + size])
 
     def _switch_to_h11(self) -> None:
@@ -480,7 +481,7 @@
         try:
             return self._read_events(connection)
         except h11.RemoteProtocolError as error:
-            # h11 words an end inside a message as a fault of protocol: it is a break like any other
+            # h11 reports an end inside a message as a protocol error: here it is a broken connection
             cut = connection.trailing_data[1]
             raise ExchangeError(Ending.BROKEN if cut else Ending.MALFORMED, str(error)) from None
 
@@ -490,11 +491,13 @@
             if event is h11.NEED_DATA:
                 return None
             if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                raise ExchangeError(Ending.BROKEN, "ended before an answer")
+                raise ExchangeError(Ending.BROKEN, "connection ended before a complete response")
             if isinstance(event, h11.InformationalResponse):
                 self._interim_count += 1
                 if self._interim_count > MAX_INTERIM_RESPONSES:
-                    raise ExchangeError(Ending.MALFORMED, "no answer's head")
+                    raise ExchangeError(
+                        Ending.MALFORMED, f"over {MAX_INTERIM_RESPONSES} interim responses before a final one"
+                    )
             elif isinstance(event, h11.Response):
                 if (length := self._check_framing(event)) > MAX_BUFFERED_BODY_BYTES:
                     return self._begin_streaming(event, length)
@@ -524,10 +527,10 @@
         return Message(head.status_code, list(head.headers), raw, body, body_incomplete=True, length=length)
 
     def _check_framing(self, head: h11.Response) -> int:
-        """Its length, 0 where none is told."""
+        """The Content-Length in bytes, 0 if there is none. Remembers the head for the events that follow."""
         names = [name for name, _ in head.headers if name in FRAMING]
         if len(names) > 1:
-            raise ExchangeError(Ending.MALFORMED, "Content-Length and Transfer-Encoding")
+            raise ExchangeError(Ending.MALFORMED, "response with both Content-Length and Transfer-Encoding")
         length = max((int(value) for name, value in head.headers if name == b"content-length"), default=0)
         if length > MAX_STREAMED_BODY_BYTES:
             raise ExchangeError(Ending.MALFORMED, RESPONSE_TOO_LONG)
