--- a/millfront/node/clients.py
+++ b/millfront/node/clients.py
@@ -1,4 +1,4 @@
-"""The client side: the virtual server, its connections, and the answers that go out on them."""
+"""The client side: the virtual server, its client connections, and the responses sent on them."""
 
 import asyncio
 import socket
@@ -25,30 +25,26 @@
 
 BACKLOG = 1024
 HEALTH_REQUESTS = ((b"GET", b"/healthz"), (b"HEAD", b"/healthz"))
-# A request begun and not whole by then is given up; the first one of a connection counts from its start, so
-# that one that says nothing ends too. 3 s are owed, and an answer takes its time to go out.
+# For a request to arrive whole; a connection's first one counts from the connection's start, so that a silent
+# connection ends too. The client is owed a response within 3 s, and sending it takes time.
 REQUEST_READ_TIMEOUT_US = 2_300_000
-STOPPING_REQUEST_READ_TIMEOUT_US = 2_100_000  # the same while the gatekeeper ends: a head may take 2 s
-RESPONSE_STALL_TIMEOUT_US = (
-    10_000_000  # an answer that the client has not taken by then: guards buffers and descriptors
-)
-IDLE_TIMEOUT_US = (
-    15_000_000  # an idle connection is closed: guards the table against clients that ask once and stay
-)
-MIN_IDLE_BEFORE_EVICTION_US = 200_000  # before one gives way to another when there is no room
-FIRST_REQUEST_GRACE_US = (
-    600_000  # in a drain a new connection has so long to bring its request; it is closed after it
-)
-LINGER_US = 1_000_000  # for the client to read a last answer: closed at once, a reset could overtake it
-MAX_LINGER_US = 10_000_000  # for one that was answered early and still sends its request
+STOPPING_REQUEST_READ_TIMEOUT_US = 2_100_000  # the same while this process stops: a head may take 2 s
+# Without any progress of a response: limits buffers and descriptors held for clients that do not read.
+RESPONSE_STALL_TIMEOUT_US = 10_000_000
+IDLE_TIMEOUT_US = 15_000_000  # keeps clients that send one request and stay from filling the connection table
+MIN_IDLE_BEFORE_EVICTION_US = 200_000  # before a connection may be closed to make room for another
+# During a drain, for a new connection to bring its request; it is closed after that request.
+FIRST_REQUEST_GRACE_US = 600_000
+LINGER_US = 1_000_000  # for the client to read a last response: a reset by an early close could overtake it
+MAX_LINGER_US = 10_000_000  # for a client that was answered early and still sends its request
 SWEEP_INTERVAL_S = 0.25
 ACCEPT_RETRY_S = 0.05
-EVICTION_DIVISOR = 16  # when there is no room, this part of the connections makes some
-MAX_ACCEPTS_PER_TURN = 32  # in one turn of the loop: requests that are there come before more of them
+EVICTION_DIVISOR = 16  # without room, 1/16 of the connections are closed to make some
+MAX_ACCEPTS_PER_TURN = 32  # per turn of the loop: requests that have arrived come before new connections
 
 
 class Connection(Protocol):
-    """What the virtual server asks of a client's connection, whatever it speaks."""
+    """What the virtual server needs of a client's connection, for any protocol; see ClientConnection."""
 
     request_started_us: int
     input_closed: bool
@@ -67,17 +63,17 @@
 
 
 class RequestHost(Protocol):
-    """What a client's connection tells of a request that is taken (an OpenRequest, or the like)."""
+    """Receives a client connection's events about an admitted request (what admit() returned)."""
 
-    def body_complete(self, opened: Any) -> None:
-        """Its body's last byte has come."""
+    def body_complete(self, open_request: Any) -> None:
+        """The last byte of its body has arrived."""
 
-    def client_left(self, opened: Any) -> None:
-        """Its client went away."""
+    def client_left(self, open_request: Any) -> None:
+        """Its client has gone, or its body can't be read: the host owes no response any more."""
 
 
 class MessageCaller:
-    """A Caller whose answers are messages, whatever carries them."""
+    """A Caller that gets its responses as messages, over any protocol."""
 
     __slots__ = ()
     streams = False
@@ -92,7 +88,7 @@
         raise NotImplementedError
 
     def send_response(self, response: Message) -> None:
-        """Write the one answer."""
+        """Send the one response."""
         raise NotImplementedError
 
     def served(self, response: Any) -> None:
@@ -106,9 +102,9 @@
 
 
 class ClientConnection(MessageCaller):
-    """One client's connection: requests one after another, each with one answer. No task: it reads when
-    something comes, for that is also how a client's leaving shows, and writes when the host has an
-    answer."""
+    """One client's HTTP/1.1 connection: requests in turn, each with one response. It has no task: it reads
+    whenever the socket is readable, which also shows that a client has left, and writes when the host
+    responds."""
 
     __slots__ = (
         "body_progress_us",
@@ -139,30 +135,29 @@
     def __init__(self, server: "VirtualServer", sock: socket.socket) -> None:
         self.server = server
         self.codec = ServerCodec(server.max_body)
-        self.open_request: Any = None  # what admit() made of the request that is taken
-        self.busy = False  # from a request's last byte to its answer's
-        self.input_closed = False  # nothing more is taken on it
-        self.had_request = False  # a request came whole
-        self.finished_us = 0  # since when its last answer is written
+        self.open_request: Any = None  # what admit() returned for the current request
+        self.busy = False  # from a request's last byte to its response's
+        self.input_closed = False  # no more requests are read
+        self.had_request = False  # a request has arrived whole
+        self.finished_us = 0  # since when its last response is written
         self.idle_since_us = server.clock.now()
-        self.idle_timeout_us = server.idle_timeout_us  # how long it may lie idle, as its client was told
-        self.stalled_since_us = 0  # since when an answer waits for the client to read
-        self.stalled_unsent = 0  # how much of it waited then
-        self.source: Source | None = None  # of an answer that goes on as it comes
-        self.held = 0  # of the room for slow clients' answers
-        self.reuse_when_drained: bool | None = (
-            None  # its answer is whole and not taken: whether it goes on after
-        )
-        self.upload: Upload | None = None  # a request's body under way
-        self.body_progress_us = 0  # since when nothing of that has come
+        self.idle_timeout_us = server.idle_timeout_us  # as its client was told
+        self.stalled_since_us = 0  # since when a response waits for the client to read
+        self.stalled_unsent = 0  # how many bytes waited then
+        self.source: Source | None = None  # of a streamed response
+        self.held = 0  # bytes counted in the budget for slow clients' responses
+        # Set while a whole response waits for the client to read: whether another request may follow it.
+        self.reuse_when_drained: bool | None = None
+        self.upload: Upload | None = None  # a request's body that is still arriving
+        self.body_progress_us = 0  # when some of that body last moved
         self.ending = Ending.CLOSED
-        self.in_body = False  # of a request whose head is whole
-        self.request_started_us = 0  # first byte of a request that is not whole yet
+        self.in_body = False  # the head of a request is complete, its body is not
+        self.request_started_us = 0  # time of the first byte of an incomplete request; 0: none
         self.closed = False
-        self.preface_bytes = b""  # bytes that may be the preface of another protocol
+        self.preface_bytes = b""  # that may be the preface of another protocol
         self.link = Link(sock, self, server.loop)
 
-    # ---- in: what the link tells -------------------------------------------------------------
+    # ---- callbacks of the link ---------------------------------------------------------------
 
     def received(self, data: bytes) -> None:
         if self.input_closed:
@@ -186,14 +181,14 @@
         self.codec.feed(data)
         self.take_next_request()
         if not self.busy and not self.in_body and self.codec.in_body:
-            self.in_body, self.request_started_us = True, self.server.clock.now()  # it has a time of its own
+            self.in_body, self.request_started_us = True, self.server.clock.now()  # the body has its own time
         if not self.busy and self.codec.awaits_continue:
             self.write(self.codec.encode_continue())
         if self.busy and self.codec.buffered > MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES:
-            self.link.pause()  # guards the buffer against a client that sends on and on
+            self.link.pause()  # bounds the buffer for a client that never stops sending
 
     def ended(self, why: str) -> None:
-        """The client has closed or broken the connection: it has gone away."""
+        """The client has closed or broken the connection."""
         if why and not self.input_closed:
             self.ending = Ending.BROKEN
         self.close()
@@ -202,15 +197,15 @@
         self.stalled_since_us = 0
         self.account_held(0)
         if self.reuse_when_drained is not None:
-            goes_on, self.reuse_when_drained = self.reuse_when_drained, None
-            self.response_sent(goes_on)
+            reusable, self.reuse_when_drained = self.reuse_when_drained, None
+            self.response_sent(reusable)
         elif self.finished_us:
             self.linger()
         elif self.source is not None:
             self.source.resume()
 
     def take_next_request(self) -> None:
-        """Take the next request if it is whole, until its answer is written."""
+        """Handle the next request if it is complete; only one at a time, until its response is written."""
         if self.busy or self.input_closed:
             return
         try:
@@ -224,21 +219,20 @@
             if message.body_incomplete:
                 self.upload = Upload(self, message.length)
                 message = replace(message, upload=self.upload)
-            self.handle_request(
-                message, self.server.clock.now()
-            )  # a request's time counts from its last byte
+            # A request's time counts from its last byte.
+            self.handle_request(message, self.server.clock.now())
 
     def handle_request(self, message: Message, came_us: int) -> None:
         if message.start in HEALTH_REQUESTS and self.server.ready is not None:
             self.send_response(self.server.health())
             return
         try:
-            opened = self.server.admit(self.server.take_in(message, came_us), self)
+            open_request = self.server.admit(self.server.take_in(message, came_us), self)
         except NotTaken as error:
             self.send_response(relay.own(error.status, f"{error}\n".encode(), error.fields))
             return
-        if opened is not None and not opened.over:  # it may have been answered by now
-            self.open_request = opened
+        if open_request is not None and not open_request.over:  # admit() may have answered it
+            self.open_request = open_request
             if self.upload is not None:
                 self.body_progress_us = self.server.clock.now()
                 if self.codec.awaits_continue:
@@ -246,9 +240,9 @@
                 self.forward_body()
 
     def forward_body(self) -> None:
-        """Pass on what has come of a body under way."""
-        upload, opened = self.upload, self.open_request
-        if upload is None or opened is None:
+        """Pass on what has arrived of the request's body."""
+        upload, open_request = self.upload, self.open_request
+        if upload is None or open_request is None:
             return
         try:
             data = self.codec.read_body()
@@ -261,36 +255,36 @@
         self.body_progress_us = self.server.clock.now()
         if last:
             self.upload = None
-            self.server.host.body_complete(opened)
+            self.server.host.body_complete(open_request)
         if not upload.put(data, last) and self.upload is not None:
             self.link.pause()
 
     def resume(self) -> None:
-        """The member has taken what came of the body."""
+        """The member has taken what was passed on of the body."""
         self.body_progress_us = self.server.clock.now()
         self.link.resume()
 
     def abandon(self) -> None:
-        """Nobody takes the rest: it is read and dropped, so that the client gets its answer."""
+        """The rest of the body is not wanted: read and drop it, so that the client gets its response."""
         self.link.resume()
 
     def abort_upload(self, status: int, why: str) -> None:
-        """The rest of a body under way can't be had: its attempt is left, and the client told why."""
-        opened, self.open_request, self.upload = self.open_request, None, None
-        if opened is not None:
-            self.server.host.client_left(opened)
-            if status == HTTPStatus.REQUEST_TIMEOUT and not self.server.may_send_408(opened):
+        """The rest of the body can't be read: give up its attempt and send the client the reason."""
+        open_request, self.open_request, self.upload = self.open_request, None, None
+        if open_request is not None:
+            self.server.host.client_left(open_request)
+            if status == HTTPStatus.REQUEST_TIMEOUT and not self.server.may_send_408(open_request):
                 status = HTTPStatus.BAD_GATEWAY
         self.reject_message(status, why)
 
     def reject_message(self, status: int, why: str) -> None:
-        """A message that can't be read to its end: say so, and take nothing more from this connection."""
+        """Answer a message that can't be read to its end; no more requests are read on this connection."""
         self.input_closed = self.busy = True
         self.ending = Ending.TIMED_OUT if status == HTTPStatus.REQUEST_TIMEOUT else Ending.MALFORMED
         self.send_response(relay.own(status, f"{why}\n".encode()))
 
     def check_timeouts(self, now_us: int, read_timeout_us: int) -> None:
-        begun_us = self.request_started_us if self.had_request or self.in_body else self.idle_since_us
+        started_us = self.request_started_us if self.had_request or self.in_body else self.idle_since_us
         if self.finished_us and not self.link.unsent:
             heard_us = min(self.body_progress_us, self.finished_us + MAX_LINGER_US)
             if max(self.finished_us, heard_us) < now_us - LINGER_US:
@@ -301,37 +295,34 @@
             and self.body_progress_us < now_us - read_timeout_us
         ):
             self.abort_upload(HTTPStatus.REQUEST_TIMEOUT, "body not finished in time")
-        elif not self.busy and begun_us and begun_us < now_us - read_timeout_us:
+        elif not self.busy and started_us and started_us < now_us - read_timeout_us:
             if self.request_started_us:
                 self.reject_message(HTTPStatus.REQUEST_TIMEOUT, "request not finished in time")
             elif self.link.nothing_to_read():
                 self.end(Ending.TIMED_OUT)
         elif self.stalled_since_us and self.stalled_since_us < now_us - RESPONSE_STALL_TIMEOUT_US:
-            if (
-                unsent := self.link.unsent + self.link.unacknowledged()
-            ) < self.stalled_unsent:  # slowly, but it reads
+            # a client that reads, however slowly, is not stalled
+            if (unsent := self.link.unsent + self.link.unacknowledged()) < self.stalled_unsent:
                 self.stalled_since_us, self.stalled_unsent = now_us, unsent
             else:
                 self.end(Ending.TIMED_OUT)
-        elif (
-            self.idle_expired(now_us) and self.link.nothing_to_read()
-        ):  # a request that has come is answered first
+        elif self.idle_expired(now_us) and self.link.nothing_to_read():  # a request that arrived goes first
             self.end(Ending.CLOSED)
 
     def is_idle(self) -> bool:
         return not self.busy and not self.request_started_us
 
     def idle_expired(self, now_us: int) -> bool:
-        """Idle for longer than its client was told, and than the limit in force allows."""
+        """Whether it is idle for longer than its client was told and than the limit in force."""
         return self.is_idle() and self.idle_since_us < now_us - max(
             self.idle_timeout_us, self.server.idle_timeout_us
         )
 
     def drain(self) -> None:
-        """Its next answer says `Connection: close`."""
+        """Nothing to do here: its next response says `Connection: close`."""
 
     def close_if_idle(self) -> None:
-        """Not one on which a request is just coming: a look costs less than a request turned back."""
+        """Close it unless a request is just arriving: checking costs less than turning a request away."""
         new = not self.had_request and self.idle_since_us > self.server.clock.now() - FIRST_REQUEST_GRACE_US
         if self.is_idle() and not new and self.link.nothing_to_read():
             self.close()
@@ -341,40 +332,40 @@
         self.close()
 
     def close(self) -> None:
-        """Ends the connection; a request that is open is left."""
+        """Close the connection; the host is told that an open request's client has gone."""
         if self.closed:
             return
         self.closed = True
         self.account_held(0)
-        opened, self.open_request = self.open_request, None
+        open_request, self.open_request = self.open_request, None
         self.link.close()
-        if opened is not None:
+        if open_request is not None:
             self.ending = Ending.CLIENT_LEFT
         self.server.connection_closed(self)
-        if opened is not None:
-            self.server.host.client_left(opened)
+        if open_request is not None:
+            self.server.host.client_left(open_request)
         if (source := self.source) is not None:
             self.source = None
             source.abandon()
 
-    # ---- out: what the host calls ------------------------------------------------------------
+    # ---- called by the host ------------------------------------------------------------------
 
     def send_response(self, response: Message) -> None:
-        """Write the one answer of the request that is taken."""
+        """Write the one response to the current request."""
         if self.closed:
             return
-        if self.source is not None:  # another answer has begun: this one can't be told
+        if self.source is not None:  # another response has begun: this one can't be sent
             self.cut()
             return
         self.open_request = None
-        data, goes_on = self.codec.encode_response(
+        data, reusable = self.codec.encode_response(
             self.with_keep_alive(response), self.server.closing or self.input_closed
         )
         if self.write(data):
-            self.response_sent(goes_on)
+            self.response_sent(reusable)
 
     def begin(self, response: Message, source: Source) -> None:
-        """An answer that goes on as it comes."""
+        """Begin a streamed response: its head and the first part of its body."""
         if self.closed:
             return
         self.source = source
@@ -386,7 +377,7 @@
             self.server.loop.call_soon(self.drained)
 
     def with_keep_alive(self, response: Message) -> Message:
-        """With how long the connection may lie idle after it, where clients are told."""
+        """Add Keep-Alive (how long the connection may be idle afterwards), if that is configured."""
         if self.server.closing or self.input_closed or not self.server.keep_alive:
             return response
         return replace(response, raw_fields=[*response.raw_fields, (b"Keep-Alive", self.server.keep_alive)])
@@ -398,12 +389,12 @@
         return self.server.buffer_budget.allows_more(self.held)
 
     def account_held(self, held: int) -> None:
-        """Of the room for all; between two pieces it is less than is counted, never more."""
+        """Count `held` bytes in the shared budget. Between two parts fewer may be held, not more."""
         self.server.buffer_budget.held += held - self.held
         self.held = held
 
     def cut(self) -> None:
-        """Before its end, so that the client can tell: no last chunk, or fewer bytes than were said."""
+        """End a response early, so that the client notices: no last chunk, or fewer bytes than announced."""
         self.open_request = self.source = None
         self.end(Ending.BROKEN)
 
@@ -412,20 +403,20 @@
             self.send_response(relay.served(response))
             return
         self.open_request = self.source = None
-        data, goes_on = self.codec.encode_end()
+        data, reusable = self.codec.encode_end()
         if data and not self.write(data):
             return
         if self.link.unsent:
-            self.reuse_when_drained = goes_on  # the member is done, its client still reads
+            self.reuse_when_drained = reusable  # the member has finished; the client still reads
         else:
-            self.response_sent(goes_on)
+            self.response_sent(reusable)
 
-    def response_sent(self, goes_on: bool) -> None:
-        """The answer's last byte is written."""
+    def response_sent(self, reusable: bool) -> None:
+        """The last byte of the response is written."""
         if self.upload is not None:
-            self.upload, goes_on = None, False
+            self.upload, reusable = None, False
             self.link.resume()
-        if not goes_on:
+        if not reusable:
             self.input_closed = True
             self.finished_us = self.server.clock.now()
             if not self.link.unsent:
@@ -438,15 +429,15 @@
         if self.codec.buffered:
             self.request_started_us = self.idle_since_us
             self.link.resume()
-            # Not from here: the host is in the middle of an event, and a client may have sent many at once
+            # Not directly: the host is inside an event, and a client may have pipelined many requests.
             self.server.loop.call_soon(self.take_pipelined)
 
     def take_pipelined(self) -> None:
         try:
             if not self.closed:
                 self.take_next_request()
-        except Exception:  # one connection's fault is its own
-            log.exception("a client connection failed")
+        except Exception:  # a fault in one connection must not affect others
+            log.exception("client connection handler failed; connection closed")
             self.end(Ending.BROKEN)
 
     def write(self, data: bytes) -> bool:
@@ -463,13 +454,13 @@
         return True
 
     def linger(self) -> None:
-        """Say that nothing more comes and let the client close first. Reading goes on meanwhile."""
+        """Finish sending and let the client close first; reading goes on meanwhile."""
         self.finished_us = self.server.clock.now()
         self.link.shutdown_write()
 
 
 class VirtualServer:
-    """Listens for clients, and holds their connections within bounds."""
+    """Listens for clients and limits their connections, in number and in time."""
 
     def __init__(
         self,
@@ -481,6 +472,10 @@
         max_connections: int,
         make_connection: "Callable[[VirtualServer, socket.socket], Connection]" = ClientConnection,
     ) -> None:
+        """:param take_in: makes of a message and its time (µs) what `admit` needs; may raise NotTaken
+        :param admit: admits that for a caller; returns the open request or None
+        :param ready: the health; None: HTTP/1.1 health checks are handled like other requests
+        """
         self.clock = clock
         self.host = host
         self.take_in = take_in
@@ -488,29 +483,29 @@
         self.ready = ready
         self.max_connections = max_connections
         self.make_connection = make_connection
-        self.buffer_budget = BufferBudget(0)  # for answers that clients take slowly
-        # Whether a request that was left may be told 408, which to some clients says that it never runs
-        self.may_send_408: Callable[[Any], bool] = lambda opened: True
-        self.preface = b""  # with which another protocol begins on this port
-        self.on_preface: Callable[[ClientConnection, bytes], None]  # told of a connection that began with it
+        self.buffer_budget = BufferBudget(0)  # for responses that clients read slowly
+        # Whether a request given up for its body may be answered 408: some clients take that for "never ran".
+        self.may_send_408: Callable[[Any], bool] = lambda open_request: True
+        self.preface = b""  # the first bytes of another protocol on this port; empty: none
+        self.on_preface: Callable[[ClientConnection, bytes], None]  # takes over such a connection
         self.endings: Counter[Ending] = Counter()  # of client connections
-        self.closing = False  # answers say Connection: close
+        self.closing = False  # responses say `Connection: close`
         self.request_read_timeout_us, self.idle_timeout_us = REQUEST_READ_TIMEOUT_US, IDLE_TIMEOUT_US
         self.max_body = MAX_STREAMED_BODY_BYTES
-        self.keep_alive = b""  # told with each answer; empty: nothing is told
+        self.keep_alive = b""  # value of the Keep-Alive field in responses; empty: none
         self.address: Address | None = None
         self.loop: asyncio.AbstractEventLoop
         self._listener: socket.socket | None = None
-        self._accept_timer: asyncio.TimerHandle | None = None  # for room
-        self._connections: OrderedDict[Connection, None] = OrderedDict()  # the longest at rest first
+        self._accept_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
+        self._connections: OrderedDict[Connection, None] = OrderedDict()  # the longest idle first
 
     async def run(self, address: Address, *, task_status: TaskStatus[Address]) -> None:
-        """Accept until stop_accepting(), and serve what is there until cancelled or nobody is left."""
+        """Accept until stop_accepting(), and serve until cancelled or until no connection is left."""
         task_status.started(self.listen(address))
         await self.sweep()
 
     def listen(self, address: Address) -> Address:
-        """Accept from now on; returns where. Raises OSError."""
+        """Accept from now on. Returns the address with the actual port; raises OSError."""
         self.loop = asyncio.get_running_loop()
         listener = self._listener = create_listener(address.host, address.port, BACKLOG)
         self.address = Address(address.host, listener.getsockname()[1])
@@ -518,15 +513,15 @@
         return self.address
 
     async def sweep(self) -> None:
-        """See to it that what should end does."""
+        """Check all connections' time-outs periodically, until no listener and no connection is left."""
         try:
             while self._listener is not None or self._connections:
-                ends = self._listener is None
-                await asyncio.sleep(0.05 if ends else SWEEP_INTERVAL_S)
+                stopping = self._listener is None
+                await asyncio.sleep(0.05 if stopping else SWEEP_INTERVAL_S)
                 now = self.clock.now()
                 for connection in list(self._connections):
                     connection.check_timeouts(
-                        now, STOPPING_REQUEST_READ_TIMEOUT_US if ends else self.request_read_timeout_us
+                        now, STOPPING_REQUEST_READ_TIMEOUT_US if stopping else self.request_read_timeout_us
                     )
         finally:
             self.stop_accepting()
@@ -539,7 +534,7 @@
                 return
 
     def _accept_one(self) -> bool:
-        """False: nobody waits, or there is no room now."""
+        """Accept one connection. False: none is waiting, or there is no room now."""
         if self._listener is None or not self._make_room():
             return False
         try:
@@ -547,7 +542,7 @@
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
-            # Out of descriptors, or a client gone before it was accepted: neither ends us
+            # Out of descriptors, or a client gone before it was accepted: neither ends the server.
             if error.errno in RESOURCE_ERRNOS:
                 log.warning("accept failed", why=error.strerror)
                 self._evict(1)
@@ -561,7 +556,7 @@
         return True
 
     def _make_room(self) -> bool:
-        """Room for one more, made where there is none; else it is looked for again soon."""
+        """Make room for one more connection if there is none. False: there is none yet, try again soon."""
         if len(self._connections) >= self.max_connections:
             self._evict(1 + self.max_connections // EVICTION_DIVISOR)
             if len(self._connections) >= self.max_connections:
@@ -570,7 +565,7 @@
         return True
 
     def _pause_accepting(self, seconds: float) -> None:
-        """Accept nothing for so long."""
+        """Accept nothing for `seconds`."""
         if self._listener is not None and self._accept_timer is None:
             self.loop.remove_reader(self._listener.fileno())
             self._accept_timer = self.loop.call_later(seconds, self._resume_accepting)
@@ -581,23 +576,23 @@
             self.loop.add_reader(self._listener.fileno(), self._on_acceptable)
 
     def _evict(self, count: int) -> None:
-        """Those that have had their last answer first, then those that say nothing, then the longest at rest;
-        none that has just come, its first request is on the way. Several at once: guards the usual clients,
-        who wait to be accepted, against a crowd."""
+        """Close up to `count` connections: those that have had their last response, then those without any
+        request, then the longest idle; none that has just come, as its first request is on the way.
+        Several at once, so that regular clients waiting to be accepted are not kept out by a crowd."""
         now = self.clock.now()
-        spent: list[Connection] = []
+        finished: list[Connection] = []
         silent: list[Connection] = []
-        resting: list[Connection] = []
+        idle: list[Connection] = []
         for connection in self._connections:
             if connection.finished_us:
-                spent.append(connection)
+                finished.append(connection)
             elif connection.is_idle() and connection.idle_since_us < now - MIN_IDLE_BEFORE_EVICTION_US:
-                (resting if connection.had_request else silent).append(connection)
-        for connection in [*spent, *silent, *resting][:count]:
+                (idle if connection.had_request else silent).append(connection)
+        for connection in [*finished, *silent, *idle][:count]:
             connection.close()
 
     def health(self) -> Message:
-        """What the front asks before it brings clients."""
+        """The response to a health check of the load balancer in front."""
         return (
             relay.own(200, b"ready\n")
             if self.ready is None or self.ready()
@@ -609,7 +604,7 @@
         self._connections.pop(connection, None)
 
     def replace(self, before: Connection, after: Connection) -> None:
-        """The same socket speaks another protocol from here on."""
+        """The same socket goes on with another protocol, as `after`."""
         self._connections.pop(before, None)
         self._connections[after] = None
 
@@ -617,18 +612,18 @@
         if connection in self._connections:
             self._connections.move_to_end(connection)
 
-    # ---- clients are sent away ------------------------------------------------------------------
+    # ---- draining -------------------------------------------------------------------------------
 
     def set_closing(self, closing: bool) -> None:
-        """Whether clients are asked to go elsewhere from now on."""
+        """Set whether clients are asked to go elsewhere."""
         if closing and not self.closing:
             for connection in list(self._connections):
                 connection.drain()
         self.closing = closing
 
     def stop_accepting(self) -> None:
-        """What waits to be accepted is taken first: closed with its listener it would be reset, also where
-        another process listens at the same address."""
+        """Close the listener. Waiting connections are accepted first: closed with the listener they would be
+        reset, even where another process listens at the same address."""
         while self._accept_one():
             pass
         if self._accept_timer is not None:
@@ -647,9 +642,9 @@
         return len(self._connections)
 
     def unanswered_count(self) -> int:
-        """Connections with a request that was taken, or is just coming."""
+        """Number of connections with a request that was admitted or is just arriving."""
         return sum(1 for c in self._connections if (c.busy or c.request_started_us) and not c.input_closed)
 
     def unsent_count(self) -> int:
-        """Connections with a last answer that the client has not taken whole."""
+        """Number of connections with response bytes that the kernel has not taken."""
         return sum(1 for c in self._connections if isinstance(c, ClientConnection) and c.link.unsent)
