--- a/millfront/node/http.py
+++ b/millfront/node/http.py
@@ -38,10 +38,8 @@
         b"upgrade",
     )
 )
-FRAMING = (
-    b"content-length",
-    b"transfer-encoding",
-)  # both in one message: one could hide what the other shows
+# Both in one message: one could hide what the other shows.
+FRAMING = (b"content-length", b"transfer-encoding")
 Fields = list[tuple[bytes, bytes]]
 
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets, and a node to put between them."""
+"""Scripted peers on loopback sockets, and a node that runs between them."""
 
 import itertools
 import json
@@ -14,7 +14,7 @@
 from millfront.node.service import Node
 from millfront.operators import document, parts
 
-TEST_TIMEOUT_S = 5.0  # seconds after which a test that waits for an event has failed
+TEST_TIMEOUT_S = 5.0  # for a test to wait for an event before it fails
 IDS = itertools.count(1)
 CLASSES = (("page-fetch", "safe"), ("issue-buy", "keyed"), ("code-redeem", "unsafe"))
 
@@ -75,13 +75,13 @@
 
 
 class Peer:
-    """Listens on port 0 and plays one step of its script for each message; keeps all that came."""
+    """Listens on port 0, runs one step of its script for each message, and keeps all messages in `seen`."""
 
     def __init__(self, *script: "Step") -> None:
         self.script = deque(script)
         self.seen: list[bytes] = []
         self.connections = 0
-        self.closed = 0  # connections that the other side ended
+        self.closed = 0  # connections closed by the other side
         self.changed = anyio.Event()
         self.address = ""
 
@@ -125,26 +125,26 @@
     return step
 
 
-def says(data: bytes) -> Step:
+def sends(data: bytes) -> Step:
     async def step(stream: SocketStream) -> None:
         await stream.send(data)
 
     return step
 
 
-async def breaks(stream: SocketStream) -> None:
+async def disconnects(stream: SocketStream) -> None:
     await anyio.aclose_forcefully(stream)
     raise anyio.ClosedResourceError
 
 
 async def silent(stream: SocketStream) -> None:
-    """Until the other side gives up."""
+    """Answer nothing until the other side disconnects."""
     while True:
         await stream.receive()
 
 
 class CounterPeer(Peer):
-    """A counter: takes lines, however they come."""
+    """A counter service: takes lines in whatever parts they arrive."""
 
     async def read(self, stream: SocketStream) -> bytes:
         return await stream.receive()
@@ -154,11 +154,11 @@
 
 
 class Discovery(Peer):
-    """Every watch stays open; tell() sends a line on the newest."""
+    """A discovery service. Every watch stays open; send_line() sends on the newest."""
 
     stream: SocketStream
     watches = 0
-    full_list = b""  # the answer to who asks for the whole list
+    full_list = b""  # the response to a request for the whole list
 
     async def default_step(self, stream: SocketStream) -> None:
         if b"watch" not in self.seen[-1].split(b"\r\n")[0]:
@@ -174,7 +174,7 @@
 
 
 async def read_message(stream: SocketStream) -> bytes:
-    """Head and body; the answer to no request may end early."""
+    """A whole message, head and body; raises EndOfStream if it is cut short."""
     data = await stream.receive()
     while b"\r\n\r\n" not in data:
         data += await stream.receive()
@@ -223,7 +223,7 @@
     def __init__(self, node: Node, address: str, discovery: Discovery) -> None:
         self.node = node
         self.address = address
-        self.admin_address = ""  # where operators are answered
+        self.admin_address = ""  # of the operators' line
         self.discovery = discovery
         self.ended = anyio.Event()
 
@@ -231,12 +231,12 @@
         host, _, port = self.address.rpartition(":")
         return await anyio.connect_tcp(host, int(port))
 
-    async def call_admin(self, said: bytes) -> bytes:
-        """What the operators' line answers, up to its close."""
+    async def call_admin(self, command: bytes) -> bytes:
+        """Send a command on the operators' line and return what it answers until it closes."""
         host, _, port = self.admin_address.rpartition(":")
         with anyio.fail_after(TEST_TIMEOUT_S):
             async with await anyio.connect_tcp(host, int(port)) as stream:
-                await stream.send(said)
+                await stream.send(command)
                 return b"".join([data async for data in stream])
 
     async def ask(self, data: bytes, stream: SocketStream | None = None) -> bytes:
@@ -265,7 +265,7 @@
         tasks.cancel_scope.cancel()
 
 
-def configuration(known: list[dict[str, Any]], discovery: str, told: dict[str, Any]) -> dict[str, Any]:
+def configuration(hosts: list[dict[str, Any]], discovery: str, configured: dict[str, Any]) -> dict[str, Any]:
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -273,8 +273,8 @@
         "discovery": discovery,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"seq": 41, "whole": True, "hosts": known},
-        "settings": told,
+        "known": {"seq": 41, "whole": True, "hosts": hosts},
+        "settings": configured,
     }
 
 
@@ -282,28 +282,28 @@
 async def running_node(
     *members: Peer,
     gone: str = "",
-    desk: CounterPeer | None = None,
+    counter: CounterPeer | None = None,
     operators: dict[str, Any] | None = None,
     **allowed: object,
 ) -> AsyncIterator[RunningNode]:
-    """`gone`: the address of one more member, where nobody listens."""
+    """Run a node between these members; `gone` is the address of one more, where nobody listens."""
     discovery = Discovery()
-    async with listening(discovery, *members, *([desk] if desk else [])):
-        known = [row(f"s-{i}", member.address) for i, member in enumerate(members)]
-        known += [row("s-gone", gone)] if gone else []
-        told = configuration(known, discovery.address, settings(desk is not None, **allowed))
-        node = Node(config.from_json(told | ({"counter": desk.address} if desk else {})))
+    async with listening(discovery, *members, *([counter] if counter else [])):
+        hosts = [row(f"s-{i}", member.address) for i, member in enumerate(members)]
+        hosts += [row("s-gone", gone)] if gone else []
+        configured = configuration(hosts, discovery.address, settings(counter is not None, **allowed))
+        node = Node(config.from_json(configured | ({"counter": counter.address} if counter else {})))
         if operators is not None:
             parts.put(node, document.parse(json.dumps(operators).encode()))
         async with anyio.create_task_group() as tasks:
-            made = RunningNode(node, "", discovery)
+            running = RunningNode(node, "", discovery)
 
             async def run(*, task_status: Any) -> None:
                 await node.run(task_status=task_status)
-                made.ended.set()
+                running.ended.set()
 
-            made.address = str(await tasks.start(run))
-            made.admin_address = str(node.operators_line.address)
+            running.address = str(await tasks.start(run))
+            running.admin_address = str(node.operators_line.address)
             await discovery.wait_until(lambda _: discovery.watches > 0)
-            yield made
+            yield running
             tasks.cancel_scope.cancel()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of any size, and HTTP/1.1 in every form: what each peer saw."""
+"""Bodies of any size and HTTP/1.1 in all forms, as seen by each peer."""
 
 import socket
 import time
@@ -16,7 +16,7 @@
 from millfront.node.host import Host
 from millfront.node.http import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES
 from millfront.node.stages.send import ServerSideFlow
-from tests.peers import TEST_TIMEOUT_S, Peer, answer, read_message, request, running_node, says, status
+from tests.peers import TEST_TIMEOUT_S, Peer, answer, read_message, request, running_node, sends, status
 
 pytestmark = pytest.mark.anyio
 LONG = bytes(range(256)) * 12 * 1024  # 3 MB
@@ -59,13 +59,13 @@
 
 @pytest.mark.parametrize("form", range(len(ANSWERS)))
 async def test_a_long_answer_passes_on_unchanged_and_the_connection_goes_on(form: int) -> None:
-    async def says_it(stream: SocketStream) -> None:
+    async def sends_response(stream: SocketStream) -> None:
         await stream.send(ANSWERS[form])
         if form == 2:
             await stream.aclose()
 
-    member = Peer(says_it, answer(200, b"page"))
-    async with running_node(member) as on, await on.client() as client:
+    member = Peer(sends_response, answer(200, b"page"))
+    async with running_node(member) as running, await running.client() as client:
         with anyio.fail_after(TEST_TIMEOUT_S):
             await client.send(request())
             if form == 0:
@@ -73,13 +73,13 @@
             else:
                 got = (await read_chunked(client))[1]
         assert got == LONG
-        assert status(await on.ask(request(), client)) == 200
-        assert on.node.ways.in_use == 0 and not on.node.host.open
+        assert status(await running.ask(request(), client)) == 200
+        assert running.node.ways.in_use == 0 and not running.node.host.open
     assert member.connections == (2 if form == 2 else 1)
 
 
 async def test_an_answer_to_http_1_0_ends_with_the_connection() -> None:
-    async with running_node(Peer(says(ANSWERS[1]))) as on, await on.client() as client:
+    async with running_node(Peer(sends(ANSWERS[1]))) as running, await running.client() as client:
         with anyio.fail_after(TEST_TIMEOUT_S):
             await client.send(request().replace(b" HTTP/1.1", b" HTTP/1.0"))
             got = b"".join([data async for data in client])
@@ -99,50 +99,50 @@
             sent += 65536
 
     one, other = Peer(endless), Peer(endless)
-    async with running_node(one, other) as on, await on.client() as slow:
-        # The kernel would let the slow one's buffer grow to 32 MB where the machine is busy: it takes nothing
+    async with running_node(one, other) as running, await running.client() as slow:
+        # On a busy machine the kernel lets the receive buffer of a client that reads nothing grow to 32 MB.
         slow.extra(SocketAttribute.raw_socket).setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 262_144)
         await slow.send(request())
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while not on.node.ways.in_use:
+            while not running.node.ways.in_use:
                 await anyio.sleep(0.01)
             before = -1
-            while before != sent:  # it stands still: the kernel's buffers are full
+            while before != sent:  # it stalls once the kernel's buffers are full
                 before = sent
                 await anyio.sleep(0.2)
         assert 0 < sent < MAX_STREAMED_BODY_BYTES // 2
         assert (
             0
-            < on.node.server.buffer_budget.held
-            <= on.node.server.buffer_budget.limit // 4 + BODY_BUFFER_BYTES
+            < running.node.server.buffer_budget.held
+            <= running.node.server.buffer_budget.limit // 4 + BODY_BUFFER_BYTES
         )
-        (connection,) = [c for c in on.node.server._connections if c.busy]
+        (connection,) = [c for c in running.node.server._connections if c.busy]
         assert isinstance(connection, clients.ClientConnection)
-        assert connection.link.unsent <= on.node.server.buffer_budget.limit // 4 + BODY_BUFFER_BYTES
+        assert connection.link.unsent <= running.node.server.buffer_budget.limit // 4 + BODY_BUFFER_BYTES
         for _ in range(3):
-            assert status(await on.ask(request())) == 200
+            assert status(await running.ask(request())) == 200
         await slow.aclose()
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while on.node.ways.in_use or on.node.host.open:
+            while running.node.ways.in_use or running.node.host.open:
                 await anyio.sleep(0.01)
-        assert on.node.server.buffer_budget.held == 0
+        assert running.node.server.buffer_budget.held == 0
 
 
-async def test_a_slow_reader_of_what_there_is_room_for_holds_no_member(
+async def test_a_slow_reader_within_the_buffer_budget_holds_no_member(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(clients, "RESPONSE_STALL_TIMEOUT_US", 200_000)
-    member = Peer(says(ANSWERS[0]))
-    async with running_node(member) as on, await on.client() as slow:
+    member = Peer(sends(ANSWERS[0]))
+    async with running_node(member) as running, await running.client() as slow:
         await slow.send(request())
         with anyio.fail_after(TEST_TIMEOUT_S):
             await member.wait_until(lambda peer: len(peer.seen) == 1)
-            while on.node.host.open or not on.node.members._idle:
+            while running.node.host.open or not running.node.members._idle:
                 await anyio.sleep(0.01)
-            on.node.stop()
+            running.node.stop()
             got = await slow.receive()
             while len(got) < len(LONG):
-                await anyio.sleep(0.02)  # it reads slowly, and it reads
+                await anyio.sleep(0.02)  # it reads slowly but steadily
                 got += await slow.receive()
         assert got.endswith(LONG)
 
@@ -153,7 +153,7 @@
         await stream.aclose()
 
     one, other = Peer(cut), Peer(cut)
-    async with running_node(one, other) as on, await on.client() as client:
+    async with running_node(one, other) as running, await running.client() as client:
         with anyio.fail_after(TEST_TIMEOUT_S):
             await client.send(request())
             got = b""
@@ -162,7 +162,7 @@
                     got += await client.receive()
         assert status(got) == 200 and len(got) < 200_000
         assert len(one.seen) + len(other.seen) == 1
-        assert on.node.ways.in_use == 0 and not on.node.host.open
+        assert running.node.ways.in_use == 0 and not running.node.host.open
 
 
 async def test_an_answer_without_a_length_is_not_held_back() -> None:
@@ -173,7 +173,7 @@
         await go_on.wait()
         await stream.send(b"4\r\nlast\r\n0\r\n\r\n")
 
-    async with running_node(Peer(slow)) as on, await on.client() as client:
+    async with running_node(Peer(slow)) as running, await running.client() as client:
         await client.send(request())
         with anyio.fail_after(TEST_TIMEOUT_S):
             got = b""
@@ -192,8 +192,8 @@
     return b"\r\n".join([*lines, b"Transfer-Encoding: chunked"]) + b"\r\n\r\n" + chunked(body)
 
 
-class Taker(Peer):
-    """Reads bodies of both forms."""
+class BodyReader(Peer):
+    """Reads request bodies with Content-Length and chunked ones."""
 
     async def read(self, stream: SocketStream) -> bytes:
         data = await stream.receive()
@@ -212,48 +212,48 @@
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
 async def test_a_long_request_passes_on_unchanged_and_counts_from_its_last_byte(form: str) -> None:
-    member = Taker()
-    async with running_node(member) as on, await on.client() as client:
+    member = BodyReader()
+    async with running_node(member) as running, await running.client() as client:
         data = upload("issue-buy", LONG, form).replace(b"Request-Timeout: 3000m", b"Request-Timeout: 700m")
         with anyio.fail_after(2 * TEST_TIMEOUT_S):
             began = time.monotonic()
             for at in range(0, len(data), len(data) // 5):
                 await client.send(data[at : at + len(data) // 5])
                 await anyio.sleep(0.25)
-            assert time.monotonic() - began > 1.0  # longer than its time: that has not begun yet
+            assert time.monotonic() - began > 1.0  # longer than its time-out, which has not begun yet
             assert status(await read_message(client)) == 200
         assert member.seen[0].partition(b"\r\n\r\n")[2] == LONG
-        assert status(await on.ask(request(), client)) == 200
+        assert status(await running.ask(request(), client)) == 200
 
 
 @pytest.mark.parametrize("cls", ["issue-buy", "code-redeem"])
 async def test_a_long_request_goes_out_once(cls: str) -> None:
-    one, other = Taker(answer(500)), Taker(answer(500))
-    async with running_node(one, other) as on:
-        got = await on.ask(upload(cls, LONG, "length"))
+    one, other = BodyReader(answer(500)), BodyReader(answer(500))
+    async with running_node(one, other) as running:
+        got = await running.ask(upload(cls, LONG, "length"))
     assert status(got) == (503 if cls == "issue-buy" else 502)
     assert len(one.seen) + len(other.seen) == 1
 
 
 async def test_a_body_that_stops_coming_ends_its_own_request_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clients, "REQUEST_READ_TIMEOUT_US", 300_000)
-    member = Taker()
-    async with running_node(member) as on, await on.client() as client:
+    member = BodyReader()
+    async with running_node(member) as running, await running.client() as client:
         await client.send(upload("issue-buy", LONG, "length")[:200_000])
         with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await read_message(client)) == 408
             await member.wait_until(lambda peer: peer.closed == 1)
-        assert not on.node.host.open
-        assert status(await on.ask(request())) == 200
+        assert not running.node.host.open
+        assert status(await running.ask(request())) == 200
 
 
-async def test_a_member_that_answers_before_the_body_has_come_is_heard() -> None:
+async def test_a_response_before_the_end_of_the_body_is_forwarded() -> None:
     class Hasty(Peer):
         async def read(self, stream: SocketStream) -> bytes:
             return await stream.receive()
 
     early = Hasty(answer(503, b"", b"Not-Started: 1"))
-    async with running_node(early) as on, await on.client() as client:
+    async with running_node(early) as running, await running.client() as client:
         await client.send(upload("issue-buy", LONG, "length")[:300_000])
         with anyio.fail_after(TEST_TIMEOUT_S):
             got = await read_message(client)
@@ -261,7 +261,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says_status"),
+    ("change", "expected_status"),
     [
         ((b"GET /", b"GET http://origin.svc/"), 200),
         ((b"Host: origin.svc", b"Host: origin.svc\r\nX-Fold: a\r\n  b"), 200),
@@ -273,17 +273,17 @@
         ((b"Host: origin.svc", b"Host: a\r\nContent-Length: %d" % (MAX_STREAMED_BODY_BYTES + 1)), 413),
     ],
 )
-async def test_every_form_is_read_one_way(change: tuple[bytes, bytes], says_status: int) -> None:
+async def test_every_form_is_read_one_way(change: tuple[bytes, bytes], expected_status: int) -> None:
     member = Peer()
-    async with running_node(member) as on:
-        assert status(await on.ask(request().replace(*change))) == says_status
-    if says_status == 200:
+    async with running_node(member) as running:
+        assert status(await running.ask(request().replace(*change))) == expected_status
+    if expected_status == 200:
         assert member.seen[0].startswith(b"GET /page-fetch/more/00000000b4d65521?a=%20b HTTP/1.1\r\n")
 
 
-async def test_a_long_request_that_waits_to_be_asked_is_asked() -> None:
-    member = Taker()
-    async with running_node(member) as on, await on.client() as client:
+async def test_a_long_request_that_expects_100_continue_gets_it() -> None:
+    member = BodyReader()
+    async with running_node(member) as running, await running.client() as client:
         data = upload("issue-buy", LONG, "length").replace(b"\r\nHost", b"\r\nExpect: 100-continue\r\nHost")
         head, _, body = data.partition(b"\r\n\r\n")
         with anyio.fail_after(TEST_TIMEOUT_S):
@@ -294,26 +294,26 @@
         assert member.seen[0].endswith(body)
 
 
-async def test_a_body_under_way_waits_for_the_next_connection() -> None:
-    """Put to the one that broke, what came between the two would be missing in the middle."""
+async def test_an_upload_waits_for_the_next_connection() -> None:
+    """Data that arrives between two connections must not go to the broken one: it would be missing later."""
     source, broken, again = MagicMock(), MagicMock(), MagicMock()
-    under_way = Upload(source, None)
+    upload_in_progress = Upload(source, None)
     opened = MagicMock(deadline_us=10**9)
-    opened.arrival.message.upload = under_way
+    opened.arrival.message.upload = upload_in_progress
     send_stage = MagicMock()
     flow = ServerSideFlow(send_stage, opened, 0, api.Send(1, 1, 0), 0)
     flow.connection = broken
-    under_way.attach(broken)
+    upload_in_progress.attach(broken)
     flow.broken(ExchangeError(Ending.CONNECT_FAILED, retryable=True))
     send_stage.attempt.assert_called_once_with(flow)
-    assert under_way.put(b"more", False) is False  # held, and its client not read on
-    under_way.attach(again)
+    assert upload_in_progress.put(b"more", False) is False  # held; its client is not read any further
+    upload_in_progress.attach(again)
     again.write_body.assert_called_once_with(b"more", False)
     broken.write_body.assert_not_called()
 
 
-async def test_an_answer_under_way_is_not_ended_by_another_attempt_s() -> None:
-    """Where attempts may not be withdrawn, a second one ends well while the first one's answer goes on."""
+async def test_a_streamed_response_is_not_ended_by_another_attempt() -> None:
+    """If attempts may not be cancelled, a second one can succeed while the first one's response streams."""
     host, send = MagicMock(), api.Send(1, 1, 0)
     opened = MagicMock(streams=0, units=0.0)
     for number, served in ((1, False), (0, True)):
@@ -322,7 +322,7 @@
     opened.caller.cut.assert_not_called()
 
 
-async def test_ways_are_taken_in_turn_and_given_back() -> None:
+async def test_body_slots_are_acquired_in_turn_and_released() -> None:
     ways, started = BodySlots(2), list[int]()
     for number in range(4):
         ways.acquire(lambda number=number: started.append(number))  # type: ignore[misc]
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -13,7 +13,7 @@
 from millfront.node.config import Address
 from millfront.node.counter import Counter
 from millfront.node.host import Clock, Timers
-from tests.peers import TEST_TIMEOUT_S, CounterPeer, Step, breaks, listening, says, silent
+from tests.peers import TEST_TIMEOUT_S, CounterPeer, Step, disconnects, listening, sends, silent
 
 pytestmark = pytest.mark.anyio
 WAIT_US = 80_000
@@ -57,7 +57,7 @@
 
 
 async def test_calls_are_pipelined_and_matched_in_order() -> None:
-    desk = CounterPeer(says(b"ok 5\r\nbusy\r\nok 2.5e3\r\ner"), says(b"ror\r\nok -1\r\n"))
+    desk = CounterPeer(sends(b"ok 5\r\nbusy\r\nok 2.5e3\r\ner"), sends(b"ror\r\nok -1\r\n"))
     async with calling(desk) as (heard, counter):
         for name in (0xABC, 2, 3):
             counter.call(api.Count(name, 2.5, 4_000_500))
@@ -80,7 +80,7 @@
         await go_on.wait()
         await stream.send(b"ok 1\r\n")
 
-    desk = CounterPeer(late, says(b"ok 2\r\n"))
+    desk = CounterPeer(late, sends(b"ok 2\r\n"))
     async with calling(desk) as (heard, counter):
         counter.call(api.Count(1, 1.0, 1000))
         await heard.until(1)
@@ -93,13 +93,13 @@
 @pytest.mark.parametrize(
     ("ends", "outcome"),
     [
-        (breaks, Outcome.RESET),  # may have been added
+        (disconnects, Outcome.RESET),  # may have been added
         (silent, Outcome.TIMEOUT),
-        (says(b"what?\r\n"), Outcome.RESET),
-        (says(b"ok nan\r\n"), Outcome.RESET),
-        (says(b"ok 1_0\r\n"), Outcome.RESET),
-        (says(b"x" * 400), Outcome.RESET),
-        (says(b"busy\r\n"), Outcome.FULL),  # surely not added, as is what was never written
+        (sends(b"what?\r\n"), Outcome.RESET),
+        (sends(b"ok nan\r\n"), Outcome.RESET),
+        (sends(b"ok 1_0\r\n"), Outcome.RESET),
+        (sends(b"x" * 400), Outcome.RESET),
+        (sends(b"busy\r\n"), Outcome.FULL),  # surely not added, as is what was never written
     ],
 )
 async def test_how_a_call_ends_and_the_next_one_is_answered(ends: Step, outcome: Outcome) -> None:
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The fast path of HTTP/1.1 beside h11: for any bytes, split anywhere, it yields what h11 yields."""
+"""The fast path of HTTP/1.1 against h11: for any bytes, split anywhere, both yield the same."""
 
 import itertools
 from typing import Any
@@ -55,38 +55,38 @@
     b"HTTP/1.1 600 X\r\n",
 ]
 BYTES = st.lists(st.sampled_from(TOKENS), max_size=9).map(b"".join) | st.binary(max_size=60)
-USUAL = (
+CANONICAL_REQUEST = (
     b"POST /issue-buy/00000000b4d65521 HTTP/1.1\r\nHost: a\r\nPlan: casual\r\nContent-Length: 3\r\n\r\nabc"
 )
-PAGE = b"HTTP/1.1 200 OK\r\nBilled-Units: 3\r\nContent-Length: 3\r\n\r\nabc"
+CANONICAL_RESPONSE = b"HTTP/1.1 200 OK\r\nBilled-Units: 3\r\nContent-Length: 3\r\n\r\nabc"
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
+def split_at(data: bytes, at: list[int]) -> list[bytes]:
     edges = sorted({0, len(data), *(place for place in at if place < len(data))})
     return [data[a:b] for a, b in itertools.pairwise(edges)]
 
 
-def requests(codec: ServerCodec, parts: list[bytes]) -> list[Any]:
-    """What comes of them, each request answered as soon as it is there; ends at what can't be read."""
+def parse_requests(codec: ServerCodec, parts: list[bytes]) -> list[Any]:
+    """The requests, each with the bytes that answer it at once; ends with the status of an invalid one."""
     found: list[Any] = []
     for part in parts:
         codec.feed(part)
         while True:
             try:
                 message = codec.next_request()
-            except NotTaken as wrong:
-                return [*found, wrong.status]
+            except NotTaken as error:
+                return [*found, error.status]
             if message is None:
                 break
             found.append((message.start, message.fields, message.raw_fields, message.body))
-            data, goes_on = codec.encode_response(Message(200, [], [], b"ok"), False)
-            found.append((data.lower().replace(b"\r\n\r\n", b"\r\n"), goes_on))
-            if not goes_on:
+            data, reusable = codec.encode_response(Message(200, [], [], b"ok"), False)
+            found.append((data.lower().replace(b"\r\n\r\n", b"\r\n"), reusable))
+            if not reusable:
                 return found
     return found
 
 
-class Slow(ServerCodec):
+class H11ServerCodec(ServerCodec):
     """Never takes the fast path."""
 
     __slots__ = ()
@@ -99,16 +99,16 @@
 
 @settings(max_examples=600, deadline=None)
 @given(BYTES, st.lists(st.integers(0, 200), max_size=5))
-@example(USUAL * 3, [7, 90, 91])
+@example(CANONICAL_REQUEST * 3, [7, 90, 91])
 @example(b"GET / HTTP/1.1\nHost: a\n\n", [3])
 @example(b"GET / HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n", [])
 @example(b"GET / HTTP/1.1\r\n\r\n", [])
 def test_requests_are_what_h11_reads(data: bytes, at: list[int]) -> None:
-    parts = cut(data, at)
-    assert requests(ServerCodec(), parts) == requests(Slow(), parts)
+    parts = split_at(data, at)
+    assert parse_requests(ServerCodec(), parts) == parse_requests(H11ServerCodec(), parts)
 
 
-def answers(codec: ResponseParser, parts: list[bytes], ends: bool) -> Any:
+def parse_response(codec: ResponseParser, parts: list[bytes], ends: bool) -> Any:
     codec.expect(b"GET")
     try:
         for position, part in enumerate(parts):
@@ -120,7 +120,7 @@
         return ended.ending
 
 
-class SlowAnswers(ResponseParser):
+class H11ResponseParser(ResponseParser):
     __slots__ = ()
 
     def _parse_fast(self) -> Message | None:
@@ -130,37 +130,37 @@
 
 @settings(max_examples=600, deadline=None)
 @given(BYTES, st.lists(st.integers(0, 200), max_size=5), st.booleans())
-@example(PAGE, [5, 60], False)
-@example(PAGE + b"x", [], False)
+@example(CANONICAL_RESPONSE, [5, 60], False)
+@example(CANONICAL_RESPONSE + b"x", [], False)
 @example(b"HTTP/1.1 200 OK\r\n\r\nuntil the end", [20], True)
 def test_answers_are_what_h11_reads(data: bytes, at: list[int], ends: bool) -> None:
-    parts = cut(data, at)
-    assert answers(ResponseParser(), parts, ends) == answers(SlowAnswers(), parts, ends)
+    parts = split_at(data, at)
+    assert parse_response(ResponseParser(), parts, ends) == parse_response(H11ResponseParser(), parts, ends)
 
 
-@pytest.mark.parametrize("cuts", [[], [1], list(range(len(USUAL)))])
-def test_the_usual_request_and_answer_take_the_fast_path(cuts: list[int]) -> None:
+@pytest.mark.parametrize("cuts", [[], [1], list(range(len(CANONICAL_REQUEST)))])
+def test_a_canonical_request_and_response_take_the_fast_path(cuts: list[int]) -> None:
     codec = ServerCodec()
     found = []
-    for part in cut(USUAL, cuts):
+    for part in split_at(CANONICAL_REQUEST, cuts):
         codec.feed(part)
         found += [message for message in [codec.next_request()] if message is not None]
     assert [message.body for message in found] == [b"abc"] and codec._h11 is None
     member = ResponseParser()
     member.expect(b"GET")
-    done = [m for part in cut(PAGE, cuts) if (m := member.feed(part)) is not None]
+    done = [m for part in split_at(CANONICAL_RESPONSE, cuts) if (m := member.feed(part)) is not None]
     assert len(done) == 1 and member.reusable and member._h11 is None
 
 
-def test_the_answer_to_head_is_whole_with_its_head() -> None:
-    answers = ResponseParser()
-    answers.expect(b"HEAD")
-    found = answers.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n")
+def test_a_response_to_head_is_complete_with_its_head() -> None:
+    parser = ResponseParser()
+    parser.expect(b"HEAD")
+    found = parser.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n")
     assert found is not None and found.body_incomplete
-    assert answers.read_body(b"") == b"" and not answers.body_pending and answers.reusable
+    assert parser.read_body(b"") == b"" and not parser.body_pending and parser.reusable
 
 
-def test_what_is_written_is_what_h11_writes() -> None:
+def test_an_encoded_response_is_read_back_by_h11() -> None:
     fields = [(b"Content-Type", b"text/plain"), (b"Retry-After", b"0.500")]
     answer = Message(503, fields, fields, b"refused")
     peer = h11.Connection(h11.CLIENT)
@@ -175,4 +175,4 @@
 
 
 def test_a_head_without_end_is_refused() -> None:
-    assert requests(ServerCodec(), [b"GET / HTTP/1.1\r\nX: ", b"y" * MAX_HEAD_BYTES, b"y" * 9]) == [431]
+    assert parse_requests(ServerCodec(), [b"GET / HTTP/1.1\r\nX: ", b"y" * MAX_HEAD_BYTES, b"y" * 9]) == [431]
--- a/tests/test_live_plans.py
+++ b/tests/test_live_plans.py
@@ -183,7 +183,7 @@
     span = {"from": "2026-01-01T00:00:00Z", "until": "2036-01-01T00:00:00Z"}
     reserved = {"name": "launch", "customer": CUSTOMER, "units": 20.0} | span
     put(tmp_path / "book.json", 1, "spent", reservations=[reserved])
-    async with running_node(Peer(), desk=desk, operators=operators(tmp_path)) as on:
+    async with running_node(Peer(), counter=desk, operators=operators(tmp_path)) as on:
         answers: list[int] = []
         with anyio.fail_after(TEST_TIMEOUT_S):
             while answers.count(200) < 10:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Stories of a node between scripted peers: what each peer saw."""
+"""A node between scripted peers: what each peer saw in each scenario."""
 
 import errno
 import json
@@ -22,15 +22,15 @@
     Peer,
     Step,
     answer,
-    breaks,
     configuration,
+    disconnects,
     fields_of,
     listening,
     read_message,
     request,
     row,
     running_node,
-    says,
+    sends,
     settings,
     silent,
     status,
@@ -46,10 +46,10 @@
 
 
 @pytest.mark.parametrize("cls", [name for name, _ in CLASSES])
-async def test_what_passes_on_is_what_came(cls: str) -> None:
+async def test_requests_and_responses_are_forwarded_unchanged(cls: str) -> None:
     member = Peer(answer(200, b"\x00a page\r\n", b"X-Kind: Sunday"))
-    async with running_node(member) as on:
-        got = await on.ask(
+    async with running_node(member) as running:
+        got = await running.ask(
             request(cls, Request_Id="9b1f03aa5c7e2d41", X_Trace="As It Came", Connection="x-hop", X_Hop="1")
         )
     (sent,) = member.seen
@@ -70,54 +70,53 @@
         (answer(504, b"", b"Not-Started: 1"), "code-redeem", 2, 200),
         (answer(500), "code-redeem", 1, 502),
         (answer(503), "code-redeem", 1, 502),  # without Not-Started it may have run
-        (breaks, "code-redeem", 1, 502),
-        (says(b"nonsense\r\n\r\n"), "code-redeem", 1, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), "code-redeem", 1, 502),
-        (says(b"HTTP/1.1 200 OK\r\nX-Endless: "), "issue-buy", 2, 200),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort"), "page-fetch", 2, 200),
-        (says(b"HTTP/1.1 103 X\r\n\r\n" * 50), "code-redeem", 1, 502),
+        (disconnects, "code-redeem", 1, 502),
+        (sends(b"nonsense\r\n\r\n"), "code-redeem", 1, 502),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), "code-redeem", 1, 502),
+        (sends(b"HTTP/1.1 200 OK\r\nX-Endless: "), "issue-buy", 2, 200),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort"), "page-fetch", 2, 200),
+        (sends(b"HTTP/1.1 103 X\r\n\r\n" * 50), "code-redeem", 1, 502),
         (
-            says(b"HTTP/1.1 200 X\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+            sends(b"HTTP/1.1 200 X\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
             "code-redeem",
             1,
             502,
         ),
         (answer(500), "page-fetch", 2, 200),
-        (breaks, "page-fetch", 2, 200),
-        (breaks, "issue-buy", 2, 200),
+        (disconnects, "page-fetch", 2, 200),
+        (disconnects, "issue-buy", 2, 200),
     ],
 )
 async def test_only_what_never_ran_or_may_repeat_goes_out_again(
     ends: Step, cls: str, attempts: int, final: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(
-        "millfront.node.stages.send.RESPONSE_COMPLETION_TIMEOUT_S", 0.1
-    )  # far below the deadline of 3 s
+    # far below the deadline of 3 s
+    monkeypatch.setattr("millfront.node.stages.send.RESPONSE_COMPLETION_TIMEOUT_S", 0.1)
 
-    async def once(stream: SocketStream) -> None:  # whichever member is tried first
+    async def once(stream: SocketStream) -> None:  # at whichever member is tried first
         one.script.clear()
         other.script.clear()
         await ends(stream)
 
     one, other = Peer(once), Peer(once)
-    async with running_node(one, other) as on:
+    async with running_node(one, other) as running:
         with anyio.fail_after(1.0):
-            got = await on.ask(request(cls))
+            got = await running.ask(request(cls))
         assert status(got) == final
         assert len(one.seen) + len(other.seen) == attempts
-        assert status(await on.ask(request())) == 200
+        assert status(await running.ask(request())) == 200
 
 
 async def test_a_refused_connection_never_ran() -> None:
     spare = Peer()
-    async with running_node(spare, gone="127.0.0.1:1") as on:
+    async with running_node(spare, gone="127.0.0.1:1") as running:
         for _ in range(4):
-            assert status(await on.ask(request("code-redeem"))) == 200
+            assert status(await running.ask(request("code-redeem"))) == 200
     assert len(spare.seen) == 4
 
 
 @pytest.mark.parametrize(
-    ("data", "says_status"),
+    ("data", "expected_status"),
     [
         (b"nonsense\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 70000, 431),
@@ -147,29 +146,29 @@
         (request(Plan="spent").replace(b"b4d65521", b"b4d65522"), 503),
     ],
 )
-async def test_bad_input_is_answered_and_others_go_on(data: bytes, says_status: int) -> None:
+async def test_bad_input_is_answered_and_others_go_on(data: bytes, expected_status: int) -> None:
     member = Peer()
-    async with running_node(member) as on:
-        other = await on.client()
-        assert status(await on.ask(request(), other)) == 200
-        assert status(await on.ask(data)) == says_status
-        assert status(await on.ask(request(), other)) == 200
-    assert len(member.seen) == 2 + (says_status == 200)
+    async with running_node(member) as running:
+        other = await running.client()
+        assert status(await running.ask(request(), other)) == 200
+        assert status(await running.ask(data)) == expected_status
+        assert status(await running.ask(request(), other)) == 200
+    assert len(member.seen) == 2 + (expected_status == 200)
 
 
 async def test_a_client_of_http_1_0_is_served() -> None:
     member = Peer()
-    async with running_node(member) as on:
+    async with running_node(member) as running:
         data = request().replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Host: origin.svc\r\n", b"")
-        assert status(await on.ask(data)) == 200
+        assert status(await running.ask(data)) == 200
     assert b"Host: " in member.seen[0]
 
 
-async def test_a_client_that_asks_first_is_told_to_go_on() -> None:
-    async with running_node(Peer()) as on, await on.client() as client:
+async def test_a_client_that_expects_100_continue_gets_it() -> None:
+    async with running_node(Peer()) as running, await running.client() as client:
         head, _, body = request("code-redeem", Expect="100-continue").partition(b"\r\n\r\n")
-        assert status(await on.ask(head + b"\r\n\r\n", client)) == 100
-        assert status(await on.ask(body, client)) == 200
+        assert status(await running.ask(head + b"\r\n\r\n", client)) == 100
+        assert status(await running.ask(body, client)) == 200
 
 
 async def test_the_id_of_an_open_request_is_refused_and_the_open_one_goes_on() -> None:
@@ -180,23 +179,23 @@
         await answer(200, b"hers")(stream)
 
     member = Peer(slow)
-    async with running_node(member) as on, await on.client() as client:
+    async with running_node(member) as running, await running.client() as client:
         await client.send(request(Request_Id="a1"))
         await member.wait_until(lambda peer: len(peer.seen) == 1)
-        assert status(await on.ask(request(Request_Id="A1"))) == 409
+        assert status(await running.ask(request(Request_Id="A1"))) == 409
         go_on.set()
         with anyio.fail_after(TEST_TIMEOUT_S):
             assert (await client.receive()).endswith(b"hers")
-        assert status(await on.ask(request(Request_Id="a1"))) == 200
+        assert status(await running.ask(request(Request_Id="a1"))) == 200
     assert len(member.seen) == 2
 
 
 async def test_silent_connections_are_closed_and_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with running_node(Peer()) as on:
-        on.node.server.max_connections = 4
-        silent_ones = [await on.client() for _ in range(9)]
+    async with running_node(Peer()) as running:
+        running.node.server.max_connections = 4
+        silent_ones = [await running.client() for _ in range(9)]
         for _ in range(2):
-            assert status(await on.ask(request())) == 200
+            assert status(await running.ask(request())) == 200
         monkeypatch.setattr("millfront.node.clients.REQUEST_READ_TIMEOUT_US", 100_000)
         for stream in silent_ones:
             with (
@@ -208,7 +207,7 @@
 
 @pytest.mark.parametrize("later", [False, True])
 @pytest.mark.parametrize("more", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", b"\x00\xffnoise"])
-async def test_what_comes_behind_an_answer_is_nobodys(more: bytes, later: bool) -> None:
+async def test_stray_bytes_behind_a_response_reach_no_client(more: bytes, later: bool) -> None:
     first = b"HTTP/1.1 103 X\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
     go_on, sent = anyio.Event(), anyio.Event()
 
@@ -219,21 +218,23 @@
         sent.set()
 
     member = Peer(too_much, answer(200, b"second"))
-    async with running_node(member) as on, await on.client() as client:
-        assert (await on.ask(request("code-redeem"), client)).endswith(b"first")
+    async with running_node(member) as running, await running.client() as client:
+        assert (await running.ask(request("code-redeem"), client)).endswith(b"first")
         go_on.set()
         with anyio.fail_after(TEST_TIMEOUT_S):
             await sent.wait()
-        assert (await on.ask(request("code-redeem"), client)).endswith(b"second")
+        assert (await running.ask(request("code-redeem"), client)).endswith(b"second")
     assert member.connections == 2
 
 
 @pytest.mark.parametrize("billed", [b"1e300", b"nan", b"-5", b"9", b"many"])
-async def test_a_figure_that_makes_no_sense_takes_nothing_from_the_customer(billed: bytes) -> None:
-    async with running_node(Peer(answer(200, b"page", b"Billed-Units: " + billed, b"Server-Load: {"))) as on:
+async def test_an_invalid_billed_figure_takes_nothing_from_the_customer(billed: bytes) -> None:
+    async with running_node(
+        Peer(answer(200, b"page", b"Billed-Units: " + billed, b"Server-Load: {"))
+    ) as running:
         for _ in range(3):
-            assert status(await on.ask(request())) == 200
-        (customer,) = on.node.host._gateway.customers.values()
+            assert status(await running.ask(request())) == 200
+        (customer,) = running.node.host._gateway.customers.values()
         assert customer.bucket > 200.0
 
 
@@ -249,9 +250,9 @@
 
     monkeypatch.setattr(Link, "write", breaks_first)
     member = Peer()
-    async with running_node(member) as on, await on.client() as client:
+    async with running_node(member) as running, await running.client() as client:
         for _ in range(2):
-            assert status(await on.ask(request("code-redeem"), client)) == 200
+            assert status(await running.ask(request("code-redeem"), client)) == 200
     assert (len(member.seen), member.connections) == (2, 3)
 
 
@@ -261,57 +262,56 @@
     async def breaks_at_the_next(stream: SocketStream) -> None:
         await answer(200, b"page")(stream)
         await read_message(stream)
-        await breaks(stream)
+        await disconnects(stream)
 
     monkeypatch.setattr("millfront.node.members.Wear.fade", lambda self: None)
     member = Peer(*[breaks_at_the_next] * 4)
-    async with running_node(member) as on, await on.client() as client:
-        monkeypatch.setattr(
-            "millfront.node.members.Wear.bucket", staticmethod(lambda idle_us: 1)
-        )  # all idle alike
-        got = [status(await on.ask(request("code-redeem"), client)) for _ in range(9)]
+    async with running_node(member) as running, await running.client() as client:
+        # all idle times in one bucket
+        monkeypatch.setattr("millfront.node.members.Wear.bucket", staticmethod(lambda idle_us: 1))
+        got = [status(await running.ask(request("code-redeem"), client)) for _ in range(9)]
     assert got == [200, 502, 200, 502, 200, 502, 200, 200, 200]
-    assert member.connections == 6  # none is taken up a second time any more
+    assert member.connections == 6  # no idle connection is reused any more
 
 
 async def test_a_request_never_finished_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millfront.node.clients.REQUEST_READ_TIMEOUT_US", 100_000)
-    async with running_node(Peer()) as on, await on.client() as client:
-        assert status(await on.ask(request()[:-2], client)) == 408
+    async with running_node(Peer()) as running, await running.client() as client:
+        assert status(await running.ask(request()[:-2], client)) == 408
         with anyio.fail_after(TEST_TIMEOUT_S), pytest.raises(anyio.EndOfStream):
             await client.receive()
 
 
 async def test_a_watch_that_falls_silent_is_asked_for_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millfront.node.pool.SILENT_S", 0.1)
-    async with running_node(Peer()) as on:
-        await on.discovery.wait_until(lambda peer: on.discovery.watches == 2 and peer.closed == 1)
-        assert status(await on.ask(request())) == 200
+    async with running_node(Peer()) as running:
+        await running.discovery.wait_until(lambda peer: running.discovery.watches == 2 and peer.closed == 1)
+        assert status(await running.ask(request())) == 200
 
 
 async def test_members_that_are_long_gone_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millfront.node.pool.FORGET_US", 0)
-    async with running_node(Peer(), Peer()) as on:
-        pool = on.node.pool
+    async with running_node(Peer(), Peer()) as running:
+        pool = running.node.pool
         for seq in (42, 43):
             pool.take({"seq": seq, "whole": True, "hosts": [row("s-new", "127.0.0.1:1")]})
             await anyio.sleep(0)
-        assert list(pool._ids) == ["s-new"] and not on.node.members.get(1)
+        assert list(pool._ids) == ["s-new"] and not running.node.members.get(1)
 
 
 async def test_pipelined_requests_are_answered_in_turn() -> None:
     member = Peer(answer(200, b"first"), answer(200, b"second"))
-    async with running_node(member) as on, await on.client() as client:
-        assert (await on.ask(request() + request(), client)).endswith(b"first")
+    async with running_node(member) as running, await running.client() as client:
+        assert (await running.ask(request() + request(), client)).endswith(b"first")
         with anyio.fail_after(TEST_TIMEOUT_S):
             assert (await client.receive()).endswith(b"second")
 
 
 async def test_at_the_deadline_the_answer_goes_out_and_the_attempt_is_closed() -> None:
     member = Peer(silent)
-    async with running_node(member) as on:
+    async with running_node(member) as running:
         before = anyio.current_time()
-        got = await on.ask(request("code-redeem", Request_Timeout="200000u"))
+        got = await running.ask(request("code-redeem", Request_Timeout="200000u"))
         took = anyio.current_time() - before
         await member.wait_until(lambda peer: peer.closed == 1)
     assert status(got) == 502 and 0.19 < took < 1.0
@@ -319,51 +319,51 @@
 
 async def test_a_client_that_leaves_withdraws_its_attempt() -> None:
     member = Peer(silent)
-    async with running_node(member) as on:
-        client = await on.client()
+    async with running_node(member) as running:
+        client = await running.client()
         await client.send(request())
         await member.wait_until(lambda peer: len(peer.seen) == 1)
         await client.aclose()
         await member.wait_until(lambda peer: peer.closed == 1)
-        assert not on.node.host.open and not on.node.host.owed
-        assert status(await on.ask(request())) == 200
+        assert not running.node.host.open and not running.node.host.owed
+        assert status(await running.ask(request())) == 200
 
 
 async def test_the_health_page_is_there_for_head_too() -> None:
-    async with running_node(Peer()) as on, await on.client() as client:
+    async with running_node(Peer()) as running, await running.client() as client:
         await client.send(b"HEAD /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
         with anyio.fail_after(TEST_TIMEOUT_S):
             got = await client.receive()
         assert status(got) == 200 and got.endswith(b"\r\n\r\n")
-        assert status(await on.ask(request(), client)) == 200
+        assert status(await running.ask(request(), client)) == 200
 
 
 async def test_too_many_open_requests_are_rejected() -> None:
     member = Peer(silent)
-    async with running_node(member, MaxOpen=1) as on:
-        client = await on.client()
+    async with running_node(member, MaxOpen=1) as running:
+        client = await running.client()
         await client.send(request())
         await member.wait_until(lambda peer: len(peer.seen) == 1)
-        assert status(await on.ask(request())) == 503
+        assert status(await running.ask(request())) == 503
     assert len(member.seen) == 1
 
 
 async def test_connections_are_reused_and_one_ended_by_the_member_is_not() -> None:
     async def answers_and_ends(stream: SocketStream) -> None:
         await answer(200, b"page")(stream)
-        await breaks(stream)
+        await disconnects(stream)
 
     member = Peer(answer(200), answers_and_ends)
-    async with running_node(member) as on:
+    async with running_node(member) as running:
         for _ in range(2):
-            assert status(await on.ask(request("code-redeem"))) == 200
+            assert status(await running.ask(request("code-redeem"))) == 200
         assert member.connections == 1
         await member.wait_until(lambda peer: peer.closed == 1)
-        assert status(await on.ask(request("code-redeem"))) == 200
+        assert status(await running.ask(request("code-redeem"))) == 200
     assert member.connections == 2
 
 
-async def test_one_told_draining_gets_nothing_not_even_on_a_connection_being_set_up(
+async def test_a_draining_member_gets_nothing_even_on_a_connection_being_set_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     member = Peer()
@@ -377,19 +377,19 @@
         return dial(members, to, later)
 
     monkeypatch.setattr(Members, "dial", slow_dial)
-    async with running_node(member) as on, await on.client() as client:
+    async with running_node(member) as running, await running.client() as client:
         await client.send(request("code-redeem", Request_Timeout="500m"))
         with anyio.fail_after(TEST_TIMEOUT_S):
             await dialling.wait()
         told = {"seq": 42, "whole": False, "hosts": [row("s-0", member.address, "Terminating")]}
-        await on.discovery.send_line(json.dumps(told).encode() + b"\n")
+        await running.discovery.send_line(json.dumps(told).encode() + b"\n")
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while on.node.pool.seq != 42:
+            while running.node.pool.seq != 42:
                 await anyio.sleep(0.001)
         up[0]()
         with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await client.receive()) == 503
-        assert status(await on.ask(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")) == 503
+        assert status(await running.ask(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")) == 503
     assert member.seen == []
 
 
@@ -398,17 +398,17 @@
 )
 async def test_a_malformed_list_ends_the_watch_only_and_the_next_may_move_a_member(line: bytes) -> None:
     first, second = Peer(), Peer()
-    async with running_node(first, second) as on:
-        await on.discovery.send_line(line)
-        await on.discovery.wait_until(lambda _: on.discovery.watches == 2)
-        assert b"after=41" in on.discovery.seen[1]
+    async with running_node(first, second) as running:
+        await running.discovery.send_line(line)
+        await running.discovery.wait_until(lambda _: running.discovery.watches == 2)
+        assert b"after=41" in running.discovery.seen[1]
         told = {"seq": 44, "whole": True, "hosts": [row("s-0", second.address)]}
-        await on.discovery.send_line(json.dumps(told).encode()[:20])
-        await on.discovery.send_line(json.dumps(told).encode()[20:] + b"\n\n")
+        await running.discovery.send_line(json.dumps(told).encode()[:20])
+        await running.discovery.send_line(json.dumps(told).encode()[20:] + b"\n\n")
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while on.node.pool.seq != 44:
+            while running.node.pool.seq != 44:
                 await anyio.sleep(0.001)
-        assert status(await on.ask(request())) == 200
+        assert status(await running.ask(request())) == 200
     assert (len(first.seen), len(second.seen)) == (0, 1)
 
 
@@ -419,29 +419,37 @@
         await go_on.wait()
         await stream.send(b"ok 1\r\n")
 
-    one, other, desk, next_desk, discovery = Peer(), Peer(), CounterPeer(late), CounterPeer(), Discovery()
+    one, other, counter, next_counter, discovery = (
+        Peer(),
+        Peer(),
+        CounterPeer(late),
+        CounterPeer(),
+        Discovery(),
+    )
     answered: list[api.Outcome] = []
-    async with running_node(one, desk=desk) as on, listening(other, next_desk, discovery):
-        assert on.node.counter is not None
-        on.node.counter.wait_us = 2_000_000
-        tell = on.node.host.tell
-        on.node.host.tell = lambda event: (  # type: ignore[method-assign]
+    async with running_node(one, counter=counter) as running, listening(other, next_counter, discovery):
+        assert running.node.counter is not None
+        running.node.counter.wait_us = 2_000_000
+        tell = running.node.host.tell
+        running.node.host.tell = lambda event: (  # type: ignore[method-assign]
             answered.append(event.outcome) if isinstance(event, api.CounterAnswered) else tell(event)
         )
-        assert status(await on.ask(request())) == 200
-        on.node.host.start_count(api.Count(1, 1.0, 1000))
-        await desk.wait_until(lambda peer: len(peer.seen) == 1)
+        assert status(await running.ask(request())) == 200
+        running.node.host.start_count(api.Count(1, 1.0, 1000))
+        await counter.wait_until(lambda peer: len(peer.seen) == 1)
         discovery.full_list = json.dumps(
             {"seq": 7, "whole": True, "hosts": [row("s-1", other.address)]}
         ).encode()
-        on.node.move(config.Address.parse(discovery.address, ""), config.Address.parse(next_desk.address, ""))
-        on.node.host.start_count(api.Count(2, 1.0, 1000))
-        await next_desk.wait_until(lambda peer: len(peer.seen) == 1)
+        running.node.move(
+            config.Address.parse(discovery.address, ""), config.Address.parse(next_counter.address, "")
+        )
+        running.node.host.start_count(api.Count(2, 1.0, 1000))
+        await next_counter.wait_until(lambda peer: len(peer.seen) == 1)
         go_on.set()
         await discovery.wait_until(lambda _: discovery.watches == 1)
         assert b"after=7 " in discovery.seen[1]
-        await on.discovery.wait_until(lambda peer: peer.closed == 1)
-        assert status(await on.ask(request())) == 200
+        await running.discovery.wait_until(lambda peer: peer.closed == 1)
+        assert status(await running.ask(request())) == 200
         with anyio.fail_after(TEST_TIMEOUT_S):
             while len(answered) < 2:
                 await anyio.sleep(0.001)
@@ -449,7 +457,7 @@
     assert answered == [api.Outcome.OK] * 2
 
 
-async def test_a_planned_end_takes_what_still_comes_and_loses_nothing() -> None:
+async def test_a_graceful_shutdown_serves_late_requests_and_loses_nothing() -> None:
     finish = anyio.Event()
 
     async def slow(stream: SocketStream) -> None:
@@ -457,26 +465,30 @@
         await answer(200, b"slow")(stream)
 
     member = Peer(slow)
-    async with running_node(member) as on, await on.client() as waiting, await on.client() as resting:
+    async with (
+        running_node(member) as running,
+        await running.client() as waiting,
+        await running.client() as resting,
+    ):
         await waiting.send(request())
         await member.wait_until(lambda peer: len(peer.seen) == 1)
-        on.node.stop()
-        await anyio.sleep(0.3)  # the front still brings new connections
-        late = await on.ask(request(), resting)
+        running.node.stop()
+        await anyio.sleep(0.3)  # the load balancer in front still brings new connections
+        late = await running.ask(request(), resting)
         assert status(late) == 200
-        assert status(await on.ask(request())) == 200
+        assert status(await running.ask(request())) == 200
         with anyio.fail_after(TEST_TIMEOUT_S), pytest.raises(anyio.EndOfStream):
             await resting.receive()
-        assert not on.ended.is_set()
+        assert not running.ended.is_set()
         finish.set()
         with anyio.fail_after(TEST_TIMEOUT_S):
             last = await waiting.receive()
-            await on.ended.wait()
+            await running.ended.wait()
         assert status(last) == 200 and b"Connection: close" in last
 
 
 async def test_out_of_descriptors_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with running_node(Peer()) as on:
+    async with running_node(Peer()) as running:
         failures = [OSError(errno.EMFILE, "Too many open files"), OSError(errno.ECONNABORTED, "Aborted")]
 
         def fails(listener: socket.socket) -> socket.socket:
@@ -486,24 +498,25 @@
 
         monkeypatch.setattr("millfront.node.clients.accept", fails)
         for _ in range(3):
-            assert status(await on.ask(request())) == 200
+            assert status(await running.ask(request())) == 200
         assert not failures
 
 
-async def test_own_want_of_descriptors_is_not_the_members_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_lack_of_own_descriptors_is_not_the_members_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     def out_of_descriptors(host: str) -> socket.socket:
         raise OSError(errno.EMFILE, "Too many open files")
 
-    async with running_node(Peer()) as on, await on.client() as client:
+    async with running_node(Peer()) as running, await running.client() as client:
         with monkeypatch.context() as patch:
             patch.setattr("millfront.node.link.open_socket", out_of_descriptors)
-            assert status(await on.ask(request(), client)) == 503
-        assert status(await on.ask(request(), client)) == 200  # refused, were the member ejected
+            assert status(await running.ask(request(), client)) == 503
+        # rejected if the member had been ejected
+        assert status(await running.ask(request(), client)) == 200
 
 
 async def test_the_module_failing_on_one_event_is_not_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with running_node(Peer()) as on:
-        handle = on.node.host._gateway.handle
+    async with running_node(Peer()) as running:
+        handle = running.node.host._gateway.handle
         faults = [ZeroDivisionError()]
 
         def fails_once(*args: Any) -> Any:
@@ -511,26 +524,26 @@
                 raise faults.pop()
             return handle(*args)
 
-        monkeypatch.setattr(on.node.host._gateway, "handle", fails_once)
+        monkeypatch.setattr(running.node.host._gateway, "handle", fails_once)
         with anyio.move_on_after(0.1):
-            await on.ended.wait()  # the beat fails, and beats again
+            await running.ended.wait()  # one tick fails, the next one comes all the same
         assert not faults
-        assert status(await on.ask(request())) == 200
+        assert status(await running.ask(request())) == 200
         faults.append(ZeroDivisionError())
-        assert status(await on.ask(request(Request_Timeout="100m"))) in (200, 502)
+        assert status(await running.ask(request(Request_Timeout="100m"))) in (200, 502)
 
 
 async def test_of_two_copies_the_first_answer_counts_and_the_other_is_withdrawn() -> None:
     one, other = Peer(), Peer()
-    async with running_node(one, other, SecondCopies=True) as on, await on.client() as client:
-        for _ in range(25):  # a copy must be earned
-            assert status(await on.ask(request(), client)) == 200
+    async with running_node(one, other, SecondCopies=True) as running, await running.client() as client:
+        for _ in range(25):  # second copies have to be earned by earlier requests
+            assert status(await running.ask(request(), client)) == 200
         one.script.append(silent)
         other.script.append(silent)
         sent = len(one.seen) + len(other.seen)
         asked = anyio.create_task_group()
         async with asked:
-            asked.start_soon(on.ask, request(), client)
+            asked.start_soon(running.ask, request(), client)
             first = one
             with anyio.fail_after(TEST_TIMEOUT_S):
                 while len(one.seen) + len(other.seen) == sent:
@@ -539,17 +552,17 @@
             second.script.clear()
         await first.wait_until(lambda peer: peer.closed == 1)
         assert len(one.seen) + len(other.seen) == sent + 2
-        assert not on.node.host.open and not on.node.host.owed
+        assert not running.node.host.open and not running.node.host.owed
 
 
-async def test_the_counter_is_told_what_was_sent() -> None:
-    desk = CounterPeer()
-    async with running_node(Peer(), desk=desk) as on, await on.client() as client:
+async def test_the_counter_receives_what_was_sent() -> None:
+    counter = CounterPeer()
+    async with running_node(Peer(), counter=counter) as running, await running.client() as client:
         for _ in range(12):
-            assert status(await on.ask(request(), client)) == 200
-        await desk.wait_until(lambda peer: len(peer.seen) > 0)
-    word, name, amount, ttl = desk.seen[0].split()
-    # 24 units asked and sent, in grains of 100 units a second x 15 s x 3 / 2000, share one number
+            assert status(await running.ask(request(), client)) == 200
+        await counter.wait_until(lambda peer: len(peer.seen) > 0)
+    word, name, amount, ttl = counter.seen[0].split()
+    # 24 units asked and 24 sent, packed in one number, each in steps of 100 units/s x 15 s x 3 / 2000
     assert word == b"add" and len(name) <= 64 and ttl == b"30000"
     assert divmod(int(amount), 2000) == (11, 11)
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -20,8 +20,8 @@
     TEST_TIMEOUT_S,
     Peer,
     answer,
-    breaks,
     configuration,
+    disconnects,
     request,
     running_node,
     settings,
@@ -91,7 +91,7 @@
         one.script.clear()
         other.script.clear()
         await go_on.wait()
-        await breaks(stream)
+        await disconnects(stream)
 
     one, other = Peer(breaks_late), Peer(breaks_late)
     async with running_node(one, other) as on, await on.client() as waiting:
@@ -115,8 +115,8 @@
         assert status(await on.ask(request("issue-buy"))) == 200  # clients may not know yet
         assert status(await on.ask(request())) == 200  # a GET, as the old one has it
         redeem = request("code-redeem").replace(b"/code-redeem/", b"/page-fetch/")
-        one.script.append(breaks)
-        other.script.append(breaks)
+        one.script.append(disconnects)
+        other.script.append(disconnects)
         assert status(await on.ask(redeem)) == 502  # a POST: the new one, which may not run again
         one.script.clear()
         other.script.clear()
--- a/tests/test_usage_node.py
+++ b/tests/test_usage_node.py
@@ -14,7 +14,17 @@
 from millfront.usage.part import UsagePart
 from millfront.usage.receiver import Receiving, server
 from millfront.usage.sinks import HttpSink
-from tests.peers import TEST_TIMEOUT_S, Peer, answer, breaks, listening, request, running_node, silent, status
+from tests.peers import (
+    TEST_TIMEOUT_S,
+    Peer,
+    answer,
+    disconnects,
+    listening,
+    request,
+    running_node,
+    silent,
+    status,
+)
 
 pytestmark = pytest.mark.anyio
 
@@ -47,7 +57,7 @@
     told = answer(200, b"page", b"Billed-Units: 3.5")
     never = answer(503, b"", b"Not-Started: 1")
     # served; error, and nothing may repeat; broken, and its repeat served; never started at any member
-    member = Peer(told, answer(500), breaks, told, never)
+    member = Peer(told, answer(500), disconnects, told, never)
     async with running_node(member, operators=operators(tmp_path, address)) as on:
         assert status(await on.ask(request("page-fetch"))) == 200
         assert status(await on.ask(request("code-redeem"))) == 502
