--- a/millfront/node/clients.py
+++ b/millfront/node/clients.py
@@ -33,7 +33,7 @@
 RESPONSE_STALL_TIMEOUT_US = 10_000_000
 IDLE_TIMEOUT_US = 15_000_000  # keeps clients that send one request and stay from filling the connection table
 MIN_IDLE_BEFORE_EVICTION_US = 200_000  # before a connection may be closed to make room for another
-# During a drain, for a new connection to bring its request; it is closed after that request.
+# During a drain, for a new connection to bring its request; it is closed after that time or that request.
 FIRST_REQUEST_GRACE_US = 600_000
 LINGER_US = 1_000_000  # for the client to read a last response: a reset by an early close could overtake it
 MAX_LINGER_US = 10_000_000  # for a client that was answered early and still sends its request
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -381,8 +381,8 @@
         await client.send(request("code-redeem", Request_Timeout="500m"))
         with anyio.fail_after(TEST_TIMEOUT_S):
             await dialling.wait()
-        told = {"seq": 42, "whole": False, "hosts": [row("s-0", member.address, "Terminating")]}
-        await running.discovery.send_line(json.dumps(told).encode() + b"\n")
+        update = {"seq": 42, "whole": False, "hosts": [row("s-0", member.address, "Terminating")]}
+        await running.discovery.send_line(json.dumps(update).encode() + b"\n")
         with anyio.fail_after(TEST_TIMEOUT_S):
             while running.node.pool.seq != 42:
                 await anyio.sleep(0.001)
@@ -402,9 +402,9 @@
         await running.discovery.send_line(line)
         await running.discovery.wait_until(lambda _: running.discovery.watches == 2)
         assert b"after=41" in running.discovery.seen[1]
-        told = {"seq": 44, "whole": True, "hosts": [row("s-0", second.address)]}
-        await running.discovery.send_line(json.dumps(told).encode()[:20])
-        await running.discovery.send_line(json.dumps(told).encode()[20:] + b"\n\n")
+        update = {"seq": 44, "whole": True, "hosts": [row("s-0", second.address)]}
+        await running.discovery.send_line(json.dumps(update).encode()[:20])
+        await running.discovery.send_line(json.dumps(update).encode()[20:] + b"\n\n")
         with anyio.fail_after(TEST_TIMEOUT_S):
             while running.node.pool.seq != 44:
                 await anyio.sleep(0.001)
