--- a/millfront/node/drain.py
+++ b/millfront/node/drain.py
@@ -35,7 +35,7 @@
     def remove_reason(self, reason: Reason) -> None:
         """:raises ValueError: END cannot be removed"""
         if reason & Reason.END:
-            raise ValueError("a shutdown cannot be cancelled")
+            raise ValueError("a shutdown is for good and cannot be cancelled")
         self.reasons &= ~reason
 
     @property
