--- a/millfront/storage/disk.py
+++ b/millfront/storage/disk.py
@@ -19,7 +19,7 @@
 from millfront.storage.lmdb_folder import DiskError, LmdbFolder
 
 FORMAT = 2
-PACKED_FROM = 4096  # characters
+COMPRESS_MIN_CHARS = 4096  # characters
 MAP_BYTES = 24 * 1024 * 1024
 FOLDER = "registry"
 EARLIER_ROLE = "office"  # what the role was called: the platform names a role's folder after it
@@ -35,7 +35,7 @@
     """The register's values on the disk of one machine."""
 
     def __init__(self, state_dir: str) -> None:
-        self._files = LmdbFolder(_folder(Path(state_dir)), MAP_BYTES)
+        self._lmdb = LmdbFolder(_folder(Path(state_dir)), MAP_BYTES)
 
     def load(self) -> tuple[dict[str, Value], str]:
         """What is kept, and what was wrong with it (empty: nothing).
@@ -43,36 +43,36 @@
         :raises DiskError: nothing can be kept here
         """
         why = ""
-        if self._files.folder.exists():
+        if self._lmdb.folder.exists():
             try:
                 return self._read(), ""
-            except (lmdb.Error, ValueError, OSError, zlib.error) as wrong:
-                why = f"{wrong}"
-                self._files.set_aside()
+            except (lmdb.Error, ValueError, OSError, zlib.error) as error:
+                why = f"{error}"
+                self._lmdb.set_aside()
         try:
-            self._files.open()
-        except (lmdb.Error, OSError) as wrong:
-            raise DiskError(str(wrong)) from None
+            self._lmdb.open()
+        except (lmdb.Error, OSError) as error:
+            raise DiskError(str(error)) from None
         return {}, why
 
     @property
     def folder(self) -> Path:
         """Where the data lies."""
-        return self._files.folder
+        return self._lmdb.folder
 
     def close(self) -> None:
         """Close the database; the next load or store opens it again."""
-        self._files.close()
+        self._lmdb.close()
 
     def _read(self) -> dict[str, Value]:
         found = {}
-        with self._files.open().begin() as reading:
-            told = reading.get(b"format")
-            if told is not None and int(bytes(told)) > FORMAT:
-                raise ValueError(f"format {int(bytes(told))} is newer than {FORMAT}")
-            for key, value in reading.cursor():
+        with self._lmdb.open().begin() as transaction:
+            stored = transaction.get(b"format")
+            if stored is not None and int(bytes(stored)) > FORMAT:
+                raise ValueError(f"format {int(bytes(stored))} is newer than {FORMAT}")
+            for key, value in transaction.cursor():
                 if bytes(key) != b"format":
-                    found[bytes(key).decode()] = _value(bytes(value))
+                    found[bytes(key).decode()] = _decode(bytes(value))
         return found
 
     def store(self, values: dict[str, Value], drop: Iterable[str] = ()) -> None:
@@ -83,28 +83,28 @@
         :raises DiskError: nothing of it counts
         """
         try:
-            with self._files.open().begin(write=True) as writing:
-                writing.put(b"format", b"%d" % FORMAT)
+            with self._lmdb.open().begin(write=True) as transaction:
+                transaction.put(b"format", b"%d" % FORMAT)
                 for key, value in values.items():
-                    held = writing.get(key.encode())
+                    held = transaction.get(key.encode())
                     if held is None or _stamp(bytes(held)) < (value.version, value.tie):
-                        writing.put(key.encode(), _packed(value))
+                        transaction.put(key.encode(), _encode(value))
                 for key in drop:
-                    writing.delete(key.encode())
+                    transaction.delete(key.encode())
         except lmdb.MapFullError:
             raise DiskError(f"the map of {MAP_BYTES} bytes is full: nothing was changed") from None
-        except (lmdb.Error, OSError, ValueError) as wrong:
-            raise DiskError(str(wrong)) from None
+        except (lmdb.Error, OSError, ValueError) as error:
+            raise DiskError(str(error)) from None
 
 
-def _packed(value: Value) -> bytes:
+def _encode(value: Value) -> bytes:
     data, mark = value.data.encode(), b"t"
-    if len(value.data) >= PACKED_FROM:
+    if len(value.data) >= COMPRESS_MIN_CHARS:
         data, mark = zlib.compress(data, 1), b"z"
     return json.dumps(value.stamp).encode() + b"\n" + mark + data
 
 
-def _value(kept: bytes) -> Value:
+def _decode(kept: bytes) -> Value:
     """:raises ValueError, zlib.error: it can't be read"""
     head, end, data = kept.partition(b"\n")
     if not end:
@@ -114,5 +114,5 @@
 
 
 def _stamp(kept: bytes) -> tuple[int, str]:
-    told = json.loads(kept.partition(b"\n")[0])
-    return told[0], told[1]
+    stored = json.loads(kept.partition(b"\n")[0])
+    return stored[0], stored[1]
--- a/millfront/storage/lmdb_folder.py
+++ b/millfront/storage/lmdb_folder.py
@@ -26,11 +26,11 @@
         if self._env is None:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._env = lmdb.open(str(self.folder), map_size=self.map_bytes, lock=False, max_readers=4)
-            parent = os.open(self.folder, os.O_RDONLY)
+            descriptor = os.open(self.folder, os.O_RDONLY)
             try:
-                os.fsync(parent)
+                os.fsync(descriptor)
             finally:
-                os.close(parent)
+                os.close(descriptor)
         return self._env
 
     def close(self) -> None:
--- a/millfront/storage/operations_disk.py
+++ b/millfront/storage/operations_disk.py
@@ -19,17 +19,17 @@
     """The rows of operation keys on the disk of one machine."""
 
     def __init__(self, state_dir: str) -> None:
-        self._files = LmdbFolder(Path(state_dir) / FOLDER, MAP_BYTES)
+        self._lmdb = LmdbFolder(Path(state_dir) / FOLDER, MAP_BYTES)
 
     def load(self) -> tuple[dict[str, str], str]:
         """The rows, and what was wrong with them (empty: nothing)."""
         try:
-            with self._files.open().begin() as reading:
-                return {bytes(name).decode(): bytes(row).decode() for name, row in reading.cursor()}, ""
-        except (lmdb.Error, OSError, ValueError) as wrong:
-            if self._files.folder.exists():
-                self._files.set_aside()
-            return {}, str(wrong)
+            with self._lmdb.open().begin() as transaction:
+                return {bytes(name).decode(): bytes(row).decode() for name, row in transaction.cursor()}, ""
+        except (lmdb.Error, OSError, ValueError) as error:
+            if self._lmdb.folder.exists():
+                self._lmdb.set_aside()
+            return {}, str(error)
 
     def store(self, rows: Mapping[str, str], drop: Iterable[str]) -> None:
         """Sync all or nothing; waits for the disk.
@@ -37,14 +37,14 @@
         :raises DiskError: nothing of it counts
         """
         try:
-            with self._files.open().begin(write=True) as writing:
+            with self._lmdb.open().begin(write=True) as transaction:
                 for name in drop:
-                    writing.delete(name.encode())
+                    transaction.delete(name.encode())
                 for name, row in rows.items():
-                    writing.put(name.encode(), row.encode())
-        except (lmdb.Error, OSError) as wrong:
-            raise DiskError(str(wrong)) from None
+                    transaction.put(name.encode(), row.encode())
+        except (lmdb.Error, OSError) as error:
+            raise DiskError(str(error)) from None
 
     def close(self) -> None:
         """Close the files."""
-        self._files.close()
+        self._lmdb.close()
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -468,7 +468,7 @@
 ) -> None:
     made = disk.Disk(str(tmp_path))
     made.load()
-    with made._files.open().begin(write=True) as writing:  # as format 1 wrote it
+    with made._lmdb.open().begin(write=True) as writing:  # as format 1 wrote it
         writing.put(b"format", b"1")
         writing.put(b"config", json.dumps([1, "a", long(1)]).encode())
     assert made._read()["config"] == Value(1, "a", long(1))
