--- a/tests/linear.py
+++ b/tests/linear.py
@@ -4,7 +4,7 @@
 The algorithm is Wing and Gong's search with Lowe's memoisation: of the steps that nothing unplaced has to
 come before, each is tried as the next one, and a set of placed steps with the state that it led to is tried
 once. A call without a clear answer may take effect at any later moment or never. A step that changes nothing
-is placed as soon as it may be: nothing is lost by it, unless it would change something later (`settles`).
+is placed as soon as it may be: nothing is lost by it, unless it would change something later (`stable`).
 
 `Register` is the object that operators see: revision numbers with one document each, of which the highest
 stored one holds. To put a document is two steps, since another operator may be refused for it before it is in
@@ -18,20 +18,20 @@
 
 State = Hashable
 NEVER = math.inf  # when a call without a clear answer ends
-MOST = 400_000  # sets tried; beyond, the search gives up rather than say yes
+MAX_SETS = 400_000  # sets tried; beyond, the search gives up rather than say yes
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """`does` gives the state after it, or None where the caller can't have been told what it was told."""
+    """`apply` gives the state after it, or None where the caller can't have been told what it was told."""
 
     begun: float
     ended: float
-    does: Callable[[Any], State | None]
+    apply: Callable[[Any], State | None]
     name: str
-    owed: bool = True  # it took place; else it may have
-    after: int = -1  # the step before it of the same call
-    settles: bool = True  # where it changes nothing now, it will not later: a read, or what only rises
+    required: bool = True  # it took place; else it may have
+    predecessor: int = -1  # the step before it of the same call
+    stable: bool = True  # where it changes nothing now, it will not later: a read, or what only rises
 
 
 class TooLong(Exception):
@@ -41,45 +41,45 @@
 def linearizable(steps: Sequence[Step], first: State) -> list[str] | None:
     """None: it is. Else the names of the longest order that was found, and what could not follow it.
 
-    :raises TooLong: neither was found in MOST sets
+    :raises TooLong: neither was found in MAX_SETS sets
     """
-    owed = sum(1 << i for i, step in enumerate(steps) if step.owed)
-    by_end = sorted((i for i, step in enumerate(steps) if step.owed), key=lambda i: steps[i].ended)
+    required = sum(1 << i for i, step in enumerate(steps) if step.required)
+    by_end = sorted((i for i, step in enumerate(steps) if step.required), key=lambda i: steps[i].ended)
     by_begin = sorted(range(len(steps)), key=lambda i: steps[i].begun)
-    seen: set[tuple[int, State]] = set()
+    visited: set[tuple[int, State]] = set()
     best: list[int] = []
     stack: list[tuple[int, State, list[int]]] = [(0, first, [])]
     while stack:
         placed, state, order = stack.pop()
-        nexts: list[tuple[int, State]] = []
-        moved = True
-        while moved:  # what changes nothing is placed at once
-            moved, nexts = False, []
+        successors: list[tuple[int, State]] = []
+        progressed = True
+        while progressed:  # what changes nothing is placed at once
+            progressed, successors = False, []
             limit = next((steps[i].ended for i in by_end if not placed >> i & 1), NEVER)
             for i in by_begin:
                 step = steps[i]
                 if step.begun > limit:
                     break
-                if placed >> i & 1 or (step.after >= 0 and not placed >> step.after & 1):
+                if placed >> i & 1 or (step.predecessor >= 0 and not placed >> step.predecessor & 1):
                     continue
-                then = step.does(state)
+                then = step.apply(state)
                 if then is None:
                     continue
-                if then == state and step.settles:
-                    placed, order, moved = placed | 1 << i, [*order, i], True
+                if then == state and step.stable:
+                    placed, order, progressed = placed | 1 << i, [*order, i], True
                     break
-                nexts.append((i, then))
-        if placed & owed == owed:
+                successors.append((i, then))
+        if placed & required == required:
             return None
         if len(order) > len(best):
             best = order
-        if (placed, state) in seen:
+        if (placed, state) in visited:
             continue
-        seen.add((placed, state))
-        if len(seen) > MOST:
+        visited.add((placed, state))
+        if len(visited) > MAX_SETS:
             raise TooLong(f"{len(steps)} steps")
-        stack += [(placed | 1 << i, then, [*order, i]) for i, then in reversed(nexts)]
-    left = [step.name for i, step in enumerate(steps) if step.owed and i not in best]
+        stack += [(placed | 1 << i, then, [*order, i]) for i, then in reversed(successors)]
+    left = [step.name for i, step in enumerate(steps) if step.required and i not in best]
     return [steps[i].name for i in best] + ["-- and then none of --", *left]
 
 
@@ -125,7 +125,7 @@
 
 def fault(calls: Sequence[Call]) -> list[str] | None:
     """None: the history is one of a register. A put without a clear answer counts where anybody saw of it."""
-    told = {(c.number, c.document) for c in calls if c.kind == "get" and c.status == 200}
+    read = {(c.number, c.document) for c in calls if c.kind == "get" and c.status == 200}
     refused = {c.number for c in calls if c.status == 409}
     steps: list[Step] = []
     for call in sorted(calls, key=lambda c: c.begun):
@@ -134,18 +134,18 @@
         span = (call.begun, call.ended)
         if call.kind == "get":
             if call.status in (200, 404):
-                steps.append(Step(*span, _does(Register.got, what), name))
+                steps.append(Step(*span, _apply(Register.got, what), name))
         elif call.status == 409:
-            steps.append(Step(*span, _does(Register.refused, what), name))
-        elif call.status == 200 or what in told or call.number in refused:
-            owed = call.status == 200
-            steps.append(Step(*span, _does(Register.claim, what), f"claim of {name}", owed))
+            steps.append(Step(*span, _apply(Register.refused, what), name))
+        elif call.status == 200 or what in read or call.number in refused:
+            required = call.status == 200
+            steps.append(Step(*span, _apply(Register.claim, what), f"claim of {name}", required))
             claim = len(steps) - 1
-            steps.append(Step(*span, _does(Register.store, what), f"store of {name}", owed, claim))
+            steps.append(Step(*span, _apply(Register.store, what), f"store of {name}", required, claim))
     return linearizable(steps, Register())
 
 
-def _does(
+def _apply(
     step: Callable[[Register, int, str], Register | None], what: tuple[int, str]
 ) -> Callable[[Any], State | None]:
     return lambda register: step(register, *what)
--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -59,7 +59,7 @@
     """Of two writes at once the one that changes nothing yet may be the last."""
 
     def writes(word: bool) -> Step:
-        return Step(0, 5, lambda _: word, f"write {word}", settles=False)
+        return Step(0, 5, lambda _: word, f"write {word}", stable=False)
 
     def reads(at: int, word: bool) -> Step:
         return Step(at, at + 1, lambda state: state if state is word else None, f"read {word}")
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -617,13 +617,15 @@
     made: list[linear.Step] = []
     for begun, told, on in calls:
         status, ended = (told[0][0], told[0][2]) if told else (0, linear.NEVER)
-        owed = status == 200
+        required = status == 200
         name = f"{on} -> {status} ({begun:.2f} to {ended:.2f})"
         if on is not None:
             made.append(
-                linear.Step(begun, ended if owed else linear.NEVER, _writes(on), name, owed, settles=False)
+                linear.Step(
+                    begun, ended if required else linear.NEVER, _writes(on), name, required, stable=False
+                )
             )
-        elif owed:
+        elif required:
             held = json.loads(told[0][1])["values"].get(EVACUATION + "bb", [0, "", "0"])
             made.append(linear.Step(begun, ended, _reads(held[2] == "1"), f"{held} {name}"))
     return made
@@ -641,7 +643,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_random_evacuations_are_those_of_a_register(seed: int, put_back: bool) -> None:
     steps = orders_of_a_zone(seed, put_back=put_back)
-    assert sum(step.owed for step in steps) > 12
+    assert sum(step.required for step in steps) > 12
     assert linear.linearizable(steps, False) is None
 
 
--- a/tests/test_rules_together.py
+++ b/tests/test_rules_together.py
@@ -40,7 +40,7 @@
 TROUBLES: tuple[Trouble, ...] = ("restarts", "cut")
 
 
-class Story:
+class Scenario:
     """One world, what operators, clients and faults do to it by a seed, and its checkers."""
 
     def __init__(self, n: int, disks: int, seed: int) -> None:
@@ -194,7 +194,7 @@
 
     # ---- the whole -----------------------------------------------------------------------------
 
-    def tell(self, seconds: float, founded: float = 3.0, faults: tuple[Trouble, ...] = TROUBLES) -> "Story":
+    def run(self, seconds: float, founded: float = 3.0, faults: tuple[Trouble, ...] = TROUBLES) -> "Scenario":
         """All of it at once, with these faults of machines and links."""
         self.world.run(founded)
         self.world.env.process(self.put(RATES[0]))
@@ -216,7 +216,7 @@
         self.world.run(seconds)
         return self
 
-    def lose_power(self) -> "Story":
+    def lose_power(self) -> "Scenario":
         """What is under way ends, then all lose their power, and what was acknowledged must be there."""
         self.world.isolate(set())
         self.world.run(0.5)
@@ -239,46 +239,46 @@
 
 
 @cache
-def small(seed: int) -> Story:
-    return Story(11, 4, seed).tell(14.0).lose_power()
+def small(seed: int) -> Scenario:
+    return Scenario(11, 4, seed).run(14.0).lose_power()
 
 
 @cache
-def large(seed: int) -> Story:
-    return Story(82, 6, seed).tell(6.0, founded=2.5).lose_power()
+def large(seed: int) -> Scenario:
+    return Scenario(82, 6, seed).run(6.0, founded=2.5).lose_power()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_all_rules_but_the_quota_hold_at_11_processes_while_everything_happens_together(seed: int) -> None:
-    story = small(seed)
-    assert story.orders_faults() == []
-    assert story.evacuations.judged > 50, "the rule was put to the test"
+    scenario = small(seed)
+    assert scenario.orders_faults() == []
+    assert scenario.evacuations.judged > 50, "the rule was put to the test"
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_quota_holds_at_11_processes_while_everything_happens_together(seed: int) -> None:
-    story = small(seed)
-    assert story.quota.faults() == []
-    assert story.quota.refused > 100, "the limit was put to the test"
+    scenario = small(seed)
+    assert scenario.quota.faults() == []
+    assert scenario.quota.refused > 100, "the limit was put to the test"
 
 
 def test_all_rules_but_the_quota_hold_at_82_processes_while_everything_happens_together() -> None:
-    story = large(1)
-    assert story.orders_faults() == []
-    assert story.evacuations.judged > 100
+    scenario = large(1)
+    assert scenario.orders_faults() == []
+    assert scenario.evacuations.judged > 100
 
 
 def test_the_quota_holds_at_82_processes_while_everything_happens_together() -> None:
-    story = large(1)
-    assert story.quota.faults() == []
-    assert story.quota.refused > 100
+    scenario = large(1)
+    assert scenario.quota.faults() == []
+    assert scenario.quota.refused > 100
 
 
 # ---- each checker finds a planted fault --------------------------------------------------------------------
 
 
-def found(story: Story, rule: str) -> bool:
-    return any(fault.startswith(rule) for fault in [*story.orders_faults(), *story.quota.faults()])
+def found(scenario: Scenario, rule: str) -> bool:
+    return any(fault.startswith(rule) for fault in [*scenario.orders_faults(), *scenario.quota.faults()])
 
 
 def test_a_data_plane_that_is_not_told_what_its_disk_held_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -296,8 +296,8 @@
 
     monkeypatch.setattr(Proxy, "__init__", init)
     monkeypatch.setattr(Proxy, "on_configuration_changed", told)
-    story = Story(11, 4, 1).tell(8.0).lose_power()
-    assert found(story, "LOST") and found(story, "EVAC")
+    scenario = Scenario(11, 4, 1).run(8.0).lose_power()
+    assert found(scenario, "LOST") and found(scenario, "EVAC")
 
 
 def test_an_evacuation_that_is_dropped_when_it_comes_with_a_configuration_is_found(
@@ -319,8 +319,8 @@
         self.changed = tell
 
     monkeypatch.setattr(Gatekeeper, "_adopt", dropping)
-    story = Story(11, 4, 1).tell(8.0).lose_power()
-    assert found(story, "EVAC") and found(story, "LOST")
+    scenario = Scenario(11, 4, 1).run(8.0).lose_power()
+    assert found(scenario, "EVAC") and found(scenario, "LOST")
 
 
 def test_nodes_that_go_back_to_the_configuration_before_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -334,8 +334,8 @@
             self.changed()
 
     monkeypatch.setattr(Gatekeeper, "_adopt", returning)
-    story = Story(11, 4, 1).tell(8.0).lose_power()
-    assert found(story, "MIXED") and found(story, "CONFIG")
+    scenario = Scenario(11, 4, 1).run(8.0).lose_power()
+    assert found(scenario, "MIXED") and found(scenario, "CONFIG")
 
 
 def test_a_register_that_forgets_an_evacuation_when_power_is_lost_is_found(
@@ -351,8 +351,8 @@
         return power_off(self, down)
 
     monkeypatch.setattr(ServingWorld, "power_off", forgetting)
-    story = Story(11, 4, 1).tell(8.0).lose_power()
-    assert found(story, "LOST")
+    scenario = Scenario(11, 4, 1).run(8.0).lose_power()
+    assert found(scenario, "LOST")
 
 
 def test_stores_that_begin_full_are_found_when_most_restart_in_a_rush(
@@ -360,27 +360,29 @@
 ) -> None:
     """Which seed shows it hangs on the order of messages: of eight one must, and none where all is sound."""
 
-    def stories() -> list[bool]:
-        return [bool(found(Story(11, 4, seed).tell(10.0, faults=("all",)), "QUOTA")) for seed in range(1, 9)]
+    def outcomes() -> list[bool]:
+        return [
+            bool(found(Scenario(11, 4, seed).run(10.0, faults=("all",)), "QUOTA")) for seed in range(1, 9)
+        ]
 
-    assert not any(stories())
+    assert not any(outcomes())
 
     def full(self: Granter, now: float, limits: Allowance) -> TokenBucket:
         return TokenBucket(limits, limits.capacity, now)
 
     monkeypatch.setattr(Granter, "_new_bucket", full)
-    assert any(stories())
+    assert any(outcomes())
 
 
 def test_nodes_that_let_in_what_no_granter_answers_for_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """One that is cut off believes nothing of the others: what it lets in on its own is too much."""
-    assert not found(Story(11, 4, 26).tell(14.0), "QUOTA")
+    assert not found(Scenario(11, 4, 26).run(14.0), "QUOTA")
 
     def trusting(self: TokenRequester, now: float, state: TenantState) -> Decision:
         return ADMITTED
 
     monkeypatch.setattr(TokenRequester, "_refusal", trusting)
-    assert found(Story(11, 4, 26).tell(14.0), "QUOTA")
+    assert found(Scenario(11, 4, 26).run(14.0), "QUOTA")
 
 
 def test_buckets_that_are_filled_twice_for_the_same_time_are_found(
@@ -389,9 +391,9 @@
     """Long before a window is broken more is granted than was given, and each process finds it itself."""
 
     def beyond() -> float:
-        story = Story(20, 6, 4)
-        story.tell(8.0, faults=())
-        return granted_beyond(story.world, "t", 0.0, RATES[0])
+        scenario = Scenario(20, 6, 4)
+        scenario.run(8.0, faults=())
+        return granted_beyond(scenario.world, "t", 0.0, RATES[0])
 
     assert beyond() <= 0.0
 
