--- a/millfront/dataplane/keyed_requests.py
+++ b/millfront/dataplane/keyed_requests.py
@@ -93,8 +93,8 @@
             return
         homes, _ = self.proxy.homes(request)
         self.claims.finish(claim, answer, homes, deliver)
-        if claim.kept is not None:
-            asyncio.get_running_loop().call_later(STORE_WAIT_S, self.claims.let_go, claim)
+        if claim.on_stored is not None:
+            asyncio.get_running_loop().call_later(STORE_WAIT_S, self.claims.stop_waiting, claim)
 
     def withdraw(self, request: ClientRequest) -> None:
         """Release the claim: no server has run the request or will run it."""
--- a/millfront/dataplane/proxy.py
+++ b/millfront/dataplane/proxy.py
@@ -567,7 +567,7 @@
             if request.progress.repeatable or not request.whole:
                 flow.cancel()
         held = (
-            request.claim is not None and request.claim.decided is None
+            request.claim is not None and request.claim.on_decision is None
         )  # granted, but not sent to any server
         if held and not request.flows and request.progress.known_not_run():
             self.keyed.withdraw(request)
--- a/millfront/gatekeeper/operations.py
+++ b/millfront/gatekeeper/operations.py
@@ -12,16 +12,16 @@
 from millfront.operations.gathering import Gathering
 from millfront.operations.messages import (
     CLAIM,
-    CLAIMED,
+    CLAIM_REPLY,
     FINISH,
-    FINISHED,
+    FINISH_ACK,
     GATHER,
     RECORDS,
     WITHDRAW,
     Claim,
-    Claimed,
+    ClaimReply,
     Finish,
-    Finished,
+    FinishAck,
     Gather,
     Message,
     Records,
@@ -91,12 +91,12 @@
         """Something came on a held connection, or from this process itself."""
         now, sender = self.gatekeeper.now, message.get("m", self.name)
         match message["t"]:
-            case t if t == CLAIMED:
-                self.claims.claimed(sender, Claimed.of(message))
-            case t if t == FINISHED:
-                self.claims.finished(sender, Finished.of(message))
+            case t if t == CLAIM_REPLY:
+                self.claims.handle_claim_reply(sender, ClaimReply.from_wire(message))
+            case t if t == FINISH_ACK:
+                self.claims.handle_finish_ack(sender, FinishAck.from_wire(message))
             case t if t == RECORDS:
-                self._gathered(now, sender, Records.of(message))
+                self._gathered(now, sender, Records.from_wire(message))
             case _ if self.store is not None:
                 self._call(now, via, message, self.store)
 
@@ -104,13 +104,13 @@
         self._look_at_core(now, store)
         kind, epoch = message["t"], self._epoch()
         if kind == CLAIM:
-            self._reply(store.claim(now, via, Claim.of(message), epoch))
+            self._reply(store.claim(now, via, Claim.from_wire(message), epoch))
         elif kind == WITHDRAW:
-            store.withdraw(Withdraw.of(message))
+            store.withdraw(Withdraw.from_wire(message))
         elif kind == FINISH:
-            store.finish(now, via, Finish.of(message))
-        elif kind == GATHER and (records := store.page(Gather.of(message), epoch)) is not None:
-            self._reply([Reply(via, records.wire())])
+            store.finish(now, via, Finish.from_wire(message))
+        elif kind == GATHER and (records := store.page(Gather.from_wire(message), epoch)) is not None:
+            self._reply([Reply(via, records.to_wire())])
         self._flush()
 
     def _epoch(self) -> int:
@@ -128,7 +128,7 @@
             return
         self._core_seen = value.version
         core = Core.from_value(value)
-        store.core_is(now, core.epoch, self.name in (core.old_members or core.members))
+        store.on_core_change(now, core.epoch, self.name in (core.old_members or core.members))
 
     def _reply(self, replies: list[Reply]) -> None:
         for reply in replies:
@@ -139,7 +139,7 @@
                 self.gatekeeper.io.back(reply.via, message)
 
     def _gathered(self, now: float, sender: str, records: Records) -> None:
-        asked = self.gathering.take(now, sender, records)
+        asked = self.gathering.handle_records(now, sender, records)
         if asked is not None:
             self.send(sender, asked)
 
@@ -154,7 +154,7 @@
         assert self.store is not None
         if not well:
             self.gatekeeper.note("operations", "the disk takes nothing: no key is granted here")
-        if batch.completes and well:
+        if batch.marks_complete and well:
             self.gatekeeper.note("operations", f"complete, with {len(self.store.operations)} operations")
         self._reply(self.store.synced(batch, well))
         self._flush()
@@ -172,8 +172,8 @@
         self._flush()
 
     def _gather(self, now: float, core: Core, store: OperationStore) -> None:
-        if (rows := self.gathering.found(core)) is not None:
-            store.gathered(now, rows, core.epoch)
+        if (rows := self.gathering.gathered_rows(core)) is not None:
+            store.add_gathered(now, rows, core.epoch)
             return
-        for name, message in self.gathering.beat(now, core):
+        for name, message in self.gathering.tick(now, core):
             self.send(name, message)
--- a/millfront/operations/claims.py
+++ b/millfront/operations/claims.py
@@ -17,9 +17,9 @@
 from millfront.membership.gossip import owners
 from millfront.operations.messages import (
     Claim,
-    Claimed,
+    ClaimReply,
     Finish,
-    Finished,
+    FinishAck,
     Message,
     State,
     StoredAnswer,
@@ -28,7 +28,7 @@
 )
 from millfront.register.values import Core, digest_of
 
-COPIES = 2  # of an answer: the key's owner has it, and its successor
+ANSWER_COPIES = 2  # of an answer: the key's owner has it, and its successor
 
 
 class Outcome(Enum):
@@ -62,7 +62,7 @@
         """To the replica of a member; it may be lost."""
 
 
-Decided = Callable[[Outcome, StoredAnswer | None], None]
+DecisionCallback = Callable[[Outcome, StoredAnswer | None], None]
 
 
 @dataclass(slots=True, eq=False)
@@ -72,46 +72,48 @@
     operation: str
     attempt: str
     core: Core
-    at_work_s: float  # so long another request may be at work
-    decided: Decided | None
+    max_running_s: float  # so long another request may be at work
+    on_decision: DecisionCallback | None
     asked: set[str] = field(default_factory=set)
     granted: set[str] = field(default_factory=set)
-    had: dict[str, Claimed] = field(default_factory=dict)
-    silent: set[str] = field(default_factory=set)  # members that can't say
-    kept_by: set[str] = field(default_factory=set)  # who is yet to have the answer
-    kept: Callable[[], None] | None = None
+    conflicts: dict[str, ClaimReply] = field(default_factory=dict)
+    abstained: set[str] = field(default_factory=set)  # members that can't say
+    missing_acks: set[str] = field(default_factory=set)  # who is yet to have the answer
+    on_stored: Callable[[], None] | None = None
 
 
 class OperationClaims:
     """The claims of one gatekeeper."""
 
-    def __init__(self, peers: Peers, life: str, invariants: Invariants) -> None:
-        """:param life: of this life of the process, which no other one has"""
+    def __init__(self, peers: Peers, incarnation: str, invariants: Invariants) -> None:
+        """:param incarnation: of this life of the process, which no other one has"""
         self.peers, self.invariants = peers, invariants
-        self.life = digest_of(life)  # begins the name of each attempt
+        self.incarnation = digest_of(incarnation)  # begins the name of each attempt
         self.outcomes = dict.fromkeys(Outcome, 0)
         self._pending: dict[str, PendingClaim] = {}  # by attempt
         self._count = 0
 
     # ---- a request comes -----------------------------------------------------------------------------
 
-    def begin(self, operation: str, at_work_s: float, decided: Decided) -> PendingClaim | None:
-        """Claim an operation; ``decided`` is told once, perhaps at once.
+    def begin(
+        self, operation: str, max_running_s: float, on_decision: DecisionCallback
+    ) -> PendingClaim | None:
+        """Claim an operation; ``on_decision`` is reply once, perhaps at once.
 
-        :param at_work_s: seconds that a request with this key can be at work
+        :param max_running_s: seconds that a request with this key can be at work
         """
         core = self.peers.core()
         if core is None:
-            self._decide(decided, Outcome.REFUSED)
+            self._decide(on_decision, Outcome.REFUSED)
             return None
         self._count += 1
-        attempt = f"{self.life}.{self._count:x}"
-        pending = PendingClaim(operation, attempt, core, at_work_s, decided)
+        attempt = f"{self.incarnation}.{self._count:x}"
+        pending = PendingClaim(operation, attempt, core, max_running_s, on_decision)
         self._pending[attempt] = pending
-        self._ask(pending, self._fewest(core))
+        self._ask(pending, self._nearest_majority(core))
         return pending
 
-    def _fewest(self, core: Core) -> list[str]:
+    def _nearest_majority(self, core: Core) -> list[str]:
         """The nearest that are a majority by themselves."""
         chosen: list[str] = []
         for name in self.peers.nearest():
@@ -122,132 +124,138 @@
 
     def _ask(self, pending: PendingClaim, names: list[str]) -> None:
         pending.asked.update(names)
-        wire = Claim(pending.operation, pending.attempt, pending.core.epoch).wire()
+        message = Claim(pending.operation, pending.attempt, pending.core.epoch).to_wire()
         # This process's own replica may answer at once, and end the claim: it is asked last
         for name in sorted(names, key=lambda name: name == self.peers.name):
-            self.peers.send(name, wire)
+            self.peers.send(name, message)
 
     def widen(self, pending: PendingClaim) -> None:
         """Those who were asked don't all grant it, or are slow: the others are asked as well."""
         rest = [name for name in pending.core.all_members if name not in pending.asked]
-        if rest and pending.decided is not None:
+        if rest and pending.on_decision is not None:
             self._ask(pending, rest)
 
-    def _decide(self, decided: Decided, outcome: Outcome, answer: StoredAnswer | None = None) -> None:
+    def _decide(
+        self, on_decision: DecisionCallback, outcome: Outcome, answer: StoredAnswer | None = None
+    ) -> None:
         self.outcomes[outcome] += 1
-        decided(outcome, answer)
+        on_decision(outcome, answer)
 
-    def claimed(self, sender: str, claimed: Claimed) -> None:
+    def handle_claim_reply(self, sender: str, reply: ClaimReply) -> None:
         """A replica's answer to a claim."""
-        pending = self._pending.get(claimed.attempt)
+        pending = self._pending.get(reply.attempt)
         if pending is None or sender not in pending.core.all_members:
             return
-        if claimed.verdict is Verdict.GRANTED:
+        if reply.verdict is Verdict.GRANTED:
             pending.granted.add(sender)
-        elif claimed.verdict is Verdict.HAD:
-            pending.had[sender] = claimed
+        elif reply.verdict is Verdict.CONFLICT:
+            pending.conflicts[sender] = reply
         else:
-            pending.silent.add(sender)
-        if pending.decided is not None:
-            self._look(pending)
+            pending.abstained.add(sender)
+        if pending.on_decision is not None:
+            self._evaluate(pending)
 
-    def _look(self, pending: PendingClaim) -> None:
+    def _evaluate(self, pending: PendingClaim) -> None:
         if pending.core.is_write_quorum(pending.granted):
-            self._run(pending)
+            self._grant(pending)
             return
-        for told in pending.had.values():
-            if told.answer is not None:
-                self._end(pending, Outcome.REPEAT, told.answer)
+        for reply in pending.conflicts.values():
+            if reply.answer is not None:
+                self._end(pending, Outcome.REPEAT, reply.answer)
                 return
-        heard = pending.granted | pending.had.keys() | pending.silent
-        if pending.had or pending.silent:
+        answered = pending.granted | pending.conflicts.keys() | pending.abstained
+        if pending.conflicts or pending.abstained:
             self.widen(pending)
-        if pending.decided is None or pending.asked != pending.core.all_members.keys():
+        if pending.on_decision is None or pending.asked != pending.core.all_members.keys():
             return
-        if all(name in heard or not self.peers.reachable(name) for name in pending.core.all_members):
-            self._without_majority(pending)
+        if all(name in answered or not self.peers.reachable(name) for name in pending.core.all_members):
+            self._decide_without_majority(pending)
 
-    def _run(self, pending: PendingClaim) -> None:
-        ran = [name for name, told in pending.had.items() if told.exact and told.state is not State.RUNNING]
+    def _grant(self, pending: PendingClaim) -> None:
+        ran = [
+            name
+            for name, reply in pending.conflicts.items()
+            if reply.exact_age and reply.state is not State.RUNNING
+        ]
         detail = f"{pending.operation} is granted, and {' '.join(ran)} know that it has run"
         self.invariants.check(Invariant.OPERATION_RUNS_ONCE, not ran, detail)
-        decided, pending.decided = pending.decided, None
-        if decided is not None:
-            self._decide(decided, Outcome.RUN)
+        on_decision, pending.on_decision = pending.on_decision, None
+        if on_decision is not None:
+            self._decide(on_decision, Outcome.RUN)
 
     def expire(self, pending: PendingClaim) -> None:
         """So long nobody may wait for a majority: decide by what is known."""
-        if pending.decided is not None:
-            self._without_majority(pending)
+        if pending.on_decision is not None:
+            self._decide_without_majority(pending)
 
-    def _without_majority(self, pending: PendingClaim) -> None:
-        if not pending.had:
+    def _decide_without_majority(self, pending: PendingClaim) -> None:
+        if not pending.conflicts:
             self._end(pending, Outcome.REFUSED)
             return
-        states = {told.state for told in pending.had.values()}
-        oldest = max(told.age for told in pending.had.values())
-        over = State.UNKNOWN in states or oldest > pending.at_work_s
-        self._end(pending, Outcome.UNKNOWN if over else Outcome.AT_WORK)
+        states = {reply.state for reply in pending.conflicts.values()}
+        oldest = max(reply.age for reply in pending.conflicts.values())
+        ended = State.UNKNOWN in states or oldest > pending.max_running_s
+        self._end(pending, Outcome.UNKNOWN if ended else Outcome.AT_WORK)
 
     def _end(self, pending: PendingClaim, outcome: Outcome, answer: StoredAnswer | None = None) -> None:
-        decided, pending.decided = pending.decided, None
+        on_decision, pending.on_decision = pending.on_decision, None
         self.withdraw(pending)
-        if decided is not None:
-            self._decide(decided, outcome, answer)
+        if on_decision is not None:
+            self._decide(on_decision, outcome, answer)
 
     # ---- how it ended --------------------------------------------------------------------------------
 
     def withdraw(self, pending: PendingClaim) -> None:
         """The request was not sent to any server that ran it, and never will be."""
-        pending.decided = None
+        pending.on_decision = None
         if self._pending.pop(pending.attempt, None) is None:
             return
-        wire = Withdraw(pending.operation, pending.attempt).wire()
+        message = Withdraw(pending.operation, pending.attempt).to_wire()
         for name in pending.asked:
-            self.peers.send(name, wire)
+            self.peers.send(name, message)
 
     def finish(
         self,
         pending: PendingClaim,
         answer: StoredAnswer | None,
         regions: frozenset[str],
-        kept: Callable[[], None],
+        on_stored: Callable[[], None],
     ) -> None:
-        """The operation has run. ``kept`` is called once its owner and successor have the answer.
+        """The operation has run. ``on_stored`` is called once its owner and successor have the answer.
 
         :param answer: None: none came, or it can't be kept
         :param regions: where it may be stored; empty: everywhere
         """
-        names = self._copies(pending.operation, regions)
+        names = self._answer_holders(pending.operation, regions)
         if not names or pending.attempt not in self._pending:
             self._pending.pop(pending.attempt, None)
-            kept()
+            on_stored()
             return
-        pending.kept_by, pending.kept = set(names), kept
-        wire = Finish(pending.operation, pending.attempt, answer).wire()
+        pending.missing_acks, pending.on_stored = set(names), on_stored
+        message = Finish(pending.operation, pending.attempt, answer).to_wire()
         for name in names:
-            self.peers.send(name, wire)
+            self.peers.send(name, message)
 
-    def _copies(self, operation: str, regions: frozenset[str]) -> list[str]:
+    def _answer_holders(self, operation: str, regions: frozenset[str]) -> list[str]:
         core = self.peers.core()
         names = [
             name
             for name in (core.all_members if core is not None else ())
             if self.peers.reachable(name) and (not regions or self.peers.region_of(name) in regions)
         ]
-        return owners(operation, names, COPIES)
+        return owners(operation, names, ANSWER_COPIES)
 
-    def finished(self, sender: str, finished: Finished) -> None:
+    def handle_finish_ack(self, sender: str, ack: FinishAck) -> None:
         """A replica has synced how an operation ended."""
-        pending = self._pending.get(finished.attempt)
+        pending = self._pending.get(ack.attempt)
         if pending is not None:
-            pending.kept_by.discard(sender)
-            if not pending.kept_by:
-                self.let_go(pending)
+            pending.missing_acks.discard(sender)
+            if not pending.missing_acks:
+                self.stop_waiting(pending)
 
-    def let_go(self, pending: PendingClaim) -> None:
+    def stop_waiting(self, pending: PendingClaim) -> None:
         """Wait no longer for the owner and the successor: the client gets its answer."""
         self._pending.pop(pending.attempt, None)
-        kept, pending.kept = pending.kept, None
-        if kept is not None:
-            kept()
+        on_stored, pending.on_stored = pending.on_stored, None
+        if on_stored is not None:
+            on_stored()
--- a/millfront/operations/gathering.py
+++ b/millfront/operations/gathering.py
@@ -10,65 +10,65 @@
 from millfront.operations.messages import Gather, Message, Records
 from millfront.register.values import Core, read_quorum
 
-AGAIN_S = 0.5  # a page that has not come is asked for again
-BEGIN_S = 1.0  # after its start: what was claimed at its earlier life is decided by then
+RESEND_S = 0.5  # a page that has not come is asked for again
+START_DELAY_S = 1.0  # after its start: what was claimed at its earlier life is decided by then
 
 
 @dataclass(slots=True)
-class Told:
+class MemberRecords:
     """What one member has told so far."""
 
     rows: dict[str, str] = field(default_factory=dict)
     after: str = ""
-    asked: float = -1e9
-    whole: bool = False
+    last_sent: float = -1e9
+    complete: bool = False
 
 
 class Gathering:
     """One replica's gathering, begun anew when the core changes."""
 
     def __init__(self, name: str, now: float) -> None:
-        self.name, self.born = name, now
+        self.name, self.started_at = name, now
         self._epoch = 0
-        self._told: dict[str, Told] = {}
+        self._by_member: dict[str, MemberRecords] = {}
 
-    def beat(self, now: float, core: Core) -> list[tuple[str, Message]]:
+    def tick(self, now: float, core: Core) -> list[tuple[str, Message]]:
         """What is to be asked now, and of whom."""
-        if now - self.born < BEGIN_S:
+        if now - self.started_at < START_DELAY_S:
             return []
         if core.epoch != self._epoch:
             self._epoch = core.epoch
-            self._told = {name: Told() for name in core.all_members if name != self.name}
+            self._by_member = {name: MemberRecords() for name in core.all_members if name != self.name}
         out = []
-        for name, told in self._told.items():
-            if not told.whole and now - told.asked > AGAIN_S:
-                told.asked = now
-                out.append((name, Gather(self._epoch, told.after).wire()))
+        for name, progress in self._by_member.items():
+            if not progress.complete and now - progress.last_sent > RESEND_S:
+                progress.last_sent = now
+                out.append((name, Gather(self._epoch, progress.after).to_wire()))
         return out
 
-    def take(self, now: float, sender: str, records: Records) -> Message | None:
+    def handle_records(self, now: float, sender: str, records: Records) -> Message | None:
         """A page; returns what is to be asked next of the same member."""
-        told = self._told.get(sender)
-        if told is None or records.epoch != self._epoch or told.whole:
+        progress = self._by_member.get(sender)
+        if progress is None or records.epoch != self._epoch or progress.complete:
             return None
-        told.rows |= records.rows
-        told.after = max(records.rows, default=told.after)
-        told.whole = records.last
-        if told.whole:
+        progress.rows |= records.rows
+        progress.after = max(records.rows, default=progress.after)
+        progress.complete = records.last
+        if progress.complete:
             return None
-        told.asked = now
-        return Gather(self._epoch, told.after).wire()
+        progress.last_sent = now
+        return Gather(self._epoch, progress.after).to_wire()
 
-    def found(self, core: Core) -> dict[str, str] | None:
-        """All that was told, once enough of the core have told all; None before."""
-        whole = {name: told for name, told in self._told.items() if told.whole}
-        if not whole or core.epoch != self._epoch:
+    def gathered_rows(self, core: Core) -> dict[str, str] | None:
+        """All that was progress, once enough of the core have told all; None before."""
+        complete = {name: progress for name, progress in self._by_member.items() if progress.complete}
+        if not complete or core.epoch != self._epoch:
             return None
-        for part in core.member_sets:
-            needed = min(read_quorum(len(part)), len(part) - 1)
-            if len(whole.keys() & part.keys()) < needed:
+        for members in core.member_sets:
+            needed = min(read_quorum(len(members)), len(members) - 1)
+            if len(complete.keys() & members.keys()) < needed:
                 return None
         rows: dict[str, str] = {}
-        for told in whole.values():
-            rows = told.rows | rows
+        for progress in complete.values():
+            rows = progress.rows | rows
         return rows
--- a/millfront/operations/messages.py
+++ b/millfront/operations/messages.py
@@ -1,7 +1,7 @@
-"""What goes between a gatekeeper that has a keyed request and the replicas that hold its key. No I/O.
+"""Messages between a gatekeeper that has a keyed request and the replicas that hold its key. No I/O.
 
-Each message is a typed value with `wire`, the form in which it goes over a held connection, and `of`, which
-reads that form again. ``t`` tells the kinds apart.
+Each message is a typed value: `to_wire` returns the JSON object that is sent over a held connection, and
+`from_wire` reads it. Its key ``t`` names the kind of message.
 """
 
 import base64
@@ -11,7 +11,7 @@
 from typing import Any
 
 PREFIX = "op."
-CLAIM, CLAIMED, WITHDRAW, FINISH, FINISHED, GATHER, RECORDS = (
+CLAIM, CLAIM_REPLY, WITHDRAW, FINISH, FINISH_ACK, GATHER, RECORDS = (
     PREFIX + kind for kind in ("claim", "claimed", "withdraw", "finish", "finished", "gather", "records")
 )
 Message = dict[str, Any]
@@ -47,13 +47,13 @@
     fields: tuple[tuple[str, str], ...]  # names and values as the server sent them
     body: bytes
 
-    def wire(self) -> list[Any]:
+    def to_wire(self) -> list[Any]:
         """[status, [[name, value], ...], body in base64]."""
         return [self.status, [list(pair) for pair in self.fields], base64.b64encode(self.body).decode()]
 
     @classmethod
-    def of(cls, wire: list[Any]) -> "StoredAnswer":
-        """Read what `wire` made."""
+    def from_wire(cls, wire: list[Any]) -> "StoredAnswer":
+        """Read what `to_wire` made."""
         status, fields, body = wire
         return cls(status, tuple((name, value) for name, value in fields), base64.b64decode(body))
 
@@ -71,13 +71,13 @@
     attempt: str
     epoch: int  # of the core that it is meant for
 
-    def wire(self) -> Message:
-        """Read again by `of`."""
+    def to_wire(self) -> Message:
+        """Read again by `from_wire`."""
         return {"t": CLAIM, "o": self.operation, "a": self.attempt, "e": self.epoch}
 
     @classmethod
-    def of(cls, message: Message) -> "Claim":
-        """Read what `wire` made."""
+    def from_wire(cls, message: Message) -> "Claim":
+        """Read what `to_wire` made."""
         return cls(message["o"], message["a"], message["e"])
 
 
@@ -85,12 +85,12 @@
     """A replica's answer to a claim."""
 
     GRANTED = "granted"
-    HAD = "had"  # another request has claimed the operation
-    NO = "no"  # this replica can't say: of another epoch, not complete, or its disk refuses
+    CONFLICT = "had"  # another request has claimed the operation
+    ABSTAINED = "no"  # this replica can't say: of another epoch, not complete, or its disk refuses
 
 
 @dataclass(frozen=True, slots=True)
-class Claimed:
+class ClaimReply:
     """A replica's answer to a claim, and what it knows where another request has it."""
 
     operation: str
@@ -99,25 +99,25 @@
     state: State | None = None  # of the other request's
     age: float = 0.0  # seconds since that was claimed here
     answer: StoredAnswer | None = None
-    exact: bool = True  # the age is; else it was claimed longer ago, before this replica started
+    exact_age: bool = True  # the age is; else it was claimed longer ago, before this replica started
 
-    def wire(self) -> Message:
-        """Read again by `of`."""
-        message: Message = {"t": CLAIMED, "o": self.operation, "a": self.attempt, "v": self.verdict.value}
+    def to_wire(self) -> Message:
+        """Read again by `from_wire`."""
+        message: Message = {"t": CLAIM_REPLY, "o": self.operation, "a": self.attempt, "v": self.verdict.value}
         if self.state is not None:
-            message |= {"s": self.state.value, "y": round(self.age, 3)} | ({} if self.exact else {"x": 0})
+            message |= {"s": self.state.value, "y": round(self.age, 3)} | ({} if self.exact_age else {"x": 0})
         if self.answer is not None:
-            message["w"] = self.answer.wire()
+            message["w"] = self.answer.to_wire()
         return message
 
     @classmethod
-    def of(cls, message: Message) -> "Claimed":
-        """Read what `wire` made."""
+    def from_wire(cls, message: Message) -> "ClaimReply":
+        """Read what `to_wire` made."""
         state = State(message["s"]) if "s" in message else None
-        answer = StoredAnswer.of(message["w"]) if "w" in message else None
+        answer = StoredAnswer.from_wire(message["w"]) if "w" in message else None
         verdict = Verdict(message["v"])
-        exact = "x" not in message
-        return cls(message["o"], message["a"], verdict, state, message.get("y", 0.0), answer, exact)
+        exact_age = "x" not in message
+        return cls(message["o"], message["a"], verdict, state, message.get("y", 0.0), answer, exact_age)
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,13 +127,13 @@
     operation: str
     attempt: str
 
-    def wire(self) -> Message:
-        """Read again by `of`."""
+    def to_wire(self) -> Message:
+        """Read again by `from_wire`."""
         return {"t": WITHDRAW, "o": self.operation, "a": self.attempt}
 
     @classmethod
-    def of(cls, message: Message) -> "Withdraw":
-        """Read what `wire` made."""
+    def from_wire(cls, message: Message) -> "Withdraw":
+        """Read what `to_wire` made."""
         return cls(message["o"], message["a"])
 
 
@@ -145,32 +145,32 @@
     attempt: str
     answer: StoredAnswer | None
 
-    def wire(self) -> Message:
-        """Read again by `of`."""
-        kept = self.answer.wire() if self.answer is not None else None
+    def to_wire(self) -> Message:
+        """Read again by `from_wire`."""
+        kept = self.answer.to_wire() if self.answer is not None else None
         return {"t": FINISH, "o": self.operation, "a": self.attempt, "w": kept}
 
     @classmethod
-    def of(cls, message: Message) -> "Finish":
-        """Read what `wire` made."""
-        kept = StoredAnswer.of(message["w"]) if message["w"] is not None else None
+    def from_wire(cls, message: Message) -> "Finish":
+        """Read what `to_wire` made."""
+        kept = StoredAnswer.from_wire(message["w"]) if message["w"] is not None else None
         return cls(message["o"], message["a"], kept)
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
+class FinishAck:
     """A replica has synced how an operation ended."""
 
     operation: str
     attempt: str
 
-    def wire(self) -> Message:
-        """Read again by `of`."""
-        return {"t": FINISHED, "o": self.operation, "a": self.attempt}
+    def to_wire(self) -> Message:
+        """Read again by `from_wire`."""
+        return {"t": FINISH_ACK, "o": self.operation, "a": self.attempt}
 
     @classmethod
-    def of(cls, message: Message) -> "Finished":
-        """Read what `wire` made."""
+    def from_wire(cls, message: Message) -> "FinishAck":
+        """Read what `to_wire` made."""
         return cls(message["o"], message["a"])
 
 
@@ -181,13 +181,13 @@
     epoch: int
     after: str = ""
 
-    def wire(self) -> Message:
-        """Read again by `of`."""
+    def to_wire(self) -> Message:
+        """Read again by `from_wire`."""
         return {"t": GATHER, "e": self.epoch, "k": self.after}
 
     @classmethod
-    def of(cls, message: Message) -> "Gather":
-        """Read what `wire` made."""
+    def from_wire(cls, message: Message) -> "Gather":
+        """Read what `to_wire` made."""
         return cls(message["e"], message["k"])
 
 
@@ -201,11 +201,11 @@
     rows: dict[str, str]
     last: bool
 
-    def wire(self) -> Message:
-        """Read again by `of`."""
+    def to_wire(self) -> Message:
+        """Read again by `from_wire`."""
         return {"t": RECORDS, "e": self.epoch, "v": self.rows, "z": self.last}
 
     @classmethod
-    def of(cls, message: Message) -> "Records":
-        """Read what `wire` made."""
+    def from_wire(cls, message: Message) -> "Records":
+        """Read what `to_wire` made."""
         return cls(message["e"], message["v"], message["z"])
--- a/millfront/operations/store.py
+++ b/millfront/operations/store.py
@@ -6,7 +6,7 @@
 next. A replica that may lack claims (its disk was lost, it is a new member, it was out of the core for a
 while) is not complete: it grants nothing until it has gathered the records of so many others that each
 majority has one of them, or until all that it can lack is past the window. The mark of a complete disk names
-the epoch of the core under which it was made.
+the epoch of the core under which it was operation.
 
 Times are seconds on the caller's clock. What is read from the disk counts from the reading: longer than need
 be, never shorter. Derivation: docs/design/operation-keys.md.
@@ -18,9 +18,9 @@
 
 from millfront.operations.messages import (
     Claim,
-    Claimed,
+    ClaimReply,
     Finish,
-    Finished,
+    FinishAck,
     Gather,
     Message,
     Records,
@@ -30,13 +30,13 @@
     Withdraw,
 )
 
-COMPLETE = "complete"  # the row that marks a disk that lacks nothing, with the epoch as of which
+COMPLETE_KEY = "complete"  # the row that marks a disk that lacks nothing, with the epoch as of which
 NO_EPOCH = 0  # of a mark that was made before the first core
-SEEN_EPOCHS = 2  # that one core tells of: its own, and the one before it
-MARGIN_S = 5.0  # beyond the window: a request is claimed a moment after it was sent
-PAGE = 300  # records in one answer to a replica that gathers
-ANSWERS_BYTES = 16 * 1024 * 1024  # of all answers kept here; one beyond that is known as UNKNOWN
-SWEEP_S = 5.0
+MAX_EPOCH_GAP = 2  # that one core tells of: its own, and the one before it
+WINDOW_MARGIN_S = 5.0  # beyond the window: a request is claimed a moment after it was sent
+PAGE_RECORDS = 300  # records in one answer to a replica that gathers
+MAX_ANSWERS_BYTES = 16 * 1024 * 1024  # of all answers kept here; one beyond that is known as UNKNOWN
+SWEEP_INTERVAL_S = 5.0
 
 
 @dataclass(slots=True)
@@ -44,22 +44,22 @@
     """One operation that was claimed here."""
 
     attempt: str
-    since: float  # when it was claimed here
+    claimed_at: float  # when it was claimed here
     state: State = State.RUNNING
     answer: StoredAnswer | None = None
-    exact: bool = True  # it was claimed at `since`, not before
+    exact_age: bool = True  # it was claimed at `claimed_at`, not before
 
-    def row(self) -> str:
+    def to_row(self) -> str:
         """As it is kept on the disk."""
-        kept = self.answer.wire() if self.answer is not None else None
+        kept = self.answer.to_wire() if self.answer is not None else None
         return json.dumps([self.attempt, self.state.value, kept], separators=(",", ":"))
 
     @classmethod
-    def of(cls, row: str, now: float) -> "Operation":
+    def from_row(cls, row: str, now: float) -> "Operation":
         """Read a row; it counts from now."""
         attempt, state, kept = json.loads(row)
-        answer = StoredAnswer.of(kept) if kept is not None else None
-        return cls(attempt, now, State(state), answer, exact=False)
+        answer = StoredAnswer.from_wire(kept) if kept is not None else None
+        return cls(attempt, now, State(state), answer, exact_age=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,9 +76,9 @@
 
     rows: dict[str, str] = field(default_factory=dict)
     drop: set[str] = field(default_factory=set)
-    granted: list[tuple[Any, Claim]] = field(default_factory=list)
+    grants: list[tuple[Any, Claim]] = field(default_factory=list)
     replies: list[Reply] = field(default_factory=list)
-    completes: bool = False
+    marks_complete: bool = False
 
     def __bool__(self) -> bool:
         return bool(self.rows or self.drop)
@@ -97,21 +97,23 @@
 class OperationStore:
     """The operations that one replica holds."""
 
-    def __init__(self, kept: dict[str, str], fresh: bool, window: float, now: float) -> None:
-        """:param kept: the disk's rows
+    def __init__(self, stored: dict[str, str], fresh: bool, window: float, now: float) -> None:
+        """:param stored: the disk's rows
         :param fresh: the whole system starts for the first time: nothing can be forgotten
         :param window: seconds in which an operation runs once
         """
-        self.window, self.born = window, now
-        self.complete = COMPLETE in kept or fresh
-        self.epoch = int(kept.get(COMPLETE, NO_EPOCH))  # as of which it is complete
+        self.window, self.started_at = window, now
+        self.complete = COMPLETE_KEY in stored or fresh
+        self.epoch = int(stored.get(COMPLETE_KEY, NO_EPOCH))  # as of which it is complete
         self.incomplete_since = now
-        self.operations = {name: Operation.of(row, now) for name, row in kept.items() if name != COMPLETE}
+        self.operations = {
+            name: Operation.from_row(row, now) for name, row in stored.items() if name != COMPLETE_KEY
+        }
         self.answers_bytes = sum(self._size(operation) for operation in self.operations.values())
-        self._next, self._syncing = Batch(), False
-        self._swept = now
-        if self.complete and COMPLETE not in kept:
-            self._next.put(COMPLETE, str(self.epoch))
+        self._pending_batch, self._syncing = Batch(), False
+        self._last_sweep = now
+        if self.complete and COMPLETE_KEY not in stored:
+            self._pending_batch.put(COMPLETE_KEY, str(self.epoch))
         self._refused = Batch()  # what the disk did not take, to be put again
 
     @staticmethod
@@ -120,19 +122,19 @@
 
     # ---- the core ----------------------------------------------------------------------------------
 
-    def core_is(self, now: float, epoch: int, stays: bool) -> None:
+    def on_core_change(self, now: float, epoch: int, remains_member: bool) -> None:
         """The core in force is of that epoch: who was out of one lacks what was claimed under it.
 
-        :param stays: whether this replica is of that core and was of the one before
+        :param remains_member: whether this replica is of that core and was of the one before
         """
         if epoch <= self.epoch or not self.complete:
             return
-        if stays and epoch - self.epoch <= SEEN_EPOCHS:
+        if remains_member and epoch - self.epoch <= MAX_EPOCH_GAP:
             self.epoch = epoch
-            self._next.put(COMPLETE, str(epoch))
+            self._pending_batch.put(COMPLETE_KEY, str(epoch))
             return
         self.complete, self.incomplete_since = False, now
-        self._next.remove(COMPLETE)
+        self._pending_batch.remove(COMPLETE_KEY)
 
     # ---- calls -------------------------------------------------------------------------------------
 
@@ -142,32 +144,34 @@
         :param epoch: of the core that this replica votes in; 0: it does not vote
         """
         if not self.complete or claim.epoch != epoch:
-            return [self._claimed(via, claim, Verdict.NO)]
+            return [self._claim_reply(via, claim, Verdict.ABSTAINED)]
         held = self.operations.get(claim.operation)
-        if held is None or now - held.since > self.window + MARGIN_S:
+        if held is None or now - held.claimed_at > self.window + WINDOW_MARGIN_S:
             self._forget(claim.operation)
-            made = self.operations[claim.operation] = Operation(claim.attempt, now)
-            self._next.put(claim.operation, made.row())
-            self._next.granted.append((via, claim))
+            operation = self.operations[claim.operation] = Operation(claim.attempt, now)
+            self._pending_batch.put(claim.operation, operation.to_row())
+            self._pending_batch.grants.append((via, claim))
             return []
         if held.attempt == claim.attempt:
-            self._next.put(claim.operation, held.row())  # asked again: it may not be synced yet
-            self._next.granted.append((via, claim))
+            self._pending_batch.put(claim.operation, held.to_row())  # asked again: it may not be synced yet
+            self._pending_batch.grants.append((via, claim))
             return []
-        age = now - held.since
-        told = Claimed(claim.operation, claim.attempt, Verdict.HAD, held.state, age, held.answer, held.exact)
-        return [Reply(via, told.wire())]
+        age = now - held.claimed_at
+        reply = ClaimReply(
+            claim.operation, claim.attempt, Verdict.CONFLICT, held.state, age, held.answer, held.exact_age
+        )
+        return [Reply(via, reply.to_wire())]
 
     @staticmethod
-    def _claimed(via: Any, claim: Claim, verdict: Verdict) -> Reply:
-        return Reply(via, Claimed(claim.operation, claim.attempt, verdict).wire())
+    def _claim_reply(via: Any, claim: Claim, verdict: Verdict) -> Reply:
+        return Reply(via, ClaimReply(claim.operation, claim.attempt, verdict).to_wire())
 
     def withdraw(self, withdraw: Withdraw) -> None:
         """The request that claimed it was not sent and never will be: another one may claim it."""
         held = self.operations.get(withdraw.operation)
         if held is not None and held.attempt == withdraw.attempt and held.state is State.RUNNING:
             self._forget(withdraw.operation)
-            self._next.remove(withdraw.operation)
+            self._pending_batch.remove(withdraw.operation)
 
     def finish(self, now: float, via: Any, finish: Finish) -> None:
         """Keep how an operation ended; replied once it is synced."""
@@ -177,14 +181,14 @@
         if held.attempt != finish.attempt:
             return
         answer = finish.answer
-        if answer is not None and self.answers_bytes + answer.size > ANSWERS_BYTES:
+        if answer is not None and self.answers_bytes + answer.size > MAX_ANSWERS_BYTES:
             answer = None
         if held.state is State.RUNNING:
             held.state = State.ANSWERED if answer is not None else State.UNKNOWN
             held.answer = answer
             self.answers_bytes += self._size(held)
-        self._next.put(finish.operation, held.row())
-        self._next.replies.append(Reply(via, Finished(finish.operation, finish.attempt).wire()))
+        self._pending_batch.put(finish.operation, held.to_row())
+        self._pending_batch.replies.append(Reply(via, FinishAck(finish.operation, finish.attempt).to_wire()))
 
     def page(self, gather: Gather, epoch: int) -> Records | None:
         """Records for a replica that gathers; None: this one is not complete, or of another epoch.
@@ -193,49 +197,51 @@
         if not self.complete or gather.epoch != epoch:
             return None
         names = sorted(name for name in self.operations if name > gather.after)
-        rows = {name: self._row_without_answer(name) for name in names[:PAGE]}
-        return Records(epoch, rows, len(names) <= PAGE)
+        rows = {name: self._row_without_answer(name) for name in names[:PAGE_RECORDS]}
+        return Records(epoch, rows, len(names) <= PAGE_RECORDS)
 
     def _row_without_answer(self, name: str) -> str:
         held = self.operations[name]
         state = State.UNKNOWN if held.state is State.ANSWERED else held.state
-        return Operation(held.attempt, held.since, state).row()
+        return Operation(held.attempt, held.claimed_at, state).to_row()
 
     # ---- the disk ----------------------------------------------------------------------------------
 
     def next_batch(self) -> Batch | None:
         """What is to be synced now; None: nothing, or a sync is under way."""
-        if self._syncing or not self._next:
+        if self._syncing or not self._pending_batch:
             return None
-        batch, self._next, self._syncing = self._next, Batch(), True
+        batch, self._pending_batch, self._syncing = self._pending_batch, Batch(), True
         return batch
 
-    def synced(self, batch: Batch, well: bool) -> list[Reply]:
+    def synced(self, batch: Batch, ok: bool) -> list[Reply]:
         """The disk is done with a batch; returns what may be replied now."""
         self._syncing = False
-        if batch.completes and well:
+        if batch.marks_complete and ok:
             self.complete = True
-        verdict = Verdict.GRANTED if well else Verdict.NO
-        replies = [self._claimed(via, claim, verdict) for via, claim in batch.granted]
-        if well:
+        verdict = Verdict.GRANTED if ok else Verdict.ABSTAINED
+        replies = [self._claim_reply(via, claim, verdict) for via, claim in batch.grants]
+        if ok:
             return replies + batch.replies
-        for _, claim in batch.granted:
+        for _, claim in batch.grants:
             self.withdraw(Withdraw(claim.operation, claim.attempt))
             batch.rows.pop(claim.operation, None)
         self._refused.drop |= batch.drop
         self._refused.rows |= batch.rows
-        self._refused.completes |= batch.completes
+        self._refused.marks_complete |= batch.marks_complete
         return replies
 
-    def _put_again(self) -> None:
+    def _retry_refused(self) -> None:
         """What the disk refused goes into the next batch, unless something newer is there."""
         refused, self._refused = self._refused, Batch()
-        for name in refused.drop - self._next.rows.keys():
-            self._next.remove(name)
+        for name in refused.drop - self._pending_batch.rows.keys():
+            self._pending_batch.remove(name)
         for name, row in refused.rows.items():
-            if name not in self._next.rows and name not in self._next.drop:
-                self._next.put(name, row)
-        self._next.completes |= refused.completes and COMPLETE in self._next.rows
+            if name not in self._pending_batch.rows and name not in self._pending_batch.drop:
+                self._pending_batch.put(name, row)
+        self._pending_batch.marks_complete |= (
+            refused.marks_complete and COMPLETE_KEY in self._pending_batch.rows
+        )
 
     # ---- time --------------------------------------------------------------------------------------
 
@@ -244,31 +250,31 @@
 
         :param epoch: of the core in force, if this replica votes in it, else `NO_EPOCH`
         """
-        self._put_again()
-        if now - self._swept < SWEEP_S:
+        self._retry_refused()
+        if now - self._last_sweep < SWEEP_INTERVAL_S:
             return
-        self._swept = now
-        oldest = now - self.window - MARGIN_S
-        for name in [name for name, held in self.operations.items() if held.since < oldest]:
+        self._last_sweep = now
+        oldest = now - self.window - WINDOW_MARGIN_S
+        for name in [name for name, held in self.operations.items() if held.claimed_at < oldest]:
             self._forget(name)
-            self._next.remove(name)
+            self._pending_batch.remove(name)
         if epoch == NO_EPOCH:
             self.incomplete_since = now  # what is claimed meanwhile passes it by
         elif not self.complete and self.incomplete_since < oldest:
-            self._become_complete(epoch)  # whatever it lacks is past the window
+            self._mark_complete(epoch)  # whatever it lacks is past the window
 
-    def gathered(self, now: float, rows: dict[str, str], epoch: int) -> None:
+    def add_gathered(self, now: float, rows: dict[str, str], epoch: int) -> None:
         """What enough others of the core of that epoch hold; once it is synced, this replica is complete."""
         for name, row in rows.items():
             if name not in self.operations:
-                self.operations[name] = Operation.of(row, now)
-                self._next.put(name, row)
-        self._become_complete(epoch)
+                self.operations[name] = Operation.from_row(row, now)
+                self._pending_batch.put(name, row)
+        self._mark_complete(epoch)
 
-    def _become_complete(self, epoch: int) -> None:
+    def _mark_complete(self, epoch: int) -> None:
         self.epoch = epoch
-        self._next.put(COMPLETE, str(epoch))
-        self._next.completes = True
+        self._pending_batch.put(COMPLETE_KEY, str(epoch))
+        self._pending_batch.marks_complete = True
 
     def _forget(self, name: str) -> None:
         held = self.operations.pop(name, None)
--- a/tests/test_operation_claims.py
+++ b/tests/test_operation_claims.py
@@ -11,16 +11,23 @@
 from millfront.invariants import Invariant
 from millfront.operations.claims import Outcome, PendingClaim
 from millfront.operations.messages import Claim, Gather, StoredAnswer, operation_id
-from millfront.operations.store import COMPLETE, MARGIN_S, PAGE, Operation, OperationStore, Reply
+from millfront.operations.store import (
+    COMPLETE_KEY,
+    PAGE_RECORDS,
+    WINDOW_MARGIN_S,
+    Operation,
+    OperationStore,
+    Reply,
+)
 from tests.system_world import Node, World, document
 
 WIDEN_S, EXPIRE_S = 0.1, 0.26
 WINDOW_S = 60.0
 Process = Generator[Any, Any, None]
-Trouble = Callable[["Story"], Process]
+Trouble = Callable[["Scenario"], Process]
 
 
-class Story:
+class Scenario:
     """One fleet, clients that repeat a few keys, and what ran."""
 
     def __init__(self, seed: int, n: int = 11, disks: int = 4) -> None:
@@ -87,87 +94,87 @@
         return twice + self.wrong
 
 
-def wipes(story: Story) -> Process:
+def wipes(scenario: Scenario) -> Process:
     """One disk at a time is lost, as many as are borne at once."""
     for _ in range(3):
-        yield story.world.env.timeout(story.random.uniform(2.0, 4.0))
-        node = story.world.nodes[story.random.randrange(4)]
+        yield scenario.world.env.timeout(scenario.random.uniform(2.0, 4.0))
+        node = scenario.world.nodes[scenario.random.randrange(4)]
         node.wipe()
-        yield story.world.env.timeout(0.8)
+        yield scenario.world.env.timeout(0.8)
         node.start()
-        yield story.world.env.timeout(4.0)
+        yield scenario.world.env.timeout(4.0)
 
 
-def kills(story: Story) -> Process:
+def kills(scenario: Scenario) -> Process:
     """Any process, and now and then all that have a disk at once."""
     for _ in range(5):
-        yield story.world.env.timeout(story.random.uniform(1.0, 3.0))
-        whole = story.random.random() < 0.4
-        nodes = story.world.nodes[:4] if whole else [story.random.choice(story.world.nodes)]
+        yield scenario.world.env.timeout(scenario.random.uniform(1.0, 3.0))
+        whole = scenario.random.random() < 0.4
+        nodes = scenario.world.nodes[:4] if whole else [scenario.random.choice(scenario.world.nodes)]
         for node in nodes:
             node.kill()
-        yield story.world.env.timeout(0.5)
+        yield scenario.world.env.timeout(0.5)
         for node in nodes:
             node.start()
 
 
-def cuts(story: Story) -> Process:
+def cuts(scenario: Scenario) -> Process:
     """Some are cut off from all others, one with a disk among them."""
     for _ in range(3):
-        yield story.world.env.timeout(story.random.uniform(1.0, 3.0))
-        alone = {story.random.randrange(4), *story.random.sample(range(4, 11), 3)}
-        story.world.cut = lambda a, b, alone=alone: (a.number in alone) != (b.number in alone)  # type: ignore[misc]
-        yield story.world.env.timeout(story.random.uniform(0.5, 3.0))
-        story.world.cut = lambda a, b: False
+        yield scenario.world.env.timeout(scenario.random.uniform(1.0, 3.0))
+        alone = {scenario.random.randrange(4), *scenario.random.sample(range(4, 11), 3)}
+        scenario.world.cut = lambda a, b, alone=alone: (a.number in alone) != (b.number in alone)  # type: ignore[misc]
+        yield scenario.world.env.timeout(scenario.random.uniform(0.5, 3.0))
+        scenario.world.cut = lambda a, b: False
 
 
-def freezes(story: Story) -> Process:
+def freezes(scenario: Scenario) -> Process:
     """One with a disk stands still; what is sent to it waits."""
     for _ in range(4):
-        yield story.world.env.timeout(story.random.uniform(1.0, 3.0))
-        node = story.world.nodes[story.random.randrange(4)]
+        yield scenario.world.env.timeout(scenario.random.uniform(1.0, 3.0))
+        node = scenario.world.nodes[scenario.random.randrange(4)]
         if node.gatekeeper is None:
             continue
         node.freeze()
-        yield story.world.env.timeout(story.random.uniform(0.2, 3.0))
+        yield scenario.world.env.timeout(scenario.random.uniform(0.2, 3.0))
         node.thaw()
 
 
-def ends_in_turn(story: Story) -> Process:
+def ends_in_turn(scenario: Scenario) -> Process:
     """Those with a disk get SIGTERM one after another, and each starts again soon after its end."""
     for number in (0, 1, 2, 3, 0, 1):
-        node = story.world.nodes[number]
+        node = scenario.world.nodes[number]
         if node.gatekeeper is None:
             continue
         node.leave()
         while node.gatekeeper is not None:
-            yield story.world.env.timeout(0.1)
-        yield story.world.env.timeout(story.random.uniform(0.3, 1.0))
+            yield scenario.world.env.timeout(0.1)
+        yield scenario.world.env.timeout(scenario.random.uniform(0.3, 1.0))
         node.start()
-        yield story.world.env.timeout(story.random.uniform(0.5, 3.0))
+        yield scenario.world.env.timeout(scenario.random.uniform(0.5, 3.0))
 
 
-def full_disks(story: Story) -> Process:
+def full_disks(scenario: Scenario) -> Process:
     """One disk after another refuses every write for a while; now and then its process is killed, too."""
     for _ in range(4):
-        yield story.world.env.timeout(story.random.uniform(1.0, 2.0))
-        node = story.world.nodes[story.random.randrange(4)]
+        yield scenario.world.env.timeout(scenario.random.uniform(1.0, 2.0))
+        node = scenario.world.nodes[scenario.random.randrange(4)]
         node.refuses = True
-        yield story.world.env.timeout(story.random.uniform(0.5, 2.5))
+        yield scenario.world.env.timeout(scenario.random.uniform(0.5, 2.5))
         node.refuses = False
-        if story.random.random() < 0.5:
+        if scenario.random.random() < 0.5:
             node.kill()
-            yield story.world.env.timeout(0.5)
+            yield scenario.world.env.timeout(0.5)
             node.start()
 
 
-def play(seed: int, troubles: tuple[Trouble, ...]) -> Story:
-    story = Story(seed)
-    story.world.lost_answers = 0.02
+def run_scenario(seed: int, troubles: tuple[Trouble, ...]) -> Scenario:
+    scenario = Scenario(seed)
+    scenario.world.lost_answers = 0.02
     for trouble in troubles:
-        story.world.env.process(trouble(story))
-    story.clients(20.0, keys=60)
-    return story
+        scenario.world.env.process(trouble(scenario))
+    scenario.clients(20.0, keys=60)
+    return scenario
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -179,55 +186,55 @@
 def test_no_key_runs_twice_and_a_repeat_is_given_the_first_answer(
     seed: int, troubles: tuple[Trouble, ...]
 ) -> None:
-    story = play(seed, troubles)
-    assert story.faults() == []
-    assert len(story.runs) > 30  # keys run, whatever happens
-    assert story.outcomes[Outcome.REPEAT] > 50
+    scenario = run_scenario(seed, troubles)
+    assert scenario.faults() == []
+    assert len(scenario.runs) > 30  # keys run, whatever happens
+    assert scenario.outcomes[Outcome.REPEAT] > 50
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_no_key_runs_twice_while_members_end_in_order_and_come_back(seed: int) -> None:
-    story = Story(seed)
-    story.world.env.process(ends_in_turn(story))
-    story.clients(35.0, keys=120)
-    assert story.faults() == []
-    assert len(story.runs) > 60
+    scenario = Scenario(seed)
+    scenario.world.env.process(ends_in_turn(scenario))
+    scenario.clients(35.0, keys=120)
+    assert scenario.faults() == []
+    assert len(scenario.runs) > 60
 
 
 def test_what_a_full_disk_did_not_take_is_kept_once_it_does() -> None:
     """A replica that gathers while its disk is full is complete once all that it was told is on its disk."""
     made = store({})
-    made.gathered(1.0, {"o": Operation("a", 0.0).row()}, epoch=2)
+    made.add_gathered(1.0, {"o": Operation("a", 0.0).to_row()}, epoch=2)
     batch = made.next_batch()
     assert batch is not None and "o" in batch.rows
-    made.synced(batch, well=False)
+    made.synced(batch, ok=False)
     assert not made.complete and made.next_batch() is None  # not at once: the disk would be asked without end
     made.tick(1.25, epoch=2)
     again = made.next_batch()
-    assert again is not None and again.rows.keys() == {"o", COMPLETE}
-    made.synced(again, well=True)
+    assert again is not None and again.rows.keys() == {"o", COMPLETE_KEY}
+    made.synced(again, ok=True)
     assert made.complete
 
 
 def test_after_a_loss_of_power_of_all_no_key_runs_again() -> None:
-    story = Story(7)
-    story.clients(6.0, keys=40)
-    ran = set(story.runs)
-    story.world.power_off()
-    story.world.run(6.0)
-    before = dict(story.outcomes)
-    story.clients(6.0, keys=40)
-    assert story.faults() == [] and ran
-    assert story.outcomes[Outcome.REPEAT] > before[Outcome.REPEAT]  # the answers were on disks
+    scenario = Scenario(7)
+    scenario.clients(6.0, keys=40)
+    ran = set(scenario.runs)
+    scenario.world.power_off()
+    scenario.world.run(6.0)
+    before = dict(scenario.outcomes)
+    scenario.clients(6.0, keys=40)
+    assert scenario.faults() == [] and ran
+    assert scenario.outcomes[Outcome.REPEAT] > before[Outcome.REPEAT]  # the answers were on disks
 
 
 def test_a_key_that_was_withdrawn_runs_and_one_past_the_window_runs_again() -> None:
-    story = Story(3)
-    node = story.world.nodes[6]
+    scenario = Scenario(3)
+    node = scenario.world.nodes[6]
     for again in range(2):
-        story.clients(1.0, keys=1)
-        assert len(story.runs["k0"]) == again + 1
-        story.world.run(WINDOW_S + MARGIN_S + 6.0)
+        scenario.clients(1.0, keys=1)
+        assert len(scenario.runs["k0"]) == again + 1
+        scenario.world.run(WINDOW_S + WINDOW_MARGIN_S + 6.0)
     assert node.gatekeeper is not None
 
 
@@ -242,15 +249,16 @@
         self.complete = True
 
     monkeypatch.setattr(OperationStore, "__init__", forgets)
-    story = Story(2)
-    story.clients(5.0, keys=20)
-    for node in story.world.nodes[:2]:  # a majority of four is three: two that forget and one that never knew
+    scenario = Scenario(2)
+    scenario.clients(5.0, keys=20)
+    # A majority of four is three: two that forget and one that never knew
+    for node in scenario.world.nodes[:2]:
         node.operation_rows.clear()
         node.kill()
         node.start()
-    story.world.run(4.0)
-    story.clients(5.0, keys=20)
-    assert any("ran 2 times" in fault for fault in story.faults())
+    scenario.world.run(4.0)
+    scenario.clients(5.0, keys=20)
+    assert any("ran 2 times" in fault for fault in scenario.faults())
     violations.clear()
 
 
@@ -264,7 +272,7 @@
         return real(self, now, via, claim, epoch)
 
     monkeypatch.setattr(OperationStore, "claim", grants)
-    assert play(1, ()).faults()
+    assert run_scenario(1, ()).faults()
     violations.clear()
 
 
@@ -279,63 +287,65 @@
     empty = store({})
     [reply] = empty.claim(1.0, "via", Claim("o", "a", 2), 2)
     assert reply.message["v"] == "no"
-    empty.tick(WINDOW_S + MARGIN_S + 1.0, epoch=2)
+    empty.tick(WINDOW_S + WINDOW_MARGIN_S + 1.0, epoch=2)
     batch = empty.next_batch()
-    assert batch is not None and batch.rows == {COMPLETE: "2"} and not empty.complete
-    empty.synced(batch, well=True)
+    assert batch is not None and batch.rows == {COMPLETE_KEY: "2"} and not empty.complete
+    empty.synced(batch, ok=True)
     assert empty.complete
 
 
 def test_one_that_is_out_of_the_core_does_not_become_complete_by_waiting() -> None:
-    out = store({COMPLETE: "2"})
-    out.core_is(1.0, 4, stays=False)
+    out = store({COMPLETE_KEY: "2"})
+    out.on_core_change(1.0, 4, remains_member=False)
     for at in range(2, 200, 5):
         out.tick(float(at), epoch=0)
-    out.core_is(200.0, 6, stays=False)
+    out.on_core_change(200.0, 6, remains_member=False)
     out.tick(201.0, epoch=6)
     assert not out.complete
     batch = out.next_batch()
-    assert batch is not None and batch.drop == {COMPLETE} and not batch.completes
+    assert batch is not None and batch.drop == {COMPLETE_KEY} and not batch.marks_complete
 
 
 @pytest.mark.parametrize(
-    ("epoch", "stays", "complete"),
+    ("epoch", "remains_member", "complete"),
     [(2, True, True), (3, True, True), (4, True, True), (5, True, False), (4, False, False)],
 )
 def test_the_mark_of_a_disk_holds_for_cores_that_follow_without_a_gap(
-    epoch: int, stays: bool, complete: bool
+    epoch: int, remains_member: bool, complete: bool
 ) -> None:
-    made = store({COMPLETE: "2"})
-    made.core_is(1.0, epoch, stays)
+    made = store({COMPLETE_KEY: "2"})
+    made.on_core_change(1.0, epoch, remains_member)
     assert made.complete is complete
 
 
 def test_a_claim_is_granted_once_it_is_synced_and_not_by_a_disk_that_refuses() -> None:
-    made = store({COMPLETE: "1"})
+    made = store({COMPLETE_KEY: "1"})
     assert made.claim(1.0, "via", Claim("o", "a", 2), 2) == []
     batch = made.next_batch()
     assert batch is not None
-    [reply] = made.synced(batch, well=False)
+    [reply] = made.synced(batch, ok=False)
     assert reply.message["v"] == "no"
     assert made.claim(2.0, "via", Claim("o", "b", 2), 2) == []  # nothing stands in its way
 
 
 def test_a_claim_for_another_epoch_is_not_granted() -> None:
-    [reply] = store({COMPLETE: "1"}).claim(1.0, "via", Claim("o", "a", 3), 2)
+    [reply] = store({COMPLETE_KEY: "1"}).claim(1.0, "via", Claim("o", "a", 3), 2)
     assert reply.message["v"] == "no"
 
 
 def test_records_are_told_in_pages_and_without_answers() -> None:
     answer = StoredAnswer(200, (), b"private")
-    kept = {f"{number:04d}": Operation("a", 0.0, answer=answer).row() for number in range(PAGE + 5)}
-    full, after, found = store({COMPLETE: "1", **kept}), "", dict[str, str]()
+    kept = {
+        f"{number:04d}": Operation("a", 0.0, answer=answer).to_row() for number in range(PAGE_RECORDS + 5)
+    }
+    full, after, found = store({COMPLETE_KEY: "1", **kept}), "", dict[str, str]()
     for last in (False, True):
         records = full.page(Gather(2, after), 2)
         assert records is not None and records.last is last
         found |= records.rows
         after = max(records.rows)
     assert found.keys() == kept.keys()
-    assert all(Operation.of(row, 0.0).answer is None for row in found.values())
+    assert all(Operation.from_row(row, 0.0).answer is None for row in found.values())
     assert store({}).page(Gather(2), 2) is None
 
 
@@ -344,8 +354,8 @@
 
 def test_an_answer_is_kept_only_where_it_may_be_stored() -> None:
     """By the owner and its successor of the allowed region; the claim, which tells nothing, by a majority."""
-    story = Story(4)
-    node, operation = story.world.nodes[9], operation_id("t", "homed")
+    scenario = Scenario(4)
+    node, operation = scenario.world.nodes[9], operation_id("t", "homed")
     gatekeeper = node.gatekeeper
     assert gatekeeper is not None
     gatekeeper.now = node.now()
@@ -353,16 +363,16 @@
     claims = gatekeeper.operations.claims
     pending = claims.begin(operation, 4.0, lambda outcome, _: granted.append(outcome))
     assert pending is not None
-    story.world.run(1.0)
+    scenario.world.run(1.0)
     assert granted == [Outcome.RUN]
     kept: list[bool] = []
     claims.finish(pending, StoredAnswer(200, (), b"private"), frozenset({"b"}), lambda: kept.append(True))
-    story.world.run(1.0)
+    scenario.world.run(1.0)
     assert kept == [True]
     holders = {
         other.zone[0]
-        for other in story.world.nodes[:4]
+        for other in scenario.world.nodes[:4]
         for row in other.operation_rows.items()
-        if row[0] == operation and Operation.of(row[1], 0.0).answer is not None
+        if row[0] == operation and Operation.from_row(row[1], 0.0).answer is not None
     }
     assert holders == {"b"}
--- a/tests/test_operation_keys.py
+++ b/tests/test_operation_keys.py
@@ -12,7 +12,7 @@
 
 
 def test_a_repeat_is_given_the_answer_of_the_first_run(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with stage(tmp_path, [says(body=b"first", more=SEAL), says(body=b"second", more=SEAL)]) as made:
             assert await made.put(document(2, {"t": ["key-1"]}, kind="keyed")) == 200
             status, head, body = await made.ask("POST", "/p/a1", b"x", more=KEYED)
@@ -22,11 +22,11 @@
             assert b"Millfront-Server-Seal: 1" in head and b"Millfront-Server-Seal: 1" in head_again
             assert len(made.seen) == 1
 
-    play(story)
+    play(scenario)
 
 
 def test_a_repeat_while_the_first_is_at_work_is_told_so(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         goes_on = asyncio.Event()
 
         async def slow(head: bytes, writer: asyncio.StreamWriter, number: int) -> None:
@@ -44,13 +44,13 @@
             assert (await made.ask("POST", "/p/a3", b"x", more=KEYED))[2] == b"first"
             assert len(made.seen) == 1
 
-    play(story)
+    play(scenario)
 
 
 def test_a_servers_own_503_is_no_answer_for_a_repeat_though_the_first_client_has_left(tmp_path: Path) -> None:
     """It has run: given to a repeat, that 503 would promise that it has not."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         left = asyncio.Event()
 
         async def refuses(head: bytes, writer: asyncio.StreamWriter, number: int) -> None:
@@ -74,4 +74,4 @@
             assert status == 502
             assert len(made.seen) == 1
 
-    play(story)
+    play(scenario)
