--- a/millfront/register/__init__.py
+++ b/millfront/register/__init__.py
@@ -1,4 +1,4 @@
-"""The quorum register that control state stands on: replicas, coordinators, recovery and reconfiguration.
+"""The quorum register that stores the control state: replicas, coordinators, recovery and reconfiguration.
 
-Pure: no I/O and no clock.
+No I/O and no clock.
 """
--- a/millfront/register/deltas.py
+++ b/millfront/register/deltas.py
@@ -1,10 +1,11 @@
 """Delta encoding of two versions of a text. No I/O, no clock.
 
-A delta is a list of steps: ``[start, length]`` copies characters of the earlier text, a string stands for
-itself. Both texts are walked side by side; where they part, the walk goes on at the next end of an entry
-(``},`` or a line's end) of the later text whose continuation the earlier one has near. So a changed, added or
-removed entry costs little more than itself, and of what is equal nothing is copied or kept. The later text
-comes back character for character, or an error: who applies a delta checks the digest of what came out.
+A delta is a list of steps: ``[start, length]`` copies characters of the earlier text, a string is inserted.
+Both texts are compared from the start; where they differ, the comparison resumes at the next end of an entry
+(``},`` or a newline) of the later text whose continuation is found nearby in the earlier one. A changed,
+added or removed entry therefore costs little more than its own length, and equal parts are neither copied
+nor stored. The result is the later text character for character, or an error: whoever applies a delta checks the
+digest of the result.
 """
 
 import re
@@ -16,18 +17,18 @@
 
 Steps = list[Any]
 ENTRY_END = re.compile(r"\},|\n")
-ANCHOR_CHARS = 96  # characters that must be equal for the walk to go on there: an entry's begin with its name
-SEARCH_WINDOWS = (4096, 65536)  # how far is looked for it: a few entries, then a few hundred
-MAX_CANDIDATES = 64  # ends of entries in a window
-MIN_COPY_CHARS = 24  # characters: a shorter copy costs as much as the text
+ANCHOR_CHARS = 96  # equal characters needed to resume there: an entry starts with its name
+SEARCH_WINDOWS = (4096, 65536)  # characters searched for it: a few entries, then a few hundred
+MAX_CANDIDATES = 64  # ends of entries tried in a window
+MIN_COPY_CHARS = 24  # a shorter copy step costs as much as the text itself
 
 
 class DeltaError(Exception):
-    """A delta that does not fit the text, or does not give what it should."""
+    """A delta that cannot be applied to the text, or gives another text than expected."""
 
 
-def difference(old: str, new: str, most: int) -> Steps | None:
-    """The steps from `old` to `new`; None: it would take more than `most` characters on a line.
+def difference(old: str, new: str, max_chars: int) -> Steps | None:
+    """The steps from `old` to `new`; None: they would encode to more than `max_chars` characters.
 
     >>> old = "".join(f'{{"route": {n}, "target": "somewhere"}},' for n in range(100))
     >>> difference(old, old.replace('"route": 50,', '"route": 50, "public": true,'), 1000)
@@ -36,33 +37,35 @@
     (['new'], [[0, 3]], None)
     """
     steps: Steps = []
-    i = j = taken = 0
+    i = j = inserted = 0
     while j < len(new):
-        same = _common_length(old, i, new, j)
-        if same:
-            steps.append([i, same])
-            i, j = i + same, j + same
+        common = _common_length(old, i, new, j)
+        if common:
+            steps.append([i, common])
+            i, j = i + common, j + common
         if j == len(new):
             break
         to_i, to_j = _resync(old, i, new, j)
         steps.append(new[j:to_j])
-        taken += to_j - j
-        if taken > most:
+        inserted += to_j - j
+        if inserted > max_chars:
             return None
         i, j = to_i, to_j
-    made = _merged(steps, old)
-    return made if wire_size(made) <= most else None
+    merged = _merged(steps, old)
+    return merged if wire_size(merged) <= max_chars else None
 
 
-def apply(old: str, steps: Steps, most: int) -> Result[str, DeltaError]:
-    """:param most: characters that may come out
+def apply(old: str, steps: Steps, max_chars: int) -> Result[str, DeltaError]:
+    """The text that a delta makes of `old`.
+
+    :param max_chars: length that the result may have
 
     >>> apply("one two", [[0, 4], "three"], 100).unwrap()
     'one three'
     >>> str(apply("one", [[2, 5]], 100).unwrap_err()), str(apply("one", [None], 100).unwrap_err())
-    ('the step [2, 5] does not fit a text of 3', 'the step None does not fit a text of 3')
+    ('step [2, 5] does not fit a text of length 3', 'step None does not fit a text of length 3')
     """
-    parts, came = [], 0
+    parts, result_length = [], 0
     for step in steps:
         match step:
             case str():
@@ -70,36 +73,36 @@
             case [int() as start, int() as length] if start >= 0 and 0 <= length <= len(old) - start:
                 part = old[start : start + length]
             case _:
-                return Err(DeltaError(f"the step {str(step)[:40]} does not fit a text of {len(old)}"))
-        came += len(part)
-        if came > most:
-            return Err(DeltaError(f"more than {most} characters come out"))
+                return Err(DeltaError(f"step {str(step)[:40]} does not fit a text of length {len(old)}"))
+        result_length += len(part)
+        if result_length > max_chars:
+            return Err(DeltaError(f"result is longer than {max_chars} characters"))
         parts.append(part)
     return Ok("".join(parts))
 
 
 def apply_chain(old: str, chain: list[Steps], length: int, digest: str) -> Result[str, DeltaError]:
-    """One delta after the other; what comes out has this length and this digest.
+    """Apply deltas one after the other; the result must have this length and digest.
 
     >>> apply_chain("a", [["b"], [[0, 1], "c"]], 2, digest_of("bc")).unwrap()
     'bc'
     >>> str(apply_chain("a", [["b"]], 1, digest_of("c")).unwrap_err())
-    'the digest is not that of the text that was meant'
+    'length or digest of the result does not match'
     """
     text = old
     for steps in chain:
         match apply(text, steps, 2 * max(length, len(old)) + 4096):
-            case Ok(made):
-                text = made
+            case Ok(result):
+                text = result
             case Err(fault):
                 return Err(fault)
     if len(text) != length or digest_of(text) != digest:
-        return Err(DeltaError("the digest is not that of the text that was meant"))
+        return Err(DeltaError("length or digest of the result does not match"))
     return Ok(text)
 
 
 def wire_size(steps: Steps) -> int:
-    """Characters that it takes on a line, about.
+    """Approximate length of the encoded steps in characters.
 
     >>> wire_size([[0, 4], "three"])
     29
@@ -108,20 +111,20 @@
 
 
 def _common_length(old: str, i: int, new: str, j: int) -> int:
-    """How many characters from there on are equal: looked at in parts that double, then halve."""
-    same, part = 0, 64
-    while (one := old[i + same : i + same + part]) and one == new[j + same : j + same + part]:
-        same += len(one)
-        part = min(2 * part, 65536)
-    while part:
-        if (one := old[i + same : i + same + part]) and one == new[j + same : j + same + part]:
-            same += len(one)
-        part //= 2
-    return same
+    """Number of equal characters from there on: compared in blocks whose size doubles, then halves."""
+    common, size = 0, 64
+    while (block := old[i + common : i + common + size]) and block == new[j + common : j + common + size]:
+        common += len(block)
+        size = min(2 * size, 65536)
+    while size:
+        if (block := old[i + common : i + common + size]) and block == new[j + common : j + common + size]:
+            common += len(block)
+        size //= 2
+    return common
 
 
 def _resync(old: str, i: int, new: str, j: int) -> tuple[int, int]:
-    """Where both go on alike; else behind the largest window of both."""
+    """Positions from which both texts continue equally; else the ends of the largest window."""
     for window in SEARCH_WINDOWS:
         for tried, end in enumerate(ENTRY_END.finditer(new, j, j + window)):
             if tried >= MAX_CANDIDATES:
@@ -133,15 +136,15 @@
 
 
 def _merged(steps: Steps, old: str) -> Steps:
-    """Copies that are shorter than their own step become text; texts side by side become one."""
-    made: Steps = []
+    """Replace copies that are shorter than their own step by text, and join adjacent texts."""
+    merged: Steps = []
     for step in steps:
-        if (isinstance(step, list) and step[1] >= MIN_COPY_CHARS) or (not made and len(steps) == 1):
-            made.append(step)
+        if (isinstance(step, list) and step[1] >= MIN_COPY_CHARS) or (not merged and len(steps) == 1):
+            merged.append(step)
             continue
         text = step if isinstance(step, str) else old[step[0] : step[0] + step[1]]
-        if made and isinstance(made[-1], str):
-            made[-1] += text
+        if merged and isinstance(merged[-1], str):
+            merged[-1] += text
         else:
-            made.append(text)
-    return made
+            merged.append(text)
+    return merged
--- a/millfront/register/snapshot.py
+++ b/millfront/register/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the register: a document with all that operators have put, checked by its hash. No I/O."""
+"""Snapshots of the register: a JSON document of the values that operators have stored, and a hash. No I/O."""
 
 import hashlib
 import json
@@ -13,43 +13,49 @@
 
 
 class SnapshotError(Exception):
-    """A file that is no snapshot of a register; the text says why."""
+    """A file that is not a valid snapshot of a register; the text says why."""
 
 
 def dump(values: dict[str, Value]) -> str:
-    """A document with all that operators have put; who keeps it and lives of disks are the core's own."""
-    kept = {key: value.to_wire() for key, value in sorted(values.items()) if not _is_core_internal(key)}
-    return json.dumps({"format": FORMAT, "hash": _hash(kept), "values": kept}, indent=1)
+    """A document of all values that operators have stored, without the core's own: its members, disk
+    incarnations, claims and ballots."""
+    stored = {key: value.to_wire() for key, value in sorted(values.items()) if not _is_core_internal(key)}
+    return json.dumps({"format": FORMAT, "hash": _hash(stored), "values": stored}, indent=1)
 
 
 def load(text: str) -> Result[dict[str, Value], SnapshotError]:
-    """What a snapshot holds, checked: its hash, and that its configuration can be in force.
+    """The values of a snapshot, after a check of its hash and of its configuration.
 
     >>> load(dump({"evacuation/z": Value(3, "n", "1")})).unwrap()["evacuation/z"].version
     3
     >>> str(load(dump({}).replace('{}', '{"a": [1, "", ""]}')).unwrap_err())
-    'its hash is not that of its values'
+    'hash does not match the values'
     """
     try:
-        told = json.loads(text)
-        if told["format"] != FORMAT:
-            return Err(SnapshotError(f"format {told['format']!r} is not {FORMAT}"))
-        if told["hash"] != _hash(told["values"]):
-            return Err(SnapshotError("its hash is not that of its values"))
+        document = json.loads(text)
+        if document["format"] != FORMAT:
+            return Err(SnapshotError(f"format: got {document['format']!r}, expected {FORMAT}"))
+        if document["hash"] != _hash(document["values"]):
+            return Err(SnapshotError("hash does not match the values"))
         values = {
             str(key): Value.from_wire(wire)
-            for key, wire in told["values"].items()
+            for key, wire in document["values"].items()
             if not _is_core_internal(key)
         }
-    except (ValueError, KeyError, TypeError, AttributeError) as wrong:
-        return Err(SnapshotError(f"is no snapshot: {wrong!r}"))
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        return Err(SnapshotError(f"not a snapshot document: {error!r}"))
     if CONFIG in values:
         match configuration.checked(values[CONFIG].data):
             case Err(fault):
-                return Err(SnapshotError(f"its configuration: {fault}"))
+                return Err(SnapshotError(f"configuration: {fault}"))
             case Ok(made):
                 if made.version != values[CONFIG].version:
-                    return Err(SnapshotError("its configuration is of another version than its value"))
+                    return Err(
+                        SnapshotError(
+                            f"configuration: its version is {made.version}, but its value has version "
+                            f"{values[CONFIG].version}"
+                        )
+                    )
     return Ok(values)
 
 
