--- a/millfront/register/coordinator.py
+++ b/millfront/register/coordinator.py
@@ -1,9 +1,9 @@
-"""The coordinator: writes to and reads from a majority of the replicas, in any process. No log, no leader, no
-I/O, no clock.
+"""The coordinator: writes to and reads from a majority of the replicas; any process can run one. There is no
+log and no leader. No I/O, no clock.
 
-It writes to all replicas and is done with a majority; it reads from a majority and writes back what it found
-before it answers. Who the replicas of the next core are, and which document has a revision number, it
-*decides* by a ballot over a majority of the present one (single-decree Paxos).
+A write goes to all replicas and is complete once a majority has stored it; a read asks a majority and writes
+back what it found before it returns. The members of the next core, and which document has a revision number,
+are *decided* by a ballot over a majority of the present core (single-decree Paxos).
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 
 class Phase(Enum):
-    """Of one round of a coordinator: a read (and its write-back), a write, or a decision on the next core."""
+    """Phase of a round: of a read and its write-back, a write, or a decision by ballot."""
 
     PROMISING = "promising"
     ACCEPTING = "accepting"
@@ -26,9 +26,9 @@
 
 @dataclass(slots=True)
 class Round:
-    """One write, one read with its write-back or one decision, over the replicas of one core.
+    """One write, one read with its write-back, or one decision, over the replicas of one core.
 
-    `ballot`, `decision_key`, `preferred` and `proposal` are used by a decision only: once DONE, `proposal` is
+    `ballot`, `decision_key`, `preferred` and `proposal` are used by decisions only; once DONE, `proposal` is
     the chosen value.
     """
 
@@ -38,56 +38,63 @@
     values: dict[str, Value]
     deadline: float
     keys: list[str] | None = None
-    answered: dict[str, int] = field(default_factory=dict)  # who, and in which of its lives
-    incarnations: dict[str, int] = field(default_factory=dict)  # the newest that any answer has told of
+    answered: dict[str, int] = field(default_factory=dict)  # incarnation of each replica that answered
+    incarnations: dict[str, int] = field(default_factory=dict)  # newest that any answer named
     last_sent: dict[str, float] = field(default_factory=dict)
-    needs_write_back: bool = False  # a read found replicas that differ
+    needs_write_back: bool = False  # a read found replicas with different values
     ballot: tuple[int, str] = (0, "")
-    decision_key: str = CORE  # the key of what is decided
-    preferred: str = ""  # what is proposed if nothing may have been chosen before
+    decision_key: str = CORE  # key of the value that is decided
+    preferred: str = ""  # proposed unless another value may have been chosen
     proposal: str = ""
-    confirmed_claimant: str | None = None  # whose a number is, as a replica that holds its document has told
-    claim_expired: bool = False  # a claim of a number so low that a replica has forgotten whose it was
-    highest_accepted: Value | None = None  # the highest that was accepted before
-    promised: dict[str, int] = field(default_factory=dict)  # who did, and in which life
-    highest_ballot: int = 0  # a ballot's number that stood in the way
+    confirmed_claimant: str | None = None  # owner of the number, from a replica with its document
+    claim_expired: bool = False  # the number is so low that a replica has deleted its claim
+    highest_accepted: Value | None = None  # the highest value accepted before
+    promised: dict[str, int] = field(default_factory=dict)  # incarnation of each replica that promised
+    highest_ballot: int = 0  # number of the higher ballot that stopped this one
 
 
-RESEND_S = 0.7  # to a replica that has not answered
+RESEND_S = 0.7  # interval of repeated calls to a replica that has not answered
 
 
 class Coordinator:
-    """Writes to and reads from a majority. Each call is a round that ends once, with DONE or FAILED."""
+    """Writes to and reads from a majority. Each call starts a round, which ends once, as DONE or FAILED."""
 
     def __init__(self, name: str) -> None:
-        """:param name: of this incarnation of the process: references of calls begin with it"""
+        """:param name: unique to this incarnation of the process; prefix of its rounds' references"""
         self.name = name
         self.rounds: dict[str, Round] = {}
         self._next = 0
 
-    def write(self, now: float, core: Core, values: dict[str, Value], within: float) -> Round:
-        """Store values on a majority; ``within`` in seconds, after which the round fails."""
-        return self._start_round(now, core, Phase.WRITING, values, within)
+    def write(self, now: float, core: Core, values: dict[str, Value], timeout_s: float) -> Round:
+        """Store values on a majority; the round fails after `timeout_s`."""
+        return self._start_round(now, core, Phase.WRITING, values, timeout_s)
 
-    def read(self, now: float, core: Core, keys: list[str] | None, within: float) -> Round:
-        """Read the newest of these keys, None: of all, from a majority; ``within`` in seconds."""
-        made = self._start_round(now, core, Phase.READING, {}, within)
-        made.keys = keys
-        return made
+    def read(self, now: float, core: Core, keys: list[str] | None, timeout_s: float) -> Round:
+        """Read the newest values of these keys (None: all keys) from a majority; fails after `timeout_s`."""
+        round = self._start_round(now, core, Phase.READING, {}, timeout_s)
+        round.keys = keys
+        return round
 
-    def decide(self, now: float, core: Core, number: int, wish: str, within: float, key: str = CORE) -> Round:
-        """Who the next core's are, or with a claim's `key` whose digest has that revision number: `wish`,
-        unless another may have been chosen by an earlier ballot.
+    def decide(
+        self, now: float, core: Core, number: int, preferred: str, timeout_s: float, key: str = CORE
+    ) -> Round:
+        """Decide the members of the next core, or for a claim's `key` the digest that gets the revision
+        number: `preferred`, unless an earlier ballot may have chosen another value.
 
-        :param number: of the ballot; a higher one than was seen before. No two rounds have the same ballot:
-            the round's reference is its second part
+        :param number: of the ballot, higher than those seen before. No two rounds have the same ballot: its
+            second part is the round's reference
         """
-        made = self._start_round(now, core, Phase.PROMISING, {}, within)
-        made.ballot, made.preferred, made.proposal, made.decision_key = (number, made.ref), wish, wish, key
-        return made
+        round = self._start_round(now, core, Phase.PROMISING, {}, timeout_s)
+        round.ballot, round.preferred, round.proposal, round.decision_key = (
+            (number, round.ref),
+            preferred,
+            preferred,
+            key,
+        )
+        return round
 
     def restart(self, round: Round, core: Core) -> None:
-        """The core has changed under a read, a write or a claim: it begins anew with the new one."""
+        """Restart a read, a write or a claim with a new core, after the core has changed."""
         self.rounds.pop(round.ref, None)
         self._next += 1
         round.ref, round.core = f"{self.name}/{self._next}", core
@@ -104,15 +111,15 @@
         self.rounds[round.ref] = round
 
     def _start_round(
-        self, now: float, core: Core, phase: Phase, values: dict[str, Value], within: float
+        self, now: float, core: Core, phase: Phase, values: dict[str, Value], timeout_s: float
     ) -> Round:
         self._next += 1
-        made = Round(f"{self.name}/{self._next}", core, phase, values, now + within)
-        self.rounds[made.ref] = made
-        return made
+        round = Round(f"{self.name}/{self._next}", core, phase, values, now + timeout_s)
+        self.rounds[round.ref] = round
+        return round
 
     def drive(self, now: float, round: Round) -> list[tuple[str, Message]]:
-        """What is to be sent now: first to all, then again to those that are silent or said no."""
+        """Messages to send now: first to all replicas, then again to those that are silent or refused."""
         if round.phase in (Phase.DONE, Phase.FAILED):
             return []
         if now >= round.deadline:
@@ -138,13 +145,13 @@
         return out
 
     def find_round(self, ref: Any) -> Round | None:
-        """The open round that a call's reference is of, if it still is in the phase that the call was for."""
+        """The open round with this reference, if it still is in the phase that the call was made in."""
         name, _, phase = str(ref).rpartition("/")
         round = self.rounds.get(name)
         return round if round is not None and round.phase.value == phase else None
 
     def handle_answer(self, now: float, sender: str, message: Message) -> Round | None:
-        """A replica's answer; the round it belongs to, which may have turned."""
+        """A replica's answer; returns the round that it belongs to, which may have changed its phase."""
         round = self.find_round(message.get("r"))
         if round is None or sender not in round.core.all_members:
             return None
@@ -165,8 +172,8 @@
         return round
 
     def _handle_vote(self, round: Round, sender: str, message: Message) -> None:
-        """A replica's answer to a ballot. Whose a stored number is, is beyond doubt, and counts like all else
-        once a majority has answered."""
+        """A replica's answer to a ballot. If it names the owner of a number whose document is stored, that
+        owner is certain; the answer counts like any other, once a majority has answered."""
         kind = message["t"]
         if kind == "no" and message.get("old"):
             round.claim_expired = True
@@ -187,8 +194,8 @@
         elif kind != "accepted" or round.phase is not Phase.ACCEPTING:
             return
         self._count_answer(round, sender, message["l"])
-        if any(life < round.incarnations.get(name, 0) for name, life in round.promised.items()):
-            self._enter_phase(round, Phase.FAILED)  # a promise was forgotten with its disk
+        if any(incarnation < round.incarnations.get(name, 0) for name, incarnation in round.promised.items()):
+            self._enter_phase(round, Phase.FAILED)  # the promise was lost with its disk
         elif not round.core.is_write_quorum(round.answered):
             return
         elif round.confirmed_claimant is not None:
@@ -203,18 +210,20 @@
             self._enter_phase(round, Phase.DONE)
 
     @staticmethod
-    def _count_answer(round: Round, sender: str, lives: dict[str, int]) -> None:
-        """Count an answer, and no longer what was answered in a life that has ended: a replica that recovered
-        asked so many others that one of any majority beside it can tell."""
-        for name, life in lives.items():
-            round.incarnations[name] = max(life, round.incarnations.get(name, 0))
-        round.answered[sender] = lives.get(sender, 0)
-        for name in [n for n, life in round.answered.items() if life < round.incarnations.get(n, 0)]:
+    def _count_answer(round: Round, sender: str, incarnations: dict[str, int]) -> None:
+        """Count an answer, and drop answers of incarnations that have ended: a replica that recovered has
+        told so many others that any majority of them contains one that reports it."""
+        for name, incarnation in incarnations.items():
+            round.incarnations[name] = max(incarnation, round.incarnations.get(name, 0))
+        round.answered[sender] = incarnations.get(sender, 0)
+        for name in [
+            n for n, incarnation in round.answered.items() if incarnation < round.incarnations.get(n, 0)
+        ]:
             del round.answered[name]
 
     def _merge_values(self, round: Round, wire: dict[str, Any]) -> None:
-        """A replica's values; of a read of all neither the core, which has a way of its own, nor what is each
-        replica's own."""
+        """Merge a replica's values. A read of all keys leaves out the core, which changes by reconfiguration
+        only, and keys that are local to a replica."""
         found = {key: Value.from_wire(value) for key, value in wire.items()}
         if round.keys is None:
             found = {k: value for k, value in found.items() if k != CORE and not k.startswith(LOCAL_PREFIX)}
@@ -225,7 +234,7 @@
                 round.values[key] = value
 
     def _enter_phase(self, round: Round, phase: Phase) -> None:
-        """The one change of a round's phase."""
+        """Enter a phase; answers to calls of the previous one no longer count."""
         round.phase = phase
         round.answered, round.last_sent = {}, {}
         if phase in (Phase.DONE, Phase.FAILED):
--- a/millfront/register/deltas.py
+++ b/millfront/register/deltas.py
@@ -4,8 +4,8 @@
 Both texts are compared from the start; where they differ, the comparison resumes at the next end of an entry
 (``},`` or a newline) of the later text whose continuation is found nearby in the earlier one. A changed,
 added or removed entry therefore costs little more than its own length, and equal parts are neither copied
-nor stored. The result is the later text character for character, or an error: whoever applies a delta checks the
-digest of the result.
+nor stored. The result is the later text character for character, or an error: whoever applies a delta checks
+the digest of the result.
 """
 
 import re
