--- a/millfront/register/reconfiguration.py
+++ b/millfront/register/reconfiguration.py
@@ -1,17 +1,17 @@
 """Reconfiguration: which processes are members of the register. No I/O, no clock.
 
-At the first start the core is *founded* over all processes with a disk. Later it *changes* through the
-register itself: a machine with a disk that has joined is added to it, one that is lost for good is removed. A
-change goes through a core that holds both sets, in which both must agree to everything:
+At the first start the core is *bootstrapped* from all processes with a disk. Later it *changes* through the
+register itself: a machine with a disk that has joined is added, one that is lost for good is removed. A
+change passes through a core that holds both member sets, in which both must agree to everything:
 
     core e ──decide──> core e+1 (new, old) ──carry over──> core e+2 (new)
 
-What e+1 is, is decided by a ballot over a majority of e, so that there is one; e+2 follows from e+1, so that
-whoever finds the one may bring about the other. Between them all that is held is read from, and written back
-to, majorities of both. The derivation is in docs/design/register.md.
+Core e+1 is decided by a ballot over a majority of e, so that there is only one; e+2 follows from e+1, so that
+any process that knows e+1 can complete the change. In between, all values are read from, and written back to,
+majorities of both sets. The derivation is in docs/design/register.md.
 
-A replica that lost its disk *recovers* (recovery.py). Who the next core is to have is chosen in `placement`.
-Times are seconds on the caller's clock.
+A replica that lost its disk *recovers* (recovery.py). `placement` chooses the members of the next core. Times
+are seconds on the caller's clock.
 """
 
 from collections.abc import Callable
@@ -37,37 +37,37 @@
     write_quorum,
 )
 
-BOOTSTRAP_SETTLE_S = 1.2  # the roster unchanged for so long, the core is founded
-BOOTSTRAP_MIN_S = 1.6  # the least time from the start: all start together, each in its own time
-BOOTSTRAP_MISSING_SEED_S = 4.0  # the same while a seed is missing
-RESEND_S = 0.7
-JOIN_DELAY_S = 1.0  # a machine with a disk that was heard of for so long is added where that gains a vote
-NO_GAIN_JOIN_DELAY_S = 5.0  # and after so long where it does not
-REMOVAL_DELAY_S = 120.0  # a member that was not heard of for so long is lost for good
-RETRY_DELAY_S = 1.0  # a change that failed, or one of somebody's that is not whole, and the next try
-WAIT_NOTE_DELAY_S = 1.5  # a member that could not be removed for so long waits for something
+BOOTSTRAP_SETTLE_S = 1.2  # the core is bootstrapped once the known processes were unchanged for so long
+BOOTSTRAP_MIN_S = 1.6  # minimum time from the start: processes start together, but not equally fast
+BOOTSTRAP_MISSING_SEED_S = 4.0  # the same minimum while a seed is missing
+RESEND_S = 0.7  # of the bootstrap proposal to a member that has not agreed
+JOIN_DELAY_S = 1.0  # a machine with a disk that was up for so long is added where that gains a vote
+NO_GAIN_JOIN_DELAY_S = 5.0  # and after so long where it does not gain one
+REMOVAL_DELAY_S = 120.0  # a member that was unreachable for so long is lost for good
+RETRY_DELAY_S = 1.0  # between a failed or unfinished change, of any process, and the next attempt
+WAIT_NOTE_DELAY_S = 1.5  # a leaving member that was not removed for so long is reported as waiting
 DECIDE_TIMEOUT_S, CARRY_TIMEOUT_S = 3.0, 6.0
-# Decide (two rounds), open, carry over (a read, and its write-back), close: six round trips of 80 ms
+# Decide (two rounds), open, carry over (a read and its write-back), close: six round trips of 80 ms
 CHANGE_DURATION_S = 0.5
 # Longest hand-over to a successor that is already up: the notice that a member leaves is lost and sent again
 # one gossip tick later, the successor is first heard of then, added JOIN_DELAY_S later, and the core changes
 MAX_HANDOVER_S = TICK_S + JOIN_DELAY_S + CHANGE_DURATION_S
-REQUEST_TICKS = 2  # one that leaves asks who there is: 0.5 s and a round trip are less than JOIN_DELAY_S
+REQUEST_TICKS = 2  # a leaving process requests records: 0.5 s and a round trip are less than JOIN_DELAY_S
 Message = dict[str, Any]
 
 
 class NodeIO(Protocol):
-    """What reconfiguration asks of its process's I/O."""
+    """The I/O that reconfiguration needs."""
 
     def datagram(self, address: str, message: Message) -> None:
-        """Send one datagram; it may be lost."""
+        """Send a datagram; it may be lost."""
 
     def persist(self, persist: PersistRequest) -> None:
-        """Sync it; the process is told when that is done."""
+        """Sync the values to the disk; `Gatekeeper.synced` is called with the result."""
 
 
 class GatekeeperContext(Protocol):
-    """What reconfiguration asks of the process that it belongs to."""
+    """What reconfiguration needs of its gatekeeper."""
 
     name: str
     settings: Settings
@@ -82,11 +82,11 @@
 
     @property
     def post_address(self) -> str:
-        """``host:port`` where the system's other processes reach this one."""
+        """``host:port`` at which other processes of the system reach this one."""
 
     @property
     def io(self) -> NodeIO:
-        """The process's I/O."""
+        """The I/O of the process."""
 
     def trusted(self, now: float) -> bool:
         """Whether this process has a lease at ``now``."""
@@ -95,14 +95,14 @@
         """Write an entry to the event log and a line to the log."""
 
     def start(self, now: float, round: Round, then: Callable[[Round], None]) -> None:
-        """Drive a round until it is done or failed, then call ``then`` with it, once."""
+        """Drive a round until it is done or failed, then call `then` with it once."""
 
     def to_replica(self, now: float, name: str, address: str, message: Message) -> None:
         """Send a message to a member's replica."""
 
 
 class Change(Enum):
-    """How far a change of the core has come, as its coordinator sees it."""
+    """Stage of a change of the core, as seen by the process that makes it."""
 
     NONE = "none"
     DECIDING = "deciding"
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True)
 class Bootstrap:
-    """A proposal of the first core: its members' addresses by name, who has agreed, when it was last sent."""
+    """The proposal of the first core: addresses of its members by name, who agreed, when it was last sent."""
 
     core: Value
     members: dict[str, str]
@@ -122,36 +122,34 @@
 
 
 class Reconfiguration:
-    """One process's part in choosing the register's members."""
+    """The part of one process in choosing the members of the register."""
 
     def __init__(self, gatekeeper: GatekeeperContext) -> None:
         self.gatekeeper = gatekeeper
         self.change = Change.NONE
         self.bootstrap: Bootstrap | None = None
-        self._failed_at = -1e9  # when a change failed
-        self._core_since = gatekeeper.born  # when the core in force came into force here
-        self._departed: set[str] = set()  # members that were heard to end in order
-        self._leaving_since: float | None = None  # since when this process ends in order
-        self._no_successor_since: float | None = (
-            None  # as one that leaves: since when no successor can be had
-        )
-        self._waiting: tuple[str, ...] = ()  # members that can't be removed yet, as last noted
-        self._ballot = 0  # of the highest ballot seen
-        self._up_since: dict[str, float] = {}  # processes with a disk, and since when they are heard of
-        self._missing_since: dict[str, float] = {}  # members, and since when they are not
+        self._failed_at = -1e9  # when the last change failed
+        self._core_since = gatekeeper.born  # when the current core came into force here
+        self._departed: set[str] = set()  # members known to shut down, or to have shut down, in order
+        self._leaving_since: float | None = None  # when this process began to shut down
+        self._no_successor_since: float | None = None  # leaving: since when no successor is in sight
+        self._waiting: tuple[str, ...] = ()  # members that cannot be removed yet, as last logged
+        self._ballot = 0  # number of the highest ballot seen
+        self._up_since: dict[str, float] = {}  # processes with a disk, and since when they are up
+        self._missing_since: dict[str, float] = {}  # members, and since when they are unreachable
         self._peers: frozenset[str] = frozenset()
         self._peers_since = gatekeeper.born
         self.recovery = Recovery(gatekeeper)
 
     def tick(self, now: float) -> None:
-        """Every beat of the gatekeeper."""
+        """Called every 0.25 s: drive the replica, the changes of the core and the leaving of this process."""
         replica = self.gatekeeper.replica
         if replica is not None and replica.votes:
             self.recovery.catch_up(now)
         elif replica is not None:
             self._bring_up_replica(now, replica)
         if replica is not None and (core := self.gatekeeper.subscriber.core) is not None:
-            self._update_peers(now, core)
+            self._update_liveness(now, core)
             if self._is_change_due(now, core):
                 self._begin_change(now, core)
             if self._leaving_since is not None:
@@ -162,32 +160,32 @@
                 self._note_own_wait(now, core)
 
     def gossip_tick(self, now: float) -> None:
-        """Every tick of the gatekeeper: look at who there is; change the core where that is this one's
-        duty."""
+        """Called on every gossip tick, about 1 s: note the known processes, and ask the seeds for the core
+        while it is unknown or this process has no lease."""
         gatekeeper = self.gatekeeper
-        roster = frozenset(
+        peers = frozenset(
             record.name for record in gatekeeper.membership.others() if record.identity is not None
         )
-        if roster != self._peers:
-            self._peers, self._peers_since = roster, now
+        if peers != self._peers:
+            self._peers, self._peers_since = peers, now
         if gatekeeper.subscriber.core is None or not gatekeeper.trusted(now):
             for seed in gatekeeper.membership.seeds:
                 if seed != gatekeeper.post_address:
                     gatekeeper.io.datagram(seed, {"t": "core?"})
         if (core := gatekeeper.subscriber.core) is not None and gatekeeper.replica is None:
-            self._update_peers(now, core)
+            self._update_liveness(now, core)
 
     def core_changed(self) -> None:
-        """Another core is in force here: what was gathered for the one before is not for this one."""
+        """Another core is in force here: what was gathered for the previous one does not count."""
         self.bootstrap = None
         self._core_since = self.gatekeeper.now
         self.recovery.core_changed()
 
-    # ---- copies, and an end in order ----------------------------------------------------------------
+    # ---- copies, and orderly shutdown ---------------------------------------------------------------
 
     def has_full_copy(self) -> bool:
-        """Whether this process's disk has a copy of what was acknowledged: its replica has caught up, in the
-        core that is in force here, and is a member of it."""
+        """Whether this process's disk has every acknowledged value: the process is a member of the core in
+        force here, and its replica has caught up in that core."""
         gatekeeper, replica = self.gatekeeper, self.gatekeeper.replica
         core = gatekeeper.subscriber.core
         if (
@@ -200,7 +198,7 @@
         return replica.values.get(CORE) == gatekeeper.subscriber.values[CORE]
 
     def leave(self, now: float) -> None:
-        """This process ends in order: its record tells all, and one of those who stay changes the core."""
+        """This process shuts down: its record announces it, and a process that stays changes the core."""
         gatekeeper = self.gatekeeper
         gatekeeper.now = self._leaving_since = now
         self._waiting = ()
@@ -209,7 +207,7 @@
             gatekeeper.io.datagram(address, message)
 
     def _request_records(self, core: Core) -> None:
-        """Nobody tells one that leaves its record any more: it asks the core's members for all."""
+        """A leaving process is no longer sent records: it requests them from the members of the core."""
         gatekeeper = self.gatekeeper
         if gatekeeper.name in core.all_members and not self._can_shrink(core):
             for name, address in core.all_members.items():
@@ -217,20 +215,20 @@
                     gatekeeper.io.datagram(address, gatekeeper.membership.hello())
 
     def _can_shrink(self, core: Core) -> bool:
-        """Whether a seat may be given up without a successor."""
+        """Whether a member may be removed without a successor."""
         return len(core.members) > min_members(self.gatekeeper.settings.hosts_lost)
 
     def _look_for_successor(self, now: float, core: Core, replica: Replica) -> None:
-        """Each beat of one that leaves: since when nobody can take its seat and nobody is about to."""
+        """While leaving, on each tick: note since when no process can or is about to take its seat."""
         if self._may_be_replaced(core, replica):
             self._no_successor_since = None
         elif self._no_successor_since is None:
             self._no_successor_since = now
 
     def _may_be_replaced(self, core: Core, replica: Replica) -> bool:
-        """Whether this one's seat may still be taken from it, or its copy is needed: a change is under way as
-        far as is known here; the core is so large that it can do with one member fewer; a process with a disk
-        is up outside it; or those who stay are no majority that has all that was acknowledged."""
+        """Whether this process may still be replaced, or its copy is needed: a change is known to be in
+        progress; the core can do with one member fewer; a process with a disk is up outside the core; or the
+        members that stay are not a majority with every acknowledged value."""
         promised = replica.values.get(PROMISED)
         ballot = promised is not None and promised.version // BALLOTS_PER_EPOCH == core.epoch
         if core.old_members or ballot or self.change is not Change.NONE or self._can_shrink(core):
@@ -243,8 +241,8 @@
         return any(r.identity is not None and r.identity["core"] and r.name not in core.members for r in stay)
 
     def may_exit(self, now: float) -> bool:
-        """Whether it keeps no seat that somebody who stays might still take from it: nobody could for as long
-        as a hand-over takes, or nobody stays."""
+        """Whether a leaving process may exit: it is no member, no successor was in sight for as long as a
+        hand-over takes, or no member stays."""
         gatekeeper, core = self.gatekeeper, self.gatekeeper.subscriber.core
         if (
             self._leaving_since is None
@@ -261,7 +259,7 @@
         )  # nobody stays
 
     def _note_own_wait(self, now: float, core: Core) -> None:
-        """Once, of one that leaves."""
+        """Log once that this process waits to be removed from the core."""
         if self._leaving_since is None or now - self._leaving_since < WAIT_NOTE_DELAY_S or self._waiting:
             return
         self._waiting = (self.gatekeeper.name,)
@@ -272,15 +270,15 @@
     # ---- changes -----------------------------------------------------------------------------------
 
     def _enter(self, change: Change) -> None:
-        """The one change of state of a change."""
+        """The only place where the stage of a change is set."""
         self.change = change
 
     def _abandon_change(self) -> None:
         self._enter(Change.NONE)
         self._failed_at = self.gatekeeper.now
 
-    def _update_peers(self, now: float, core: Core) -> None:
-        """Who with a disk is heard of since when and stays, and which members are not, or have left."""
+    def _update_liveness(self, now: float, core: Core) -> None:
+        """Update which processes with a disk are up and stay, and which members are unreachable or leave."""
         records, me = self.gatekeeper.membership.records, self.gatekeeper.membership.me
         stay = {
             record.name
@@ -298,7 +296,7 @@
         self._departed = (self._departed | ending) & (core.members.keys() - stay)
 
     def _seats(self, now: float, core: Core) -> dict[str, Seat]:
-        """How the members stand, as far as this process knows."""
+        """State of each member, as far as this process knows."""
         others, me = self.gatekeeper.membership, self.gatekeeper.membership.me
         records = others.records
 
@@ -316,8 +314,8 @@
         return {name: seat(name) for name in sorted(core.members)}
 
     def coordinator_of(self, core: Core) -> str:
-        """Whose duty the core's changes are: cut by key over the members that are up, stay, and say that
-        their replicas have caught up; nobody's where there is none."""
+        """The process that makes changes of the core: the owner of the key "core" among the members that are
+        up, stay, and report a full copy; "" if there is none."""
         keep = {record.name for record in self.gatekeeper.membership.live() if record.keeps}
         return "".join(
             holders("core", [name for name in core.all_members if name in self._up_since and name in keep])
@@ -327,11 +325,11 @@
         if self.change is not Change.NONE or now - self._failed_at < RETRY_DELAY_S:
             return False
         if core.old_members and now - self._core_since < RETRY_DELAY_S:
-            return False  # whoever brought it about goes on with it
+            return False  # the process that started the change continues it
         return self.coordinator_of(core) == self.gatekeeper.name
 
     def _begin_change(self, now: float, core: Core) -> None:
-        if core.old_members:  # somebody's, perhaps this one's, that is not whole yet
+        if core.old_members:  # an unfinished change, of this or another process
             self._carry(core)
             return
         records = self.gatekeeper.membership.records
@@ -341,18 +339,18 @@
             if name not in core.members and now - since >= JOIN_DELAY_S
         }
         seats = self._seats(now, core)
-        young = {name for name in joined if now - self._up_since[name] < NO_GAIN_JOIN_DELAY_S}
-        choice = choose_members(core.members, seats, joined, young, self.gatekeeper.settings.hosts_lost)
-        told = {name: seat.name.lower() for name, seat in seats.items()}
-        self._note_waits(choice, told)
-        to = choice.members
-        if to.keys() == core.members.keys():
+        recent = {name for name in joined if now - self._up_since[name] < NO_GAIN_JOIN_DELAY_S}
+        choice = choose_members(core.members, seats, joined, recent, self.gatekeeper.settings.hosts_lost)
+        seat_names = {name: seat.name.lower() for name, seat in seats.items()}
+        self._note_waits(choice, seat_names)
+        proposed = choice.members
+        if proposed.keys() == core.members.keys():
             return
         self._enter(Change.DECIDING)
         self._ballot += 1
-        facts = {"epoch": core.epoch, "joined": sorted(joined), "seats": told, "ballot": self._ballot}
-        self.gatekeeper.note("register", f"proposes a core of {' '.join(sorted(to))}", **facts)
-        proposal = Core(core.epoch + 1, to, core.members).to_value().data
+        facts = {"epoch": core.epoch, "joined": sorted(joined), "seats": seat_names, "ballot": self._ballot}
+        self.gatekeeper.note("register", f"proposes a core of {' '.join(sorted(proposed))}", **facts)
+        proposal = Core(core.epoch + 1, proposed, core.members).to_value().data
         round = self.gatekeeper.coordinator.decide(now, core, self._ballot, proposal, DECIDE_TIMEOUT_S)
         self.gatekeeper.start(now, round, self._decided)
 
@@ -389,7 +387,7 @@
             self._abandon_change()
 
     def _carry(self, core: Core) -> None:
-        """Read all from majorities of both sets, and write back what they lack."""
+        """Read all values from majorities of both member sets, and write back those that they lack."""
         self._enter(Change.CARRYING)
         gatekeeper = self.gatekeeper
         gatekeeper.start(
@@ -421,14 +419,12 @@
     # ---- the first start, and a lost disk ------------------------------------------------------------
 
     def _bring_up_replica(self, now: float, replica: Replica) -> None:
-        """A replica that does not vote yet: found a core, or recover what the disk had."""
+        """Bring a replica to vote: bootstrap the core, or recover the values of a lost disk."""
         gatekeeper, core = self.gatekeeper, self.gatekeeper.subscriber.core
         if replica.state is ReplicaState.NEW and core is None:
             self._bootstrap_core(now)
         elif core is not None and gatekeeper.name in core.all_members:
-            if (
-                replica.state is ReplicaState.NEW
-            ):  # it never answered anybody: it has only missed what there was
+            if replica.state is ReplicaState.NEW:  # it never answered a call: it has only missed values
                 value = gatekeeper.subscriber.values[CORE]
                 gatekeeper.io.persist(PersistRequest({CORE: value}, (SELF, {"t": "stored", "r": ""})))
                 return
@@ -449,40 +445,42 @@
         }
         known = len(heard.intersection(seeds))
         if first is not gatekeeper.membership.me or 2 * known <= len(seeds):
-            return  # two parts of a fleet that is cut can't both see most of the seeds
+            return  # of two partitions at most one sees a majority of the seeds
         if known < len(seeds) and now - gatekeeper.born < BOOTSTRAP_MISSING_SEED_S:
             return
-        founding = self.bootstrap
-        if founding is None:
+        bootstrap = self.bootstrap
+        if bootstrap is None:
             if now - self._peers_since < BOOTSTRAP_SETTLE_S or now - gatekeeper.born < BOOTSTRAP_MIN_S:
                 return
             members = {
                 record.name: record.identity["post"] for record in records if record.identity is not None
             }
             core = Core(FIRST_AGREED_EPOCH - 1, members)
-            founding = self.bootstrap = Bootstrap(core.to_value(f"{99 - rank(first)[0]:02d}"), members, set())
+            bootstrap = self.bootstrap = Bootstrap(
+                core.to_value(f"{99 - rank(first)[0]:02d}"), members, set()
+            )
             gatekeeper.note("register", f"founds a core of {len(members)}")
-        if now - founding.last_sent < RESEND_S:
+        if now - bootstrap.last_sent < RESEND_S:
             return
-        founding.last_sent = now
-        for name, address in founding.members.items():
-            if name not in founding.agreed:
+        bootstrap.last_sent = now
+        for name, address in bootstrap.members.items():
+            if name not in bootstrap.agreed:
                 message = {
                     "t": "found?",
                     "r": f"found {gatekeeper.coordinator.name}",
-                    "v": founding.core.to_wire(),
+                    "v": bootstrap.core.to_wire(),
                 }
                 gatekeeper.to_replica(now, name, address, message)
 
     def handle_agreement(self, now: float, sender: str, ref: str) -> None:
-        """A process agrees to the core that this one founds."""
-        founding, gatekeeper = self.bootstrap, self.gatekeeper
-        if founding is None or ref != f"found {gatekeeper.coordinator.name}":
+        """A process agrees to the first core that this one proposes."""
+        bootstrap, gatekeeper = self.bootstrap, self.gatekeeper
+        if bootstrap is None or ref != f"found {gatekeeper.coordinator.name}":
             return
-        founding.agreed.add(sender)
-        if founding.agreed >= set(founding.members) and gatekeeper.subscriber.core is None:
+        bootstrap.agreed.add(sender)
+        if bootstrap.agreed >= set(bootstrap.members) and gatekeeper.subscriber.core is None:
             self.bootstrap = None
-            core = Core(FIRST_AGREED_EPOCH, founding.members)
+            core = Core(FIRST_AGREED_EPOCH, bootstrap.members)
             gatekeeper.start(
                 now,
                 gatekeeper.coordinator.write(now, core, {CORE: core.to_value()}, 10.0),
