--- a/benchmarks/register_changes.py
+++ b/benchmarks/register_changes.py
@@ -128,7 +128,7 @@
 def histories(count: int) -> None:
     reconfiguration.JOIN_DELAY_S, reconfiguration.REMOVAL_DELAY_S = 2.0, 8.0
     began = time.monotonic()
-    print("search:", test_core_search.found(count) or f"nothing in {count} plays")
+    print("search:", test_core_search.first_violation(count) or f"nothing in {count} plays")
     play = test_core_changes.test_histories_with_changes_of_the_core_lose_nothing_and_have_one_core_an_epoch
     for seed in range(1000, 1000 + count // 20):
         play(seed)
--- a/tests/test_claim_search.py
+++ b/tests/test_claim_search.py
@@ -11,20 +11,20 @@
 from millfront.register.coordinator import Coordinator, Phase, Round
 from millfront.register.replica import Replica, ReplicaState
 from millfront.register.values import CLAIM_PREFIX, CORE, Core, Message, Value, claim_key
-from tests.register_model import Recovery
-from tests.test_core_search import OLD, Table, found
+from tests.register_model import RecoveryDriver
+from tests.test_core_search import OLD, Simulation, first_violation
 
 KEY = claim_key(7)
 
 
-class Claims(Table):
+class Claims(Simulation):
     """Four that claim the same number for different documents, two of them at once."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
         self.chosen: list[tuple[str, str]] = []  # to whom, and what
         self.lost = ""
-        self.recovery: Recovery | None = None
+        self.recovery: RecoveryDriver | None = None
         self.lives = 0
 
     def claim(self, name: str, tries: int = 6) -> None:
@@ -47,7 +47,7 @@
 
     def answer(self, coordinator: Any, name: str, message: Message) -> None:
         newer = Core.from_value(Value.from_wire(message["core"])) if "core" in message else None
-        if isinstance(coordinator, Recovery):
+        if isinstance(coordinator, RecoveryDriver):
             if coordinator is self.recovery:
                 self.told(coordinator, name, message, newer)
             return
@@ -68,13 +68,13 @@
 
     def recover(self, core: Core) -> None:
         self.lives += 1
-        self.recovery = Recovery(self.lost, core, self.lives)
+        self.recovery = RecoveryDriver(self.lost, core, self.lives)
 
-    def told(self, recovery: Recovery, name: str, message: Message, newer: Core | None) -> None:
+    def told(self, recovery: RecoveryDriver, name: str, message: Message, newer: Core | None) -> None:
         if newer and newer.epoch > recovery.core.epoch:
             self.recover(newer)
             return
-        for persist in recovery.take(name, message):
+        for persist in recovery.handle_answer(name, message):
             replica = self.replicas[self.lost]
             replica.synced(persist, True)
             replica.recovered()
@@ -86,7 +86,7 @@
             if self.lost not in recovery.core.all_members:
                 self.recovery = None  # it is no member any longer
                 return
-            for name, message in recovery.beat():
+            for name, message in recovery.tick():
                 self.send(partial(self.call, recovery, name, message))  # type: ignore[arg-type]
 
     # ---- what is played --------------------------------------------------------------------------
@@ -115,7 +115,7 @@
 
 
 def test_no_order_of_a_change_and_a_lost_disk_gives_a_number_to_two_documents() -> None:
-    assert found(100, Claims) == ""
+    assert first_violation(100, Claims) == ""
     claims = Claims(1)
     claims.play()
     assert len(claims.chosen) == 4 and 4 in claims.cores and claims.lives  # it comes to its end
@@ -148,4 +148,4 @@
     fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fault(monkeypatch)
-    assert found(600, Claims).startswith("two documents of one number")
+    assert first_violation(600, Claims).startswith("two documents of one number")
--- a/tests/test_core_changes.py
+++ b/tests/test_core_changes.py
@@ -13,12 +13,12 @@
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_delays(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 2.0)
     monkeypatch.setattr(reconfiguration, "REMOVAL_DELAY_S", 8.0)
 
 
-def founded(n: int = 7, disks: int = 4, seed: int = 1, spares: int = 1) -> World:
+def started_world(n: int = 7, disks: int = 4, seed: int = 1, spares: int = 1) -> World:
     world = World(n, disks, seed, spares=spares).start().run(4.0)
     answers = world.put(n - 1, document(1))
     world.run(1.0)
@@ -26,8 +26,8 @@
     return world
 
 
-def test_a_machine_with_a_disk_that_joins_later_is_posted_and_what_was_acknowledged_is_with_it() -> None:
-    world = founded()
+def test_a_machine_with_a_disk_that_joins_later_is_added_and_has_what_was_acknowledged() -> None:
+    world = started_world()
     world.nodes[7].start()
     world.run(12.0)
     assert members(world) == {(0, 1, 2, 3, 7)} and voting(world.nodes[7])
@@ -41,8 +41,8 @@
     assert world.read(6)["revision"] == "00000004"
 
 
-def test_a_member_that_is_lost_for_good_is_relieved_and_its_successor_posted() -> None:
-    world = founded()
+def test_a_member_that_is_lost_for_good_is_removed_and_its_successor_added() -> None:
+    world = started_world()
     world.nodes[2].kill()
     world.run(18.0)
     assert members(world) == {(0, 1, 3)}
@@ -53,8 +53,8 @@
     assert acknowledged(world, 5, 9)
 
 
-def test_one_that_was_relieved_while_it_was_dark_comes_back_and_is_posted_again() -> None:
-    world = founded(spares=0)
+def test_a_member_removed_while_unreachable_comes_back_and_is_added_again() -> None:
+    world = started_world(spares=0)
     dark = True
     world.cut = lambda a, b: dark and 2 in (a.number, b.number)
     world.run(18.0)
@@ -67,8 +67,8 @@
     assert node.gatekeeper.configuration is not None and node.gatekeeper.configuration.version == 6
 
 
-def test_a_core_without_a_majority_relieves_nobody() -> None:
-    world = founded(spares=0)
+def test_a_core_without_a_majority_removes_nobody() -> None:
+    world = started_world(spares=0)
     for number in (1, 2):
         world.nodes[number].kill()
     world.run(16.0)
@@ -79,7 +79,7 @@
 
 
 def test_of_two_that_propose_at_once_one_is_chosen() -> None:
-    world = founded(spares=2)
+    world = started_world(spares=2)
     for number in (7, 8):
         world.nodes[number].start()
     world.run(1.0)
@@ -99,7 +99,7 @@
 
 
 def test_a_change_whose_coordinator_dies_is_brought_to_its_end_by_another() -> None:
-    world = founded(seed=5)
+    world = started_world(seed=5)
     world.nodes[7].start()
     for _ in range(400):
         world.run(0.02)
@@ -119,7 +119,7 @@
 
 
 def test_a_replica_that_recovers_and_is_killed_meanwhile_still_does_not_vote() -> None:
-    world = founded(spares=0)
+    world = started_world(spares=0)
     node = world.nodes[2]
     node.wipe()
     world.cut = lambda a, b: 2 in (a.number, b.number) and a.number < 4 and b.number < 4
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_histories_with_changes_of_the_core_lose_nothing_and_have_one_core_an_epoch(seed: int) -> None:
     """At most one disk is lost before its machine votes again, as `tolerance` allows."""
-    chance, world = random.Random(seed), founded(7, 4, seed, spares=2)
+    chance, world = random.Random(seed), started_world(7, 4, seed, spares=2)
     world.loss, world.lost_answers = 0.02, 0.05
     version, held, calls = 10, 1, []
     island: set[int] = set()
--- a/tests/test_core_search.py
+++ b/tests/test_core_search.py
@@ -21,7 +21,7 @@
 OLD = Core(2, dict.fromkeys("abc", ""))
 
 
-class Table:
+class Simulation:
     """Replicas a, b and c of the old core, and d, which was of an earlier one and holds nothing else."""
 
     def __init__(self, seed: int) -> None:
@@ -157,7 +157,7 @@
             self.turn()
 
 
-def found(seeds: int, table: type[Table] = Table) -> str:
+def first_violation(seeds: int, table: type[Simulation] = Simulation) -> str:
     """What is first found wrong in so many plays, or nothing."""
     for seed in range(seeds):
         try:
@@ -168,13 +168,13 @@
 
 
 def test_no_order_of_a_change_loses_what_was_acknowledged_or_makes_two_cores() -> None:
-    assert found(250) == ""
-    table = Table(1)
+    assert first_violation(250) == ""
+    table = Simulation(1)
     table.play()
     assert table.acknowledged and 4 in table.cores  # it comes to its end
 
 
-def loose(monkeypatch: pytest.MonkeyPatch) -> None:
+def ignores_epochs(monkeypatch: pytest.MonkeyPatch) -> None:
     """Replicas answer calls of any epoch."""
     whole = Replica.handle
 
@@ -184,7 +184,7 @@
     monkeypatch.setattr(Replica, "handle", handle)
 
 
-def uncarried(monkeypatch: pytest.MonkeyPatch) -> None:
+def skips_carry_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """The new core begins without what the old one held."""
 
     def carry(self: reconfiguration.Reconfiguration, core: Core) -> None:
@@ -193,7 +193,7 @@
     monkeypatch.setattr(reconfiguration.Reconfiguration, "_carry", carry)
 
 
-def faithless(monkeypatch: pytest.MonkeyPatch) -> None:
+def breaks_promises(monkeypatch: pytest.MonkeyPatch) -> None:
     """Promises are not kept."""
     whole = Replica._vote
 
@@ -205,7 +205,7 @@
     monkeypatch.setattr(Replica, "_ballot_holds", lambda self, key, ballot: True)
 
 
-def late(monkeypatch: pytest.MonkeyPatch) -> None:
+def counts_late_stores(monkeypatch: pytest.MonkeyPatch) -> None:
     """A store that was synced after the core changed is counted all the same."""
     whole = Replica.synced
 
@@ -216,9 +216,9 @@
     monkeypatch.setattr(Replica, "synced", synced)
 
 
-@pytest.mark.parametrize("fault", [loose, uncarried, faithless, late])
+@pytest.mark.parametrize("fault", [ignores_epochs, skips_carry_over, breaks_promises, counts_late_stores])
 def test_a_planted_fault_is_found(
     fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fault(monkeypatch)
-    assert found(1500)
+    assert first_violation(1500)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,7 +19,7 @@
 SYNC_TIME_S = 4.0  # after the start of who returned or is new it is no loss any more
 
 
-def founded(n: int = 7, disks: int = 4, seed: int = 1, spares: int = 0) -> World:
+def started_world(n: int = 7, disks: int = 4, seed: int = 1, spares: int = 0) -> World:
     world = World(n, disks, seed, spares=spares).start().run(4.0)
     answers = world.put(n - 1, document(1))
     world.run(1.0)
@@ -27,17 +27,17 @@
     return world
 
 
-def gone(world: World, *nodes: Node) -> None:
+def wait_for_exit(world: World, *nodes: Node) -> None:
     while any(node.gatekeeper is not None for node in nodes):
         world.run(0.1)
 
 
-def hears(world: World) -> None:
+def update_seeds(world: World) -> None:
     """The settings of whoever starts from now on name machines that are up."""
     world.seeds = tuple(f"{node.ip}:81" for node in reversed(world.nodes) if node.gatekeeper is not None)[:3]
 
 
-def copies(world: World, version: int) -> set[int]:
+def nodes_with_version(world: World, version: int) -> set[int]:
     return {
         node.number
         for node in world.nodes
@@ -53,7 +53,7 @@
     "leave": ("replaced", "handed over", "back"),
 }
 VICTIMS = ("another holder", "one that lagged", "the repaired one")
-RELIEVED_S = 8.0
+REMOVAL_DELAY_S = 8.0
 Sequence = tuple[int, str, str, str, str]
 
 
@@ -68,7 +68,7 @@
     return found
 
 
-def loses(world: World, node: Node, kind: str) -> None:
+def lose_node(world: World, node: Node, kind: str) -> None:
     """A wiped one starts anew by itself; who is dark or has left stays away."""
     if kind == "wipe":
         node.wipe()
@@ -78,33 +78,33 @@
         node.kill()
     else:
         node.leave()
-        gone(world, node)
+        wait_for_exit(world, node)
 
 
-def mended(world: World, node: Node, repair: str) -> Node:
+def repair_node(world: World, node: Node, repair: str) -> Node:
     """Until the operators' pages no longer count it as lost; who has the seat."""
     spare = world.nodes[-1]
     match repair:
         case "recovered" | "back":
             world.run(1.0)
-            hears(world)
+            update_seeds(world)
             node.start()
         case "replaced":
             world.run(1.0)
-            hears(world)
+            update_seeds(world)
             spare.start()
         case "relieved":
-            world.run(RELIEVED_S + LOST_TICKS * TICK_S + 1.0)
+            world.run(REMOVAL_DELAY_S + LOST_TICKS * TICK_S + 1.0)
     world.spares -= {n.number for n in world.nodes if n.gatekeeper is not None}
     world.run(SYNC_TIME_S)
     return spare if repair == "replaced" else node
 
 
-def play(sequence: Sequence, seed: int = 1) -> str:
+def run_sequence(sequence: Sequence, seed: int = 1) -> str:
     """What does not hold, or nothing. A version is acknowledged by just W replicas, of whom the first loss
     is; with a second wipe all other machines lose power."""
     size, first, repair, second, victim = sequence
-    world = founded(size + 2, size, seed, spares=1)
+    world = started_world(size + 2, size, seed, spares=1)
     holders, lag = list(range(write_quorum(size))), set(range(write_quorum(size), size))
     cut = True
     world.cut = lambda a, b: cut and bool(lag & {a.number, b.number})
@@ -114,11 +114,11 @@
     cut = False
     assert answers[0][0] == 200
     node = world.nodes[holders[0]]
-    loses(world, node, first)
-    repaired = mended(world, node, repair)
+    lose_node(world, node, first)
+    repaired = repair_node(world, node, repair)
     others = {"another holder": world.nodes[holders[1]], "one that lagged": world.nodes[min(lag)]}
     struck = others.get(victim, repaired)
-    loses(world, struck, second)
+    lose_node(world, struck, second)
     if second == "wipe":
         world.power_off()
     world.run(6.0)
@@ -133,7 +133,7 @@
     return "" if acknowledged(world, size + 1, 9) else "no majority"
 
 
-def alone(sequence: Sequence) -> bool:
+def not_tolerated(sequence: Sequence) -> bool:
     """Two of three are away and nobody took a seat: what is not borne."""
     return sequence[0] == 3 and sequence[2] in ("relieved", "handed over")
 
@@ -144,10 +144,12 @@
     size: int, first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Sizes 5 and 6, and more seeds: docs/design/register.md."""
-    monkeypatch.setattr(reconfiguration, "REMOVAL_DELAY_S", RELIEVED_S)
+    monkeypatch.setattr(reconfiguration, "REMOVAL_DELAY_S", REMOVAL_DELAY_S)
     for sequence in sequences():
         if sequence[:2] == (size, first):
-            assert play(sequence) == ("waits for the first" if alone(sequence) else ""), sequence
+            assert run_sequence(sequence) == ("waits for the first" if not_tolerated(sequence) else ""), (
+                sequence
+            )
 
 
 # ---- whom the next core is to have: every state ------------------------------------------------------
@@ -156,7 +158,7 @@
 State = tuple[dict[str, str], dict[str, Seat], dict[str, str], set[str], int]
 
 
-def states() -> list[State]:
+def all_states() -> list[State]:
     """Cores of 3 to 6 in which each member stands in any way, with up to three who joined."""
     found = []
     for size, new, lost, young in product((3, 4, 5, 6), range(4), range(3), (False, True)):
@@ -168,7 +170,7 @@
     return found
 
 
-def wrong(
+def broken_rule(
     core: dict[str, str], stands: dict[str, Seat], joined: dict[str, str], young: set[str], lost: int
 ) -> str:
     """Which rule the choice breaks."""
@@ -203,16 +205,16 @@
     return ""
 
 
-def first_wrong() -> str:
-    return next((text for state in states() if (text := wrong(*state))), "")
+def first_broken_rule() -> str:
+    return next((text for state in all_states() if (text := broken_rule(*state))), "")
 
 
 def test_no_state_of_a_core_of_three_to_six_leads_to_a_core_that_bears_less_than_it_must() -> None:
-    assert len(states()) == 21_504
-    assert first_wrong() == ""
+    assert len(all_states()) == 21_504
+    assert first_broken_rule() == ""
 
 
-def untested(monkeypatch: pytest.MonkeyPatch) -> None:
+def counts_new_members_as_voters(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who has just joined is taken for one that votes."""
     whole = placement._candidate
 
@@ -223,23 +225,23 @@
     monkeypatch.setattr(placement, "_candidate", named)
 
 
-def small(monkeypatch: pytest.MonkeyPatch) -> None:
+def allows_small_core(monkeypatch: pytest.MonkeyPatch) -> None:
     """A core may become as small as its sound members are."""
     monkeypatch.setattr(placement, "min_members", lambda hosts_lost: 1)
 
 
-@pytest.mark.parametrize("fault", [untested, small])
+@pytest.mark.parametrize("fault", [counts_new_members_as_voters, allows_small_core])
 def test_a_planted_fault_in_the_choice_is_found(
     fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fault(monkeypatch)
-    assert first_wrong()
+    assert first_broken_rule()
 
 
 # ---- whole gatekeepers -------------------------------------------------------------------------------------
 
 
-def unmajored(world: World) -> bool:
+def lacks_majority(world: World) -> bool:
     """Whether no majority of the newest core is up."""
     cores = [
         gatekeeper.subscriber.core
@@ -254,40 +256,40 @@
     return max(o.subscriber.core.epoch for o in world.gatekeepers() if o.subscriber.core is not None)
 
 
-def through(world: World, seconds: float) -> bool:
+def majority_throughout(world: World, seconds: float) -> bool:
     """Whether there was a majority all the time."""
     whole = True
     for _ in range(int(seconds * 10)):
         world.run(0.1)
-        whole = whole and not unmajored(world)
+        whole = whole and not lacks_majority(world)
     return whole
 
 
-def left(world: World, *nodes: Node) -> bool:
+def leave_and_wait(world: World, *nodes: Node) -> bool:
     whole = True
     for node in nodes:
         node.leave()
     while any(node.gatekeeper is not None for node in nodes):
-        whole = through(world, 0.1) and whole
+        whole = majority_throughout(world, 0.1) and whole
     return whole
 
 
 def test_all_core_machines_are_removed_in_turn_while_spares_join() -> None:
-    world = founded(spares=4)
+    world = started_world(spares=4)
     for number in range(4):
-        hears(world)
+        update_seeds(world)
         world.nodes[7 + number].start()
-        assert left(world, world.nodes[number]), "no majority"
+        assert leave_and_wait(world, world.nodes[number]), "no majority"
         world.nodes[number].disk = {}
         assert acknowledged(world, 5, number + 2)
-    assert through(world, 8.0)
+    assert majority_throughout(world, 8.0)
     assert members(world) == {(7, 8, 9, 10)} and world.read(6)["revision"] == "00000005"
 
 
 def test_all_core_machines_but_the_fewest_are_removed_in_turn_without_spares() -> None:
-    world = founded(8, 6)
+    world = started_world(8, 6)
     for number in range(3):
-        assert left(world, world.nodes[number])
+        assert leave_and_wait(world, world.nodes[number])
         world.nodes[number].disk = {}
         assert acknowledged(world, 7, number + 2)
     assert members(world) == {(3, 4, 5)}
@@ -300,38 +302,38 @@
 def test_a_rolling_restart_keeps_a_majority_and_changes_the_core_once_or_twice_a_machine(
     gap: float, together: int
 ) -> None:
-    world = founded()
+    world = started_world()
     for first in range(0, 4, together):
         nodes = world.nodes[first : first + together]
-        assert left(world, *nodes), "no majority"
-        assert through(world, gap)
+        assert leave_and_wait(world, *nodes), "no majority"
+        assert majority_throughout(world, gap)
         for node in nodes:
             node.start()
-        assert through(world, gap)
+        assert majority_throughout(world, gap)
         assert acknowledged(world, 5, first + 2)
-    assert through(world, 10.0)
+    assert majority_throughout(world, 10.0)
     assert members(world) == {(0, 1, 2, 3)} and world.read(5)["revision"] == f"{first + 2:08x}"
     assert epoch(world) <= 2 + 2 * (1 + 4), "the core changed more than once a machine and once more"
 
 
 def test_the_only_copies_leave_and_what_they_had_stays() -> None:
-    world, cut = founded(), True
+    world, cut = started_world(), True
     world.cut = lambda a, b: cut and 3 in (a.number, b.number)
     answers = world.put(5, document(7))
     while not answers:
         world.run(0.005)
     cut = False
-    assert answers[0][0] == 200 and copies(world, 7) == {0, 1, 2}
-    assert left(world, world.nodes[0], world.nodes[1])
+    assert answers[0][0] == 200 and nodes_with_version(world, 7) == {0, 1, 2}
+    assert leave_and_wait(world, world.nodes[0], world.nodes[1])
     for number in (0, 1, 2):
         world.nodes[number].wipe()
     world.nodes[2].start()
     world.run(3.0)
-    assert copies(world, 7) >= {3}
+    assert nodes_with_version(world, 7) >= {3}
 
 
 def test_the_coordinator_leaves_and_another_changes_the_core() -> None:
-    world = founded()
+    world = started_world()
     gatekeeper = world.nodes[0].gatekeeper
     assert gatekeeper is not None and gatekeeper.subscriber.core is not None
     holder = gatekeeper.reconfiguration.coordinator_of(gatekeeper.subscriber.core)
@@ -339,12 +341,12 @@
     node.leave()
     world.run(0.1)
     node.kill()  # it has hardly said so
-    assert through(world, 1.5)
+    assert majority_throughout(world, 1.5)
     assert members(world) == {tuple(n for n in range(4) if n != node.number)} and epoch(world) == 4
 
 
 def test_a_seat_that_nobody_can_take_waits_for_a_successor_and_why_is_said() -> None:
-    world = founded(5, 3, spares=1)
+    world = started_world(5, 3, spares=1)
     node = world.nodes[1]
     node.leave()
     world.run(2.5)
@@ -353,7 +355,7 @@
         page["text"] for page in node.gatekeeper.event_log.pages(node.now(), "register")
     ]
     world.nodes[5].start()
-    gone(world, node)
+    wait_for_exit(world, node)
     assert members(world) == {(0, 2, 5)}
     world.run(2.0)
     world.nodes[0].kill()
@@ -364,31 +366,31 @@
 GRACE_ENDS_S = 5.6
 
 
-def ends_after(world: World, node: Node) -> float:
+def exit_time(world: World, node: Node) -> float:
     began = world.env.now
     node.leave()
-    gone(world, node)
+    wait_for_exit(world, node)
     return float(world.env.now - began)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_one_of_three_without_a_spare_ends_as_soon_as_its_clients_are_served(seed: int) -> None:
-    world = founded(5, 3, seed)
+    world = started_world(5, 3, seed)
     world.loss = 0.02 * seed
     node = world.nodes[1]
-    assert ends_after(world, node) < SOON_S
-    assert members(world) == {(0, 1, 2)} and copies(world, 1) == {0, 1, 2}
+    assert exit_time(world, node) < SOON_S
+    assert members(world) == {(0, 1, 2)} and nodes_with_version(world, 1) == {0, 1, 2}
     assert acknowledged(world, 4, 2)
     node.start()
-    assert through(world, 5.0)
-    assert copies(world, 2) == {0, 1, 2} and world.read(3)["revision"] == "00000002"
+    assert majority_throughout(world, 5.0)
+    assert nodes_with_version(world, 2) == {0, 1, 2} and world.read(3)["revision"] == "00000002"
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_one_of_three_that_ends_while_orders_are_under_way_loses_nothing_that_was_acknowledged(
     seed: int,
 ) -> None:
-    world = founded(5, 3, seed)
+    world = started_world(5, 3, seed)
     world.nodes[1].leave()
     told = 1
     while world.nodes[1].gatekeeper is not None:
@@ -404,36 +406,36 @@
 
 
 def test_one_of_three_stays_to_the_end_of_the_grace_while_the_others_lack_what_it_has() -> None:
-    world, cut = founded(5, 3), True
+    world, cut = started_world(5, 3), True
     world.cut = lambda a, b: cut and 2 in (a.number, b.number)
     answers = world.put(4, document(7))
     world.run(4.0)
-    assert answers[0][0] == 200 and copies(world, 7) == {0, 1}
-    assert ends_after(world, world.nodes[1]) > GRACE_ENDS_S
+    assert answers[0][0] == 200 and nodes_with_version(world, 7) == {0, 1}
+    assert exit_time(world, world.nodes[1]) > GRACE_ENDS_S
 
 
 def test_one_of_three_hears_from_others_of_a_successor_that_knows_them_alone() -> None:
-    world = founded(5, 3, spares=1)
+    world = started_world(5, 3, spares=1)
     world.seeds = (f"{world.nodes[0].ip}:81", f"{world.nodes[2].ip}:81")
     node = world.nodes[1]
     node.leave()
     world.run(0.5)
     world.nodes[5].start()
-    gone(world, node)
+    wait_for_exit(world, node)
     assert members(world) == {(0, 2, 5)}
 
 
-def changes(world: World) -> bool:
+def change_in_progress(world: World) -> bool:
     return any(
         gatekeeper.reconfiguration.change is not reconfiguration.Change.NONE
         for gatekeeper in world.gatekeepers()
     )
 
 
-def handed_over(late: float, seed: int, lag: float) -> str:
+def hand_over_fault(late: float, seed: int, lag: float) -> str:
     """A successor starts so long after SIGTERM, and tells everybody but the one that leaves; what does not
     hold. While a change is under way it does not end before its seat is given up, or the grace is over."""
-    world = founded(5, 3, seed, spares=1)
+    world = started_world(5, 3, seed, spares=1)
     world.seeds = (f"{world.nodes[0].ip}:81", f"{world.nodes[2].ip}:81")
     world.nodes[0].lag = world.nodes[2].lag = lag
     node, began, began_at = world.nodes[1], world.env.now, epoch(world)
@@ -443,7 +445,7 @@
     changing = False
     while node.gatekeeper is not None:  # one event at a time: as it was when the process ended
         core = node.gatekeeper.subscriber.core
-        changing = core is not None and node.name in core.all_members and changes(world)
+        changing = core is not None and node.name in core.all_members and change_in_progress(world)
         world.env.step()
     if changing and world.env.now - began < GRACE_ENDS_S:
         return "ends while its successor is posted"
@@ -465,8 +467,8 @@
 
 
 @pytest.mark.parametrize(("seed", "lag"), [(0, 0.0), (1, 0.05)])
-def test_no_member_ends_while_its_successor_is_posted(seed: int, lag: float) -> None:
-    found = {late: told for late in LATE if (told := handed_over(late, seed, lag))}
+def test_no_member_exits_while_its_successor_is_being_added(seed: int, lag: float) -> None:
+    found = {late: told for late in LATE if (told := hand_over_fault(late, seed, lag))}
     assert not found
 
 
@@ -474,12 +476,12 @@
     monkeypatch.setattr(
         reconfiguration.Reconfiguration, "_may_be_replaced", lambda self, core, replica: False
     )
-    found = {told for late in LATE if (told := handed_over(late, 1, 0.05))}
+    found = {told for late in LATE if (told := hand_over_fault(late, 1, 0.05))}
     assert found >= {"ends while its successor is posted", "ends before its successor is posted"}
 
 
 def test_one_that_joins_in_place_of_a_dark_one_and_dies_at_once_leaves_a_majority() -> None:
-    world = founded(5, 3, spares=1)
+    world = started_world(5, 3, spares=1)
     world.nodes[1].kill()
     world.run(5.0)
     world.nodes[5].start()
@@ -491,7 +493,7 @@
 
 
 def test_a_successor_of_one_not_known_to_be_dark_yet_makes_no_even_core() -> None:
-    world = founded(5, 3, spares=1)
+    world = started_world(5, 3, spares=1)
     world.nodes[5].start()
     world.run(1.0)
     world.nodes[2].kill()  # not the coordinator
@@ -502,12 +504,12 @@
 
 
 def test_a_replica_that_was_cut_off_has_all_again_without_an_operators_change() -> None:
-    world, cut = founded(), True
+    world, cut = started_world(), True
     world.cut = lambda a, b: cut and 3 in (a.number, b.number)
-    assert acknowledged(world, 5, 7) and copies(world, 7) == {0, 1, 2}
+    assert acknowledged(world, 5, 7) and nodes_with_version(world, 7) == {0, 1, 2}
     cut = False
     world.run(3.0)
-    assert copies(world, 7) == {0, 1, 2, 3}
+    assert nodes_with_version(world, 7) == {0, 1, 2, 3}
 
 
 def test_a_replica_that_votes_before_it_holds_anything_is_no_copy() -> None:
@@ -522,12 +524,12 @@
     for _ in range(80):
         world.run(0.1)
         if node.gatekeeper is not None and node.gatekeeper.reconfiguration.has_full_copy():
-            counted.append(3 in copies(world, 2))
+            counted.append(3 in nodes_with_version(world, 2))
     assert counted and all(counted) and members(world) == {(0, 1, 2, 3)}
 
 
-def test_who_was_posted_is_behind_until_it_has_recovered() -> None:
-    world = founded(spares=1)
+def test_an_added_member_is_behind_until_it_has_recovered() -> None:
+    world = started_world(spares=1)
     node, seen = world.nodes[7], []
     node.start()
     while not voting(node):
@@ -544,22 +546,22 @@
 # ---- each rule taken away ------------------------------------------------------------------------------
 
 
-def kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def takes_leaving_for_dark(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leaving member is taken for one that is dark: the code as it was."""
     monkeypatch.setattr(reconfiguration.Reconfiguration, "leave", lambda self, now: None)
 
 
-def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
+def exits_without_successor(monkeypatch: pytest.MonkeyPatch) -> None:
     """A process that leaves does not wait for its successor."""
     monkeypatch.setattr(reconfiguration.Reconfiguration, "may_exit", lambda self, now: True)
 
 
-def lax(monkeypatch: pytest.MonkeyPatch) -> None:
+def does_not_catch_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """Replicas catch up only with the next order: the code as it was."""
     monkeypatch.setattr(Recovery, "missing_values", lambda self: {})
 
 
-def whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def takes_voter_for_copy(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whoever votes is taken for a copy."""
     monkeypatch.setattr(
         reconfiguration.Reconfiguration,
@@ -568,13 +570,13 @@
     )
 
 
-def as_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
+def takes_leaving_for_dark_and_does_not_catch_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """Both of these."""
-    kept(monkeypatch)
-    lax(monkeypatch)
+    takes_leaving_for_dark(monkeypatch)
+    does_not_catch_up(monkeypatch)
 
 
-def vain(monkeypatch: pytest.MonkeyPatch) -> None:
+def keeps_ownership_while_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
     """One that leaves keeps the duty."""
     first = gossip.holders
     monkeypatch.setattr(
@@ -584,26 +586,26 @@
     )
 
 
-def slow(monkeypatch: pytest.MonkeyPatch) -> None:
+def adds_successor_late(monkeypatch: pytest.MonkeyPatch) -> None:
     """A successor is posted after 5 s: the code as it was."""
     monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 5.0)
 
 
-def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def adds_without_gain(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who joined is posted though that gains no vote."""
     monkeypatch.setattr(reconfiguration, "NO_GAIN_JOIN_DELAY_S", 0.0)
 
 
 FAULTS: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], None]]] = [
-    (kept, test_all_core_machines_are_removed_in_turn_while_spares_join),
-    (kept, test_all_core_machines_but_the_fewest_are_removed_in_turn_without_spares),
-    (hasty, test_a_seat_that_nobody_can_take_waits_for_a_successor_and_why_is_said),
-    (as_it_was, test_the_only_copies_leave_and_what_they_had_stays),
-    (lax, test_a_replica_that_was_cut_off_has_all_again_without_an_operators_change),
-    (whole, test_a_replica_that_votes_before_it_holds_anything_is_no_copy),
-    (vain, test_the_coordinator_leaves_and_another_changes_the_core),
-    (at_once, test_a_successor_of_one_not_known_to_be_dark_yet_makes_no_even_core),
-    (slow, test_a_seat_that_nobody_can_take_waits_for_a_successor_and_why_is_said),
+    (takes_leaving_for_dark, test_all_core_machines_are_removed_in_turn_while_spares_join),
+    (takes_leaving_for_dark, test_all_core_machines_but_the_fewest_are_removed_in_turn_without_spares),
+    (exits_without_successor, test_a_seat_that_nobody_can_take_waits_for_a_successor_and_why_is_said),
+    (takes_leaving_for_dark_and_does_not_catch_up, test_the_only_copies_leave_and_what_they_had_stays),
+    (does_not_catch_up, test_a_replica_that_was_cut_off_has_all_again_without_an_operators_change),
+    (takes_voter_for_copy, test_a_replica_that_votes_before_it_holds_anything_is_no_copy),
+    (keeps_ownership_while_leaving, test_the_coordinator_leaves_and_another_changes_the_core),
+    (adds_without_gain, test_a_successor_of_one_not_known_to_be_dark_yet_makes_no_even_core),
+    (adds_successor_late, test_a_seat_that_nobody_can_take_waits_for_a_successor_and_why_is_said),
 ]
 
 
--- a/tests/test_register_machine.py
+++ b/tests/test_register_machine.py
@@ -22,15 +22,15 @@
 from millfront.register.coordinator import Coordinator, Phase, Round
 from millfront.register.replica import ReplicaState
 from millfront.register.values import CONFIG, Core, Message, Value
-from tests.register_model import Recovery, StoredReplica, fewer, hasty
+from tests.register_model import RecoveryDriver, StoredReplica, small_majority, votes_after_disk_loss
 
-POOL, OPEN = 60, 4  # messages on their way, rounds at once (the oldest is given up)
+MAX_MESSAGES, MAX_ROUNDS = 60, 4  # messages on their way, rounds at once (the oldest is given up)
 RECOVERY = "recovery of "
 AT = st.integers(0, 999)
 NEAR = st.sets(st.sampled_from("abcd"), min_size=1)
 
 
-class Register(RuleBasedStateMachine):
+class RegisterMachine(RuleBasedStateMachine):
     names = "abcd"
 
     def __init__(self) -> None:
@@ -38,13 +38,13 @@
         self.core = Core(2, dict.fromkeys(self.names, ""))
         self.stored_replicas = {name: StoredReplica(self.core) for name in self.names}
         self.coordinators = {name: Coordinator(name) for name in "pq"}
-        self.open: list[
+        self.open_rounds: list[
             tuple[Coordinator, Round, int]
         ] = []  # and what a read that began then may be told at least
-        self.pool: list[tuple[str, Any, Message]] = []  # to whom, from whom, what
+        self.messages: list[tuple[str, Any, Message]] = []  # to whom, from whom, what
         self.lost = ""  # whose disk is lost
-        self.recovery: Recovery | None = None
-        self.now, self.lives = 0.0, 0
+        self.recovery: RecoveryDriver | None = None
+        self.now, self.incarnations = 0.0, 0
         self.version = self.acknowledged = self.read_before = 0
 
     # ---- orders ------------------------------------------------------------------------------------
@@ -53,7 +53,7 @@
     def put(self, coordinator: str, near: set[str]) -> None:
         self.version += 1
         values = {CONFIG: Value(self.version, "", "")}
-        self.begin(
+        self.start_round(
             self.coordinators[coordinator],
             self.coordinators[coordinator].write(self.now, self.core, values, 1e9),
             near,
@@ -61,25 +61,28 @@
 
     @rule(coordinator=st.sampled_from("pq"), near=NEAR)
     def read(self, coordinator: str, near: set[str]) -> None:
-        self.begin(
+        self.start_round(
             self.coordinators[coordinator],
             self.coordinators[coordinator].read(self.now, self.core, [CONFIG], 1e9),
             near,
         )
 
-    def begin(self, coordinator: Coordinator, round: Round, near: set[str]) -> None:
+    def start_round(self, coordinator: Coordinator, round: Round, near: set[str]) -> None:
         """With the replicas that are near nothing takes time."""
-        self.open = [*self.open[1 - OPEN :], (coordinator, round, max(self.acknowledged, self.read_before))]
+        self.open_rounds = [
+            *self.open_rounds[1 - MAX_ROUNDS :],
+            (coordinator, round, max(self.acknowledged, self.read_before)),
+        ]
         self.drive(coordinator, round)
-        self.at_once(near, f"{round.ref}/")
+        self.deliver_now(near, f"{round.ref}/")
 
-    def at_once(self, near: set[str], refs: str) -> None:
+    def deliver_now(self, near: set[str], refs: str) -> None:
         while found := [
             each
-            for each in self.pool
+            for each in self.messages
             if each[2]["r"].startswith(refs) and not near.isdisjoint((str(each[0]), str(each[1])))
         ]:
-            self.pool.remove(found[0])
+            self.messages.remove(found[0])
             self.deliver(*found[0])
             for name, stored in self.stored_replicas.items():
                 for at, persist in reversed(list(enumerate(stored.unsynced))):
@@ -89,8 +92,8 @@
     def drive(self, coordinator: Coordinator, round: Round) -> None:
         for name, message in coordinator.drive(self.now, round):
             self.send(name, coordinator.name, message)
-        for entry in [entry for entry in self.open if entry[1] is round and round.phase is Phase.DONE]:
-            self.open.remove(entry)
+        for entry in [entry for entry in self.open_rounds if entry[1] is round and round.phase is Phase.DONE]:
+            self.open_rounds.remove(entry)
             version = round.values[CONFIG].version if round.values else 0
             if round.keys is None:
                 self.acknowledged = max(self.acknowledged, version)
@@ -102,41 +105,41 @@
     def again(self) -> None:
         """Who was not answered calls once more."""
         self.now += 1.0
-        for coordinator, round, _ in list(self.open):
+        for coordinator, round, _ in list(self.open_rounds):
             self.drive(coordinator, round)
-        self.ask_others()
+        self.drive_recovery()
 
     @precondition(lambda self: self.lost)
     @rule(near=NEAR)
     def take_over(self, near: set[str]) -> None:
         """A recovery, to which the replicas that are near answer at once."""
         for step in ("lives ", "heir "):
-            self.ask_others()
-            self.at_once(near, step)
+            self.drive_recovery()
+            self.deliver_now(near, step)
 
-    def ask_others(self) -> None:
+    def drive_recovery(self) -> None:
         if self.recovery is not None:
-            for name, message in self.recovery.beat():
+            for name, message in self.recovery.tick():
                 self.send(name, RECOVERY + self.lost, message)
 
     # ---- messages and disks --------------------------------------------------------------------------
 
     def send(self, to: Any, sender: Any, message: Message) -> None:
-        if len(self.pool) < POOL:
-            self.pool.append((to, sender, message))
+        if len(self.messages) < MAX_MESSAGES:
+            self.messages.append((to, sender, message))
 
-    @precondition(lambda self: self.pool)
+    @precondition(lambda self: self.messages)
     @rule(names=st.sets(st.sampled_from("abcd"), min_size=1, max_size=3))
     def drop(self, names: set[str]) -> None:
         """What is on its way to or from these."""
-        self.pool = [each for each in self.pool if each[0] not in names and each[1] not in names]
+        self.messages = [each for each in self.messages if each[0] not in names and each[1] not in names]
 
-    @precondition(lambda self: self.pool)
+    @precondition(lambda self: self.messages)
     @rule(at=AT)
     def double(self, at: int) -> None:
-        self.deliver(*self.pool[at % len(self.pool)])
+        self.deliver(*self.messages[at % len(self.messages)])
 
-    @precondition(lambda self: self.pool or any(each.unsynced for each in self.stored_replicas.values()))
+    @precondition(lambda self: self.messages or any(each.unsynced for each in self.stored_replicas.values()))
     @rule(picks=st.lists(AT, min_size=1, max_size=20))
     def go_on(self, picks: list[int]) -> None:
         """Messages are delivered and disks sync."""
@@ -144,20 +147,20 @@
             syncs = [
                 (name, at) for name, each in self.stored_replicas.items() for at in range(len(each.unsynced))
             ]
-            if not self.pool and not syncs:
+            if not self.messages and not syncs:
                 return
-            at = pick % (len(self.pool) + len(syncs))
-            if at < len(self.pool):
-                self.deliver(*self.pool.pop(at))
+            at = pick % (len(self.messages) + len(syncs))
+            if at < len(self.messages):
+                self.deliver(*self.messages.pop(at))
             else:
-                name, at = syncs[at - len(self.pool)]
+                name, at = syncs[at - len(self.messages)]
                 self.answer(name, self.stored_replicas[name].sync(at))
 
     def deliver(self, to: Any, sender: Any, message: Message) -> None:
         if to in self.stored_replicas:
             self.answer(to, self.stored_replicas[to].call(sender, message))
         elif self.recovery is not None and to == RECOVERY + self.lost:  # also one to an earlier life
-            for persist in self.recovery.take(sender, message):
+            for persist in self.recovery.handle_answer(sender, message):
                 self.stored_replicas[self.lost].recovered(persist)
                 if self.stored_replicas[self.lost].replica.votes:
                     self.lost, self.recovery = "", None
@@ -181,28 +184,28 @@
             if wiped and not self.lost:
                 self.stored_replicas[name].wipe()
             else:
-                self.stored_replicas[name].kill()
+                self.stored_replicas[name].restart()
             self.recover(name)
 
     def recover(self, name: str) -> None:
         if self.stored_replicas[name].replica.state is ReplicaState.RECOVERING:
-            self.lives += 1
-            self.lost, self.recovery = name, Recovery(name, self.core, self.lives)
+            self.incarnations += 1
+            self.lost, self.recovery = name, RecoveryDriver(name, self.core, self.incarnations)
 
     @invariant()
     def readers_are_told_what_was_acknowledged(self) -> None:
-        told = {name: stored.told() for name, stored in self.stored_replicas.items()}
+        told = {name: stored.visible_version() for name, stored in self.stored_replicas.items()}
         behind = [
             name for name, version in told.items() if version is not None and version < self.acknowledged
         ]
         assert not self.core.is_read_quorum(behind), "acknowledged, and a reader is not told"
 
 
-class Three(Register):
+class ThreeReplicas(RegisterMachine):
     names = "abc"
 
 
-def run(machine: type[Register], examples: int) -> None:
+def run(machine: type[RegisterMachine], examples: int) -> None:
     """The same examples each time."""
     phases = (Phases.generate,)
     how = settings(
@@ -211,12 +214,12 @@
     run_state_machine_as_test(machine, settings=how)
 
 
-@pytest.mark.parametrize("machine", [Register, Three])
-def test_no_read_goes_back_and_none_misses_what_was_acknowledged(machine: type[Register]) -> None:
+@pytest.mark.parametrize("machine", [RegisterMachine, ThreeReplicas])
+def test_no_read_goes_back_and_none_misses_what_was_acknowledged(machine: type[RegisterMachine]) -> None:
     run(machine, 120)
 
 
-def unwritten(monkeypatch: pytest.MonkeyPatch) -> None:
+def skips_write_back(monkeypatch: pytest.MonkeyPatch) -> None:
     """A read is answered without its write-back."""
     whole = Coordinator._enter_phase
 
@@ -229,15 +232,20 @@
 @pytest.mark.parametrize(
     ("fault", "machine", "examples", "found"),
     [
-        (fewer, Register, 1000, "is not told"),
-        (unwritten, Three, 1000, "a read went back"),
-        (unwritten, Register, 2000, "a read went back"),  # four replicas show it more seldom than three
-        (hasty, Register, 1000, "is not told"),
+        (small_majority, RegisterMachine, 1000, "is not told"),
+        (skips_write_back, ThreeReplicas, 1000, "a read went back"),
+        (
+            skips_write_back,
+            RegisterMachine,
+            2000,
+            "a read went back",
+        ),  # four replicas show it more seldom than three
+        (votes_after_disk_loss, RegisterMachine, 1000, "is not told"),
     ],
 )
 def test_a_planted_fault_is_found(
     fault: Callable[[pytest.MonkeyPatch], None],
-    machine: type[Register],
+    machine: type[RegisterMachine],
     examples: int,
     found: str,
     monkeypatch: pytest.MonkeyPatch,
--- a/tests/test_register_search.py
+++ b/tests/test_register_search.py
@@ -27,25 +27,25 @@
 from millfront.register.values import CLAIM_PREFIX, LOCAL_PREFIX, Core, Message
 from tests.register_model import (
     WIPED,
-    Order,
-    Recovery,
-    Steps,
+    ClientOperation,
+    RecoveryDriver,
     StoredReplica,
-    claims,
-    fewer,
-    frozen,
-    hasty,
-    text,
-    writes,
+    TransitionTable,
+    claim_of,
+    encoded,
+    hashable,
+    small_majority,
+    votes_after_disk_loss,
+    write_of,
 )
 
 RECOVERY = "recovery"
 Calls = frozenset[tuple[str, str]]  # who sent it, and what
-Fault = Callable[[pytest.MonkeyPatch], None]
+PlantedFault = Callable[[pytest.MonkeyPatch], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Column:
+class ReplicaHistory:
     """One replica, and all that it has answered: whom, and what."""
 
     replica: int
@@ -58,47 +58,52 @@
     others: tuple[int, ...]
     callers: tuple[int, ...]  # how far the orders and the recovery are
     calls: Calls  # that they have sent
-    begun: int = 0  # recoveries
+    recoveries: int = 0  # recoveries
 
 
 class Search:
     """Breadth first over all states, from replicas that hold nothing but the core."""
 
-    def __init__(self, wipes: int, configuration: list[Order]) -> None:
+    def __init__(self, wipes: int, configuration: list[ClientOperation]) -> None:
         """:param wipes: of one replica, at any time, also while it recovers from the one before"""
         self.core = configuration[0].core
         self.names = list(self.core.members)
         self.wipes = wipes
-        self.replicas: Steps[StoredReplica] = Steps(StoredReplica(self.core), self.act, StoredReplica.state)
-        self.callers: dict[str, Steps[Any]] = {
-            order.coordinator.name: Steps(order, take, Order.state) for order in configuration
+        self.replicas: TransitionTable[StoredReplica] = TransitionTable(
+            StoredReplica(self.core), self.step_replica, StoredReplica.state
+        )
+        self.callers: dict[str, TransitionTable[Any]] = {
+            order.coordinator.name: TransitionTable(order, handle_answer, ClientOperation.state)
+            for order in configuration
         }
-        self.callers[RECOVERY] = Steps(Recovery(WIPED, self.core), take, Recovery.state)
+        self.callers[RECOVERY] = TransitionTable(
+            RecoveryDriver(WIPED, self.core), handle_answer, RecoveryDriver.state
+        )
         self.persists: dict[Any, PersistRequest] = {}  # that a recovery asked for
-        self.columns: list[Column] = []
-        self.numbers: dict[Column, int] = {}
+        self.histories: list[ReplicaHistory] = []
+        self.numbers: dict[ReplicaHistory, int] = {}
         self.seen: set[State] = set()
-        self._alone: dict[Any, set[int]] = {}
-        self._answering: dict[Any, int] = {}
-        self._heeded: dict[Any, int] = {}
-        self._held: dict[int, Any] = {}
-        self._sent: dict[Any, tuple[Calls, Calls, Calls]] = {}
+        self._replica_steps: dict[Any, set[int]] = {}
+        self._with_answers: dict[Any, int] = {}
+        self._without_obsolete: dict[Any, int] = {}
+        self._synced_states: dict[int, Any] = {}
+        self._calls: dict[Any, tuple[Calls, Calls, Calls]] = {}
         self._settled: dict[tuple[int, Calls, Calls], int] = {}
         self._recovering: dict[int, bool] = {}
-        self.same: dict[Calls, Calls] = {}  # of equal sets one is kept: they are compared faster
-        self._fed: dict[Any, tuple[set[int], set[Any]]] = {}
-        self._calling: dict[tuple[str, int], Calls] = {}
-        self._bags: dict[tuple[int, str], frozenset[str]] = {}
-        self._told: dict[int, int | None] = {}
+        self.interned: dict[Calls, Calls] = {}  # of equal sets one is kept: they are compared faster
+        self._reachable: dict[Any, tuple[set[int], set[Any]]] = {}
+        self._calls_of: dict[tuple[str, int], Calls] = {}
+        self._answers_to: dict[tuple[int, str], frozenset[str]] = {}
+        self._visible_versions: dict[int, int | None] = {}
 
     # ---- one replica ------------------------------------------------------------------------------
 
-    def act(self, stored: StoredReplica, step: tuple[str, Any]) -> list[tuple[str, str]]:
+    def step_replica(self, stored: StoredReplica, step: tuple[str, Any]) -> list[tuple[str, str]]:
         """One step of a replica; what it answers. (A `no` that names no ballot moves no coordinator.)"""
         answers: list[tuple[str, Message]] = []
         match step:
             case ("kill", _):
-                stored.kill()
+                stored.restart()
             case ("wipe", _):
                 stored.wipe()
             case ("recovered", wanted):
@@ -107,108 +112,110 @@
                 answers = stored.sync(at)
             case ("call", (back, called)):
                 answers = stored.call(back, json.loads(called))
-        return [(to, text(answer)) for to, answer in answers if answer["t"] != "no" or "b" in answer]
+        return [(to, encoded(answer)) for to, answer in answers if answer["t"] != "no" or "b" in answer]
 
-    def number(self, column: Column) -> int:
-        number = self.numbers.setdefault(column, len(self.columns))
-        if number == len(self.columns):
-            self.columns.append(column)
+    def number_of(self, column: ReplicaHistory) -> int:
+        number = self.numbers.setdefault(column, len(self.histories))
+        if number == len(self.histories):
+            self.histories.append(column)
         return number
 
     def stored(self, column: int) -> StoredReplica:
-        return self.replicas.parts[self.columns[column].replica]
+        return self.replicas.states[self.histories[column].replica]
 
-    def moved(self, column: int, step: tuple[str, Any], calls: Calls) -> int:
-        replica, answers = self.replicas(self.columns[column].replica, step)
-        return self.answering(
-            self.number(Column(replica, self.columns[column].answers | set(answers))), calls
+    def after_step(self, column: int, step: tuple[str, Any], calls: Calls) -> int:
+        replica, answers = self.replicas(self.histories[column].replica, step)
+        return self.with_answers(
+            self.number_of(ReplicaHistory(replica, self.histories[column].answers | set(answers))), calls
         )
 
-    def answering(self, column: int, calls: Calls) -> int:
+    def with_answers(self, column: int, calls: Calls) -> int:
         """With all that has come or was synced, as far as that leaves what is held as it is."""
         key = column, calls
-        if (found := self._answering.get(key)) is None:
-            replica, answers = self.columns[column].replica, set(self.columns[column].answers)
+        if (found := self._with_answers.get(key)) is None:
+            replica, answers = self.histories[column].replica, set(self.histories[column].answers)
             for call in sorted(calls):
                 after, given = self.replicas(replica, ("call", call))
-                if self.held(after) == self.held(replica):
+                if self.synced_state(after) == self.synced_state(replica):
                     replica = after
                     answers.update(given)
-            for at in reversed(range(len(self.replicas.parts[replica].unsynced))):
+            for at in reversed(range(len(self.replicas.states[replica].unsynced))):
                 after, given = self.replicas(replica, ("sync", at))
-                if self.held(after) == self.held(replica):
+                if self.synced_state(after) == self.synced_state(replica):
                     replica = after
                     answers.update(given)
-            found = self._answering[key] = self.number(Column(replica, frozenset(answers)))
+            found = self._with_answers[key] = self.number_of(ReplicaHistory(replica, frozenset(answers)))
         return found
 
-    def held(self, replica: int) -> Any:
-        if replica not in self._held:
-            self._held[replica] = self.replicas.parts[replica].held()
-        return self._held[replica]
+    def synced_state(self, replica: int) -> Any:
+        if replica not in self._synced_states:
+            self._synced_states[replica] = self.replicas.states[replica].synced_state()
+        return self._synced_states[replica]
 
-    def heeded(self, column: int, calls: Calls, callers: tuple[int, ...]) -> int:
+    def without_obsolete_answers(self, column: int, calls: Calls, callers: tuple[int, ...]) -> int:
         """Without answers to calls that nobody makes any longer: they change nothing for who made them."""
-        if (found := self._heeded.get((column, calls))) is None:
+        if (found := self._without_obsolete.get((column, calls))) is None:
             refs = {(who, json.loads(call)["r"]) for who, call in calls}
-            answers = self.columns[column].answers
+            answers = self.histories[column].answers
             kept = frozenset((to, answer) for to, answer in answers if (to, json.loads(answer)["r"]) in refs)
             making = dict(zip(self.callers, callers, strict=True))
             for to, answer in answers - kept:  # of a recovery that has ended there is nobody left to take it
                 if to != RECOVERY or any(who == RECOVERY for who, _ in calls):
                     assert self.callers[to](making[to], (self.names[-1], answer)) == (making[to], []), answer
-            found = self._heeded[column, calls] = self.number(Column(self.columns[column].replica, kept))
+            found = self._without_obsolete[column, calls] = self.number_of(
+                ReplicaHistory(self.histories[column].replica, kept)
+            )
         return found
 
-    def bags(self, to: str, columns: Iterable[int]) -> tuple[frozenset[str], ...]:
+    def answers_to(self, to: str, columns: Iterable[int]) -> tuple[frozenset[str], ...]:
         for column in columns:
-            if (column, to) not in self._bags:
-                answers = self.columns[column].answers
-                self._bags[column, to] = frozenset(answer for whom, answer in answers if whom == to)
-        return tuple(self._bags[column, to] for column in columns)
+            if (column, to) not in self._answers_to:
+                answers = self.histories[column].answers
+                self._answers_to[column, to] = frozenset(answer for whom, answer in answers if whom == to)
+        return tuple(self._answers_to[column, to] for column in columns)
 
-    def told(self, column: int) -> int | None:
-        if column not in self._told:
-            self._told[column] = self.stored(column).told()
-        return self._told[column]
+    def visible_version(self, column: int) -> int | None:
+        if column not in self._visible_versions:
+            self._visible_versions[column] = self.stored(column).visible_version()
+        return self._visible_versions[column]
 
     # ---- the callers: orders and the recovery -----------------------------------------------------
 
-    def calling(self, name: str, caller: int) -> Calls:
+    def calls_of(self, name: str, caller: int) -> Calls:
         """What it sends, as far as it is."""
-        if (name, caller) not in self._calling:
-            sent = self.callers[name].parts[caller].beat()
-            self._calling[name, caller] = frozenset((name, text(message)) for _, message in sent)
-        return self._calling[name, caller]
+        if (name, caller) not in self._calls_of:
+            sent = self.callers[name].states[caller].tick()
+            self._calls_of[name, caller] = frozenset((name, encoded(message)) for _, message in sent)
+        return self._calls_of[name, caller]
 
-    def fed(self, name: str, caller: int, columns: tuple[int, ...]) -> tuple[set[int], set[Any]]:
+    def reachable(self, name: str, caller: int, columns: tuple[int, ...]) -> tuple[set[int], set[Any]]:
         """How far it may come by the answers there are (until it calls anew), and what may come out."""
-        key = name, caller, self.bags(name, columns)
-        if (found := self._fed.get(key)) is None:
+        key = name, caller, self.answers_to(name, columns)
+        if (found := self._reachable.get(key)) is None:
             told = [(who, answer) for who, bag in zip(self.names, key[2], strict=True) for answer in bag]
-            found = self._fed[key] = set(), set()
+            found = self._reachable[key] = set(), set()
             seen, waiting = {caller}, [caller]
             while waiting:
                 number = waiting.pop()
                 for each in told:
                     after, out = self.callers[name](number, each)
                     for came in out:
-                        found[1].add(frozen(came))
+                        found[1].add(hashable(came))
                         if isinstance(came, PersistRequest):
-                            self.persists[frozen(came)] = came
-                    if self.calling(name, after) != self.calling(name, caller):
-                        if self.calling(name, after):  # else it has ended
+                            self.persists[hashable(came)] = came
+                    if self.calls_of(name, after) != self.calls_of(name, caller):
+                        if self.calls_of(name, after):  # else it has ended
                             found[0].add(after)
                     elif after not in seen:
                         seen.add(after)
                         waiting.append(after)
         return found
 
-    def came(self, state: State) -> list[set[Any]]:
+    def outcomes(self, state: State) -> list[set[Any]]:
         """Of each order, what it may come to."""
         columns = (state.wiped, *state.others)
         pairs = zip(self.callers, state.callers, strict=True)
-        return [self.fed(name, caller, columns)[1] for name, caller in pairs if name != RECOVERY]
+        return [self.reachable(name, caller, columns)[1] for name, caller in pairs if name != RECOVERY]
 
     # ---- all together ----------------------------------------------------------------------------
 
@@ -217,60 +224,64 @@
             self._recovering[column] = self.stored(column).replica.state is ReplicaState.RECOVERING
         return self._recovering[column]
 
-    def state(self, wiped: int, others: Iterable[int], callers: tuple[int, ...], was: State | None) -> State:
+    def saturated_state(
+        self, wiped: int, others: Iterable[int], callers: tuple[int, ...], was: State | None
+    ) -> State:
         """With all that may be called, and all that may be answered to that."""
         if not self.recovering(wiped):
-            callers = (*callers[:-1], self.callers[RECOVERY].first)
+            callers = (*callers[:-1], self.callers[RECOVERY].initial)
         key = self.recovering(wiped), callers, was.calls if was else frozenset()
-        if (known := self._sent.get(key)) is None:
+        if (known := self._calls.get(key)) is None:
             pairs = zip(self.callers, callers, strict=True)
             made = frozenset().union(
-                *(self.calling(*each) for each in pairs if each[0] != RECOVERY or key[0])
+                *(self.calls_of(*each) for each in pairs if each[0] != RECOVERY or key[0])
             )
-            calls = self.same.setdefault(made | key[2], made | key[2])
-            known = self._sent[key] = self.same.setdefault(made, made), calls, to_wiped(calls)
+            calls = self.interned.setdefault(made | key[2], made | key[2])
+            known = self._calls[key] = self.interned.setdefault(made, made), calls, calls_to_wiped(calls)
         made, calls, of_wiped = known
         wiped = self.settled(wiped, of_wiped, made, callers)
         rest = sorted([self.settled(column, calls, made, callers) for column in others])
-        return State(wiped, tuple(rest), callers, calls, was.begun if was else 0)
+        return State(wiped, tuple(rest), callers, calls, was.recoveries if was else 0)
 
     def settled(self, column: int, calls: Calls, made: Calls, callers: tuple[int, ...]) -> int:
         key = column, calls, made
         if (found := self._settled.get(key)) is None:
-            found = self._settled[key] = self.heeded(self.answering(column, calls), made, callers)
+            found = self._settled[key] = self.without_obsolete_answers(
+                self.with_answers(column, calls), made, callers
+            )
         return found
 
-    def steps(self, now: State) -> Iterator[State]:
+    def successors(self, now: State) -> Iterator[State]:
         wiped, others, callers = now.wiped, now.others, now.callers
-        for after in self.alone(wiped, to_wiped(now.calls)):
-            yield self.state(after, others, callers, now)
+        for after in self.replica_steps(wiped, calls_to_wiped(now.calls)):
+            yield self.saturated_state(after, others, callers, now)
         for at, column in enumerate(others):
             if not at or column != others[at - 1]:  # else it is the same as the one before it
-                for after in self.alone(column, now.calls):
-                    yield self.state(wiped, (*others[:at], after, *others[at + 1 :]), callers, now)
+                for after in self.replica_steps(column, now.calls):
+                    yield self.saturated_state(wiped, (*others[:at], after, *others[at + 1 :]), callers, now)
         for at, (name, caller) in enumerate(zip(self.callers, callers, strict=True)):
             if name != RECOVERY or self.recovering(wiped):
-                further, came = self.fed(name, caller, (wiped, *others))
+                further, came = self.reachable(name, caller, (wiped, *others))
                 for each in further:
-                    yield self.state(wiped, others, (*callers[:at], each, *callers[at + 1 :]), now)
+                    yield self.saturated_state(wiped, others, (*callers[:at], each, *callers[at + 1 :]), now)
                 for each in came if name == RECOVERY else ():
-                    yield self.state(
-                        self.moved(wiped, ("recovered", each), frozenset()), others, callers, now
+                    yield self.saturated_state(
+                        self.after_step(wiped, ("recovered", each), frozenset()), others, callers, now
                     )
-        if now.begun < self.wipes:
-            lost = self.moved(wiped, ("wipe", 0), frozenset())
-            again = (*callers[:-1], self.callers[RECOVERY].first)
-            rest = [self.heeded(each, to_wiped(now.calls), again) for each in others]
-            yield self.state(lost, rest, again, replace(now, begun=now.begun + 1))
+        if now.recoveries < self.wipes:
+            lost = self.after_step(wiped, ("wipe", 0), frozenset())
+            again = (*callers[:-1], self.callers[RECOVERY].initial)
+            rest = [self.without_obsolete_answers(each, calls_to_wiped(now.calls), again) for each in others]
+            yield self.saturated_state(lost, rest, again, replace(now, recoveries=now.recoveries + 1))
 
-    def alone(self, column: int, calls: Calls) -> set[int]:
+    def replica_steps(self, column: int, calls: Calls) -> set[int]:
         """Steps of one replica: a call comes, a sync is done, it is killed and started again."""
-        if (found := self._alone.get((column, calls))) is None:
+        if (found := self._replica_steps.get((column, calls))) is None:
             steps: list[tuple[str, Any]] = [("call", call) for call in sorted(calls)]
             steps += [("sync", at) for at in range(len(self.stored(column).unsynced))] + [("kill", 0)]
-            found = self._alone[column, calls] = {self.moved(column, step, calls) for step in steps} - {
-                column
-            }
+            found = self._replica_steps[column, calls] = {
+                self.after_step(column, step, calls) for step in steps
+            } - {column}
         return found
 
     def run(self, wrong: Callable[["Search", State], bool], deep: bool = False) -> State | None:
@@ -278,36 +289,38 @@
 
         :param deep: the newest state is looked at next: what is wrong is found sooner
         """
-        first = self.number(Column(self.replicas.first, frozenset()))
-        callers = tuple(steps.first for steps in self.callers.values())
-        start = self.state(first, [first] * (len(self.names) - 1), callers, None)
+        first = self.number_of(ReplicaHistory(self.replicas.initial, frozenset()))
+        callers = tuple(steps.initial for steps in self.callers.values())
+        start = self.saturated_state(first, [first] * (len(self.names) - 1), callers, None)
         self.seen, waiting = {start}, deque([start])
         while waiting:
             state = waiting.pop() if deep else waiting.popleft()
             if wrong(self, state):
                 return state
-            for after in self.steps(state):
+            for after in self.successors(state):
                 if after not in self.seen:
                     self.seen.add(after)
                     waiting.append(after)
         return None
 
 
-def take(part: Any, told: tuple[str, str]) -> list[Any]:
-    found: list[Any] = part.take(told[0], json.loads(told[1]))
+def handle_answer(part: Any, told: tuple[str, str]) -> list[Any]:
+    found: list[Any] = part.handle_answer(told[0], json.loads(told[1]))
     return found
 
 
-def to_wiped(calls: Calls) -> Calls:
+def calls_to_wiped(calls: Calls) -> Calls:
     """Its own recovery doesn't call it."""
     return frozenset(call for call in calls if call[0] != RECOVERY)
 
 
-def loses(search: Search, state: State) -> bool:
+def loses_acknowledged(search: Search, state: State) -> bool:
     """Whether a reader may be told less than was acknowledged."""
     columns = (state.wiped, *state.others)
-    told = [(name, search.told(column)) for name, column in zip(search.names, columns, strict=True)]
-    for version, came in enumerate(search.came(state), 1):
+    told = [
+        (name, search.visible_version(column)) for name, column in zip(search.names, columns, strict=True)
+    ]
+    for version, came in enumerate(search.outcomes(state), 1):
         if (
             search.core.is_read_quorum(name for name, held in told if held is not None and held < version)
             and came
@@ -316,28 +329,30 @@
     return False
 
 
-def differs(search: Search, state: State) -> bool:
+def two_chosen(search: Search, state: State) -> bool:
     """Whether of one number two documents may be chosen."""
-    return len(set().union(*search.came(state))) > 1
+    return len(set().union(*search.outcomes(state))) > 1
 
 
-def writing(size: int, wipes: int) -> Search:
+def write_search(size: int, wipes: int) -> Search:
     core = Core(2, dict.fromkeys("abcdef"[:size], ""))
-    return Search(wipes, [Order(f"w{version}", core, writes(version)) for version in (1, 2)])
+    return Search(wipes, [ClientOperation(f"w{version}", core, write_of(version)) for version in (1, 2)])
 
 
-def claiming(size: int, wipes: int, ballots: tuple[int, int]) -> Search:
+def claim_search(size: int, wipes: int, ballots: tuple[int, int]) -> Search:
     """:param ballots: that each of the two claimants may try"""
     core = Core(2, dict.fromkeys("abcdef"[:size], ""))
-    return Search(wipes, [Order(f"for {d}", core, claims(d), n) for d, n in zip("xy", ballots, strict=True)])
+    return Search(
+        wipes, [ClientOperation(f"for {d}", core, claim_of(d), n) for d, n in zip("xy", ballots, strict=True)]
+    )
 
 
 @pytest.mark.parametrize(("size", "wipes", "at_least"), [(3, 1, 300), (3, 2, 3_500), (4, 1, 1_400)])
 def test_no_order_of_stores_kills_wipes_and_recoveries_loses_what_was_acknowledged(
     size: int, wipes: int, at_least: int
 ) -> None:
-    search = writing(size, wipes)
-    assert search.run(loses) is None
+    search = write_search(size, wipes)
+    assert search.run(loses_acknowledged) is None
     print(f"{len(search.seen)} states")
     assert len(search.seen) >= at_least
 
@@ -345,13 +360,13 @@
 def test_nor_where_a_recovery_takes_long_values_by_their_stamps(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(chunks, "MAX_INLINE_CHARS", 0)
     for size, wipes, at_least in (3, 1, 550), (3, 2, 6_500), (4, 1, 7_000):
-        search = writing(size, wipes)
-        assert search.run(loses) is None
+        search = write_search(size, wipes)
+        assert search.run(loses_acknowledged) is None
         print(f"{len(search.seen)} states")
         assert len(search.seen) >= at_least
 
 
-def forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def counts_ended_incarnations(monkeypatch: pytest.MonkeyPatch) -> None:
     """Answers of a life that has ended are counted."""
 
     def count(round: Round, sender: str, lives: dict[str, int]) -> None:
@@ -360,7 +375,7 @@
     monkeypatch.setattr(Coordinator, "_count_answer", staticmethod(count))
 
 
-def rash(monkeypatch: pytest.MonkeyPatch) -> None:
+def answers_before_incarnation_is_synced(monkeypatch: pytest.MonkeyPatch) -> None:
     """An heir tells all before the new life is synced."""
     whole = Replica._start_incarnation
 
@@ -371,7 +386,7 @@
     monkeypatch.setattr(Replica, "_start_incarnation", heir)
 
 
-def unasked(monkeypatch: pytest.MonkeyPatch) -> None:
+def skips_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
     """A recovery takes over what it was told before others knew of its new life."""
     monkeypatch.setattr(
         Replica,
@@ -380,7 +395,7 @@
     )
 
 
-def early(monkeypatch: pytest.MonkeyPatch) -> None:
+def answers_store_before_sync(monkeypatch: pytest.MonkeyPatch) -> None:
     """A store is answered before it is synced."""
     whole = Replica._store
 
@@ -391,7 +406,7 @@
     monkeypatch.setattr(Replica, "_store", store)
 
 
-def older(monkeypatch: pytest.MonkeyPatch) -> None:
+def accepts_older_long_values(monkeypatch: pytest.MonkeyPatch) -> None:
     """Of a long value a recovery takes any version that comes."""
 
     def lacking(self: recovery.Recovery) -> list[str]:
@@ -402,12 +417,23 @@
 
 
 @pytest.mark.parametrize("size", [3, 4])
-@pytest.mark.parametrize("fault", [fewer, forgotten, rash, unasked, early, hasty, older])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        small_majority,
+        counts_ended_incarnations,
+        answers_before_incarnation_is_synced,
+        skips_incarnation,
+        answers_store_before_sync,
+        votes_after_disk_loss,
+        accepts_older_long_values,
+    ],
+)
 def test_a_planted_fault_loses(
     fault: Callable[[pytest.MonkeyPatch], None], size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fault(monkeypatch)
-    assert writing(size, 1).run(loses) is not None
+    assert write_search(size, 1).run(loses_acknowledged) is not None
 
 
 @pytest.mark.parametrize(
@@ -417,13 +443,13 @@
 def test_no_order_of_claims_kills_a_wipe_and_its_recovery_gives_a_number_to_two_documents(
     size: int, wipes: int, ballots: tuple[int, int], at_least: int
 ) -> None:
-    search = claiming(size, wipes, ballots)
-    assert search.run(differs) is None
+    search = claim_search(size, wipes, ballots)
+    assert search.run(two_chosen) is None
     print(f"{len(search.seen)} states")
     assert len(search.seen) >= at_least
 
 
-def faithless(monkeypatch: pytest.MonkeyPatch) -> None:
+def breaks_promises(monkeypatch: pytest.MonkeyPatch) -> None:
     """Promises are not kept."""
     whole = Replica._vote
 
@@ -435,28 +461,38 @@
     monkeypatch.setattr(Replica, "_ballot_holds", lambda *_: True)
 
 
-def headstrong(monkeypatch: pytest.MonkeyPatch) -> None:
+def ignores_accepted_values(monkeypatch: pytest.MonkeyPatch) -> None:
     """What was accepted before is not adopted by a higher ballot."""
     monkeypatch.setattr(Replica, "_last_accepted", lambda *_: None)
 
 
-def bare(monkeypatch: pytest.MonkeyPatch) -> None:
+def loses_claims(monkeypatch: pytest.MonkeyPatch) -> None:
     """Claims are not taken over by a replica that recovers."""
-    whole = Recovery.take
+    whole = RecoveryDriver.handle_answer
 
-    def take(self: Recovery, sender: str, message: Message) -> list[PersistRequest]:
+    def take(self: RecoveryDriver, sender: str, message: Message) -> list[PersistRequest]:
         found = whole(self, sender, message)
         return [
             replace(each, values={k: v for k, v in each.values.items() if CLAIM_PREFIX not in k})
             for each in found
         ]
 
-    monkeypatch.setattr(Recovery, "take", take)
+    monkeypatch.setattr(RecoveryDriver, "handle_answer", take)
 
 
-@pytest.mark.parametrize("fault", [faithless, headstrong, bare, forgotten, unasked, hasty])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        breaks_promises,
+        ignores_accepted_values,
+        loses_claims,
+        counts_ended_incarnations,
+        skips_incarnation,
+        votes_after_disk_loss,
+    ],
+)
 def test_a_planted_fault_gives_a_number_to_two_documents(
-    fault: Fault, monkeypatch: pytest.MonkeyPatch
+    fault: PlantedFault, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fault(monkeypatch)
-    assert claiming(3, 1, (1, 1)).run(differs, deep=True) is not None
+    assert claim_search(3, 1, (1, 1)).run(two_chosen, deep=True) is not None
--- a/tests/test_restart_from_disk.py
+++ b/tests/test_restart_from_disk.py
@@ -16,7 +16,7 @@
 CONFIGURATION = document(7, limits={"max_body_bytes": 5000, "idle_timeout": "6s", "header_deadline": "2s"})
 
 
-class NoDoors:
+class NoIO:
     """Nothing of what the node wants done reaches anybody."""
 
     def now(self) -> float:
@@ -35,7 +35,7 @@
         cloud="127.0.0.1:1", cloud_rate=40.0, cloud_lag=0.8, bounds=Bounds(),
     )  # fmt: skip
     core = Core(FIRST_AGREED_EPOCH, {NODE: "127.0.0.1:7000"}).to_value()
-    gatekeeper = Gatekeeper(settings, NoDoors(), {CORE: core, **kept}, 100.0, 1, 1)
+    gatekeeper = Gatekeeper(settings, NoIO(), {CORE: core, **kept}, 100.0, 1, 1)
     return Proxy(gatekeeper, 1, lambda: 100.0)
 
 
