--- a/tests/test_core_changes.py
+++ b/tests/test_core_changes.py
@@ -1,4 +1,4 @@
-"""The core changes: machines with a disk are posted to it and relieved, and nothing acknowledged is lost."""
+"""Changes of the core: machines with a disk are added and removed, and no acknowledged value is lost."""
 
 import random
 from collections import defaultdict
@@ -32,7 +32,7 @@
     world.run(12.0)
     assert members(world) == {(0, 1, 2, 3, 7)} and voting(world.nodes[7])
     world.nodes[0].kill()
-    world.nodes[1].kill()  # of five W is three: the new one counts
+    world.nodes[1].kill()  # W of five is three: the new member counts
     assert acknowledged(world, 5, 4)
     for number in (0, 1):
         world.nodes[number].start()
@@ -134,37 +134,37 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_histories_with_changes_of_the_core_lose_nothing_and_have_one_core_an_epoch(seed: int) -> None:
     """At most one disk is lost before its machine votes again, as `tolerance` allows."""
-    chance, world = random.Random(seed), started_world(7, 4, seed, spares=2)
+    rng, world = random.Random(seed), started_world(7, 4, seed, spares=2)
     world.loss, world.lost_answers = 0.02, 0.05
-    version, held, calls = 10, 1, []
-    island: set[int] = set()
-    world.cut = lambda a, b: (a.number in island) != (b.number in island)
+    version, acknowledged_version, puts = 10, 1, []
+    cut_off: set[int] = set()
+    world.cut = lambda a, b: (a.number in cut_off) != (b.number in cut_off)
     seen: dict[int, set[str]] = defaultdict(set)
     disks = [node for node in world.nodes if node.disk is not None]
     for _ in range(30):
         up = [node for node in world.nodes if node.gatekeeper]
-        match chance.choice(("put", "put", "cut", "join", "kill", "spare", "spare", "wipe", "all")):
+        match rng.choice(("put", "put", "cut", "join", "kill", "spare", "spare", "wipe", "all")):
             case "put":
-                version += chance.randrange(1, 4)
-                calls.append((version, world.put(chance.choice(up).number, document(version))))
+                version += rng.randrange(1, 4)
+                puts.append((version, world.put(rng.choice(up).number, document(version))))
             case "cut":
-                island = set(chance.sample(range(9), chance.randrange(1, 4)))
+                cut_off = set(rng.sample(range(9), rng.randrange(1, 4)))
             case "join":
-                island = set()
+                cut_off = set()
             case "kill":
-                node = chance.choice(up)
+                node = rng.choice(up)
                 node.kill()
-                world.run(chance.random())
+                world.run(rng.random())
                 node.start()
-            case "spare":  # one with a disk comes, or goes for as long as it may
-                node = world.nodes[chance.choice((3, 7, 8))]
+            case "spare":  # a machine with a disk starts, or stops if enough others vote
+                node = world.nodes[rng.choice((3, 7, 8))]
                 if node.gatekeeper is None:
                     node.start()
                 elif sum(voting(other) for other in disks) >= 4:
                     node.kill()
             case "wipe":
                 if all(voting(node) for node in disks if node.gatekeeper):
-                    node = chance.choice([node for node in disks if node.gatekeeper])
+                    node = rng.choice([node for node in disks if node.gatekeeper])
                     node.wipe()
                     world.run(0.3)
                     node.start()
@@ -175,24 +175,26 @@
                 world.run(0.5)
                 for node in down:
                     node.start()
-        world.run(0.2 + 2.5 * chance.random())
-        held = max([held, *(v for v, answers in calls if answers and answers[0][0] == 200)])
+        world.run(0.2 + 2.5 * rng.random())
+        acknowledged_version = max(
+            [acknowledged_version, *(v for v, answers in puts if answers and answers[0][0] == 200)]
+        )
         for node in world.nodes:
-            assert node.versions == sorted(node.versions), "a process went back"
-            told: list[Any] = [node.disk.get(CORE)] if node.disk else []
-            for value in told:
+            assert node.versions == sorted(node.versions), "the version of a process went back"
+            cores: list[Any] = [node.disk.get(CORE)] if node.disk else []
+            for value in cores:
                 if value is not None and value.version > 1:
                     seen[value.version].add(value.data)
     assert all(len(found) == 1 for found in seen.values()), "two cores in one epoch"
-    island = set()
+    cut_off = set()
     world.loss = world.lost_answers = 0.0
     for node in world.nodes:
         if node.gatekeeper is None:
             node.start()
     world.run(16.0)
-    assert int(world.read(6)["revision"], 16) >= held
+    assert int(world.read(6)["revision"], 16) >= acknowledged_version
     assert len(members(world)) == 1
     assert all(
-        gatekeeper.configuration and gatekeeper.configuration.version >= held
+        gatekeeper.configuration and gatekeeper.configuration.version >= acknowledged_version
         for gatekeeper in world.gatekeepers()
     )
--- a/tests/test_core_search.py
+++ b/tests/test_core_search.py
@@ -1,7 +1,6 @@
-"""A change of the core in every order that chance brings: the very replicas, coordinators and
-reconfiguration, whose calls,
-answers and syncs come late, twice or never, while orders are written and two gatekeepers propose other
-members.
+"""Changes of the core in random orders of events: the calls, answers and syncs of production replicas,
+coordinators and reconfiguration are delayed, repeated or lost, while two writes are made and two gatekeepers
+propose different members.
 """
 
 import random
@@ -22,7 +21,7 @@
 
 
 class Simulation:
-    """Replicas a, b and c of the old core, and d, which was of an earlier one and holds nothing else."""
+    """Replicas a, b and c of the old core, and d, of an earlier core, which holds nothing but the core."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -30,12 +29,11 @@
         self.replicas = {name: Replica({CORE: OLD.to_value()}, False) for name in "abcd"}
         self.cores = {2: OLD}
         self.acknowledged = 0
-        self.pool: list[Callable[[], None]] = []  # calls and answers on their way
+        self.pool: list[Callable[[], None]] = []  # calls and answers in transit
         self.syncs: dict[str, list[PersistRequest]] = {name: [] for name in self.replicas}
         self.open: list[tuple[Coordinator, Round, Callable[[Round], None]]] = []
 
-    # ---- what a gatekeeper does for its coordinator
-    # ---------------------------------------------------------
+    # ---- what a gatekeeper does for its coordinator ----------------------------------------------------
 
     def start(self, coordinator: Coordinator, round: Round, then: Callable[[Round], None]) -> None:
         self.open.append((coordinator, round, then))
@@ -77,12 +75,12 @@
         if (turned := coordinator.handle_answer(self.now, name, message)) is not None:
             self.drive(coordinator, turned)
 
-    # ---- what is played --------------------------------------------------------------------------
+    # ---- the simulated events --------------------------------------------------------------------
 
     def gatekeeper(self, name: str, to: str) -> None:
-        """One whose reconfiguration try to change the core to these."""
+        """A gatekeeper whose reconfiguration tries to change the members of the core to those in `to`."""
         coordinator = Coordinator(name)
-        table, tries = self, 0
+        simulation, attempts = self, 0
 
         class Stub:
             born, io = 0.0, SimpleNamespace(say=lambda *_: None)
@@ -93,24 +91,24 @@
 
             @property
             def now(self) -> float:
-                return table.now
+                return simulation.now
 
             def start(self, now: float, round: Round, then: Callable[[Round], None]) -> None:
-                table.start(coordinator, round, then)
+                simulation.start(coordinator, round, then)
 
-        mine = reconfiguration.Reconfiguration(Stub())  # type: ignore[arg-type]
+        part = reconfiguration.Reconfiguration(Stub())  # type: ignore[arg-type]
 
         def decide() -> None:
-            nonlocal tries
-            tries += 1
-            mine._ballot += 1
-            mine._enter(reconfiguration.Change.DECIDING)
+            nonlocal attempts
+            attempts += 1
+            part._ballot += 1
+            part._enter(reconfiguration.Change.DECIDING)
             proposal = Core(3, dict.fromkeys(to, ""), OLD.members).to_value().data
-            round = coordinator.decide(self.now, OLD, mine._ballot, proposal, 9.0)
+            round = coordinator.decide(self.now, OLD, part._ballot, proposal, 9.0)
 
             def decided(round: Round) -> None:
-                mine._decided(round)
-                if mine.change is reconfiguration.Change.NONE and tries < 3:
+                part._decided(round)
+                if part.change is reconfiguration.Change.NONE and attempts < 3:
                     decide()
 
             self.start(coordinator, round, decided)
@@ -118,7 +116,7 @@
         decide()
 
     def check(self) -> None:
-        """No reader of any core may be told less than was acknowledged."""
+        """No reader, with any core, may get less than was acknowledged."""
         none = Value(0, "", "")
         for epoch, core in self.cores.items():
             behind = [
@@ -127,10 +125,10 @@
                 if replica.values[CORE].version == epoch
                 and replica.values.get(CONFIG, none).version < self.acknowledged
             ]
-            assert not core.is_read_quorum(behind), "acknowledged, and a reader is not told"
+            assert not core.is_read_quorum(behind), "acknowledged, but not visible to a reader"
 
     def turn(self) -> None:
-        """One thing that is under way happens: a message comes, or a disk has synced."""
+        """One pending event: a message is delivered, or a disk completes a sync."""
         steps = [partial(self.sync, name) for name, syncs in self.syncs.items() if syncs]
         if self.pool and (not steps or self.chance.random() < 0.7):
             self.pool.pop(self.chance.randrange(len(self.pool)))()
@@ -151,41 +149,41 @@
                 self.acknowledged = max(self.acknowledged, round.values[CONFIG].version)
 
         for step in range(400):
-            if step in (5, 60):  # two orders, one after the other
+            if step in (5, 60):  # two writes, one after the other
                 value = Value(1 + step, "", "")
                 self.start(writer, writer.write(self.now, OLD, {CONFIG: value}, 30.0), written)
             self.turn()
 
 
-def first_violation(seeds: int, table: type[Simulation] = Simulation) -> str:
-    """What is first found wrong in so many plays, or nothing."""
+def first_violation(seeds: int, simulation: type[Simulation] = Simulation) -> str:
+    """The first violation in simulations with seeds below `seeds`; an empty string if there is none."""
     for seed in range(seeds):
         try:
-            table(seed).play()
-        except AssertionError as wrong:
-            return str(wrong)
+            simulation(seed).play()
+        except AssertionError as violation:
+            return str(violation)
     return ""
 
 
 def test_no_order_of_a_change_loses_what_was_acknowledged_or_makes_two_cores() -> None:
     assert first_violation(250) == ""
-    table = Simulation(1)
-    table.play()
-    assert table.acknowledged and 4 in table.cores  # it comes to its end
+    simulation = Simulation(1)
+    simulation.play()
+    assert simulation.acknowledged and 4 in simulation.cores  # the change completes
 
 
 def ignores_epochs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Replicas answer calls of any epoch."""
-    whole = Replica.handle
+    """Replicas answer calls for any epoch."""
+    original = Replica.handle
 
     def handle(self: Replica, back: Any, message: dict[str, Any]) -> Any:
-        return whole(self, back, message | {"e": self.values[CORE].version} if "e" in message else message)
+        return original(self, back, message | {"e": self.values[CORE].version} if "e" in message else message)
 
     monkeypatch.setattr(Replica, "handle", handle)
 
 
 def skips_carry_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The new core begins without what the old one held."""
+    """The new core starts without the values of the old one."""
 
     def carry(self: reconfiguration.Reconfiguration, core: Core) -> None:
         self._write(core, Core(core.epoch + 1, core.members).to_value(), self._closed)
@@ -195,23 +193,23 @@
 
 def breaks_promises(monkeypatch: pytest.MonkeyPatch) -> None:
     """Promises are not kept."""
-    whole = Replica._vote
+    original = Replica._vote
 
     def ballot(self: Replica, *how: Any) -> Any:
         self.values.pop(values.PROMISED, None)
-        return whole(self, *how)
+        return original(self, *how)
 
     monkeypatch.setattr(Replica, "_vote", ballot)
     monkeypatch.setattr(Replica, "_ballot_holds", lambda self, key, ballot: True)
 
 
 def counts_late_stores(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A store that was synced after the core changed is counted all the same."""
-    whole = Replica.synced
+    """A store that was synced after the core changed is counted."""
+    original = Replica.synced
 
-    def synced(self: Replica, persist: PersistRequest, well: bool) -> Any:
+    def synced(self: Replica, persist: PersistRequest, ok: bool) -> Any:
         persist.epoch = 0
-        return whole(self, persist, well)
+        return original(self, persist, ok)
 
     monkeypatch.setattr(Replica, "synced", synced)
 
--- a/tests/test_restart_from_disk.py
+++ b/tests/test_restart_from_disk.py
@@ -1,4 +1,4 @@
-"""What a process that restarts finds on its own disk is in force in its data plane from the first request."""
+"""After a restart the values on the local disk are in force in the data plane from the first request."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class NoIO:
-    """Nothing of what the node wants done reaches anybody."""
+    """I/O that discards every request of the node."""
 
     def now(self) -> float:
         return 100.0
@@ -26,8 +26,8 @@
         return lambda *args, **more: None
 
 
-def restarted(kept: dict[str, Value]) -> Proxy:
-    """The data plane of a node that starts again with this on its disk."""
+def restarted(stored: dict[str, Value]) -> Proxy:
+    """The data plane of a node that restarts with these values on its disk."""
     settings = Settings(
         name=NODE, ip="127.0.0.1", zone="aa", region="a", fresh=False, counts_loss=True,
         state_dir="/nowhere", serves=("edge", "control", "directory"), ram_mb=100, fd_limit=1000,
@@ -35,18 +35,18 @@
         cloud="127.0.0.1:1", cloud_rate=40.0, cloud_lag=0.8, bounds=Bounds(),
     )  # fmt: skip
     core = Core(FIRST_AGREED_EPOCH, {NODE: "127.0.0.1:7000"}).to_value()
-    gatekeeper = Gatekeeper(settings, NoIO(), {CORE: core, **kept}, 100.0, 1, 1)
+    gatekeeper = Gatekeeper(settings, NoIO(), {CORE: core, **stored}, 100.0, 1, 1)
     return Proxy(gatekeeper, 1, lambda: 100.0)
 
 
 @pytest.fixture
 def data_plane() -> Proxy:
-    kept = {
+    stored = {
         CONFIG: Value(7, "digest", CONFIGURATION),
         EVACUATION + "ab": Value(3, "read", "1"),
         EVACUATION + "ba": Value(4, "read", "0"),
     }
-    return restarted(kept)
+    return restarted(stored)
 
 
 def test_an_evacuated_zone_gets_no_request_from_a_node_that_restarted(data_plane: Proxy) -> None:
