--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Seats of the core: two losses with a repair between them, ends in order, copies that return to all."""
+"""Membership of the core: two losses with a repair between them, orderly shutdowns, and restored copies."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from millfront.register.values import Core, write_quorum
 from tests.system_world import Node, World, acknowledged, document, members, voting
 
-SYNC_TIME_S = 4.0  # after the start of who returned or is new it is no loss any more
+SYNC_TIME_S = 4.0  # a returned or new machine counts as repaired this long after its start
 
 
 def started_world(n: int = 7, disks: int = 4, seed: int = 1, spares: int = 0) -> World:
@@ -33,7 +33,7 @@
 
 
 def update_seeds(world: World) -> None:
-    """The settings of whoever starts from now on name machines that are up."""
+    """Set the seeds of machines that start from now on to machines that are up."""
     world.seeds = tuple(f"{node.ip}:81" for node in reversed(world.nodes) if node.gatekeeper is not None)[:3]
 
 
@@ -58,7 +58,7 @@
 
 
 def sequences() -> list[Sequence]:
-    """Size, first loss, repair, second loss, whom the second hits."""
+    """Size, first loss, repair, second loss, victim of the second loss."""
     found = []
     for size, first, second, victim in product((3, 4, 5, 6), REPAIRS, REPAIRS, VICTIMS):
         for repair in REPAIRS[first]:
@@ -69,7 +69,7 @@
 
 
 def lose_node(world: World, node: Node, kind: str) -> None:
-    """A wiped one starts anew by itself; who is dark or has left stays away."""
+    """A wiped machine restarts by itself; one that is dark or has left stays down."""
     if kind == "wipe":
         node.wipe()
         return
@@ -82,7 +82,7 @@
 
 
 def repair_node(world: World, node: Node, repair: str) -> Node:
-    """Until the operators' pages no longer count it as lost; who has the seat."""
+    """Run until the loss counts as repaired; returns the machine that is now the member."""
     spare = world.nodes[-1]
     match repair:
         case "recovered" | "back":
@@ -101,8 +101,8 @@
 
 
 def run_sequence(sequence: Sequence, seed: int = 1) -> str:
-    """What does not hold, or nothing. A version is acknowledged by just W replicas, of whom the first loss
-    is; with a second wipe all other machines lose power."""
+    """The property that is violated, or an empty string. A version is acknowledged by exactly W replicas, one
+    of which is lost first; with a second wipe all other machines lose power."""
     size, first, repair, second, victim = sequence
     world = started_world(size + 2, size, seed, spares=1)
     holders, lag = list(range(write_quorum(size))), set(range(write_quorum(size), size))
@@ -117,24 +117,24 @@
     lose_node(world, node, first)
     repaired = repair_node(world, node, repair)
     others = {"another holder": world.nodes[holders[1]], "one that lagged": world.nodes[min(lag)]}
-    struck = others.get(victim, repaired)
-    lose_node(world, struck, second)
+    second_lost = others.get(victim, repaired)
+    lose_node(world, second_lost, second)
     if second == "wipe":
         world.power_off()
     world.run(6.0)
-    told = world.read(size)
-    if told is None:  # too few are left: whether it is there once the first is back
+    answer = world.read(size)
+    if answer is None:  # too few are left: check that the version is there once the first is back
         node.start()
         world.run(6.0)
-        told = world.read(size)
-        return "waits for the first" if told and int(told["revision"], 16) >= 2 else "lost"
-    if int(told["revision"], 16) < 2:
+        answer = world.read(size)
+        return "waits for the first" if answer and int(answer["revision"], 16) >= 2 else "lost"
+    if int(answer["revision"], 16) < 2:
         return "lost"
     return "" if acknowledged(world, size + 1, 9) else "no majority"
 
 
 def not_tolerated(sequence: Sequence) -> bool:
-    """Two of three are away and nobody took a seat: what is not borne."""
+    """Two of three are down and none was replaced, which is not tolerated."""
     return sequence[0] == 3 and sequence[2] in ("relieved", "handed over")
 
 
@@ -143,7 +143,7 @@
 def test_two_losses_with_a_repair_between_them_lose_nothing_and_the_rest_goes_on(
     size: int, first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Sizes 5 and 6, and more seeds: docs/design/register.md."""
+    """Results for sizes 5 and 6 and for more seeds are in docs/design/register.md."""
     monkeypatch.setattr(reconfiguration, "REMOVAL_DELAY_S", REMOVAL_DELAY_S)
     for sequence in sequences():
         if sequence[:2] == (size, first):
@@ -152,56 +152,62 @@
             )
 
 
-# ---- whom the next core is to have: every state ------------------------------------------------------
+# ---- choice of the next members, in every state ------------------------------------------------------
 
 
 State = tuple[dict[str, str], dict[str, Seat], dict[str, str], set[str], int]
 
 
 def all_states() -> list[State]:
-    """Cores of 3 to 6 in which each member stands in any way, with up to three who joined."""
+    """Cores of 3 to 6 members, each in any state, with up to three processes that joined."""
     found = []
-    for size, new, lost, young in product((3, 4, 5, 6), range(4), range(3), (False, True)):
+    for size, new, lost, recent in product((3, 4, 5, 6), range(4), range(3), (False, True)):
         names = "abcdef"[:size]
-        fresh = set("xyz"[:new]) if young else set()
-        for stands in combinations_with_replacement(Seat, size):
-            stand = dict(zip(names, stands, strict=True))
-            found.append((dict.fromkeys(names, ""), stand, dict.fromkeys("xyz"[:new], ""), fresh, lost))
+        fresh = set("xyz"[:new]) if recent else set()
+        for seats in combinations_with_replacement(Seat, size):
+            seats_by_name = dict(zip(names, seats, strict=True))
+            found.append(
+                (dict.fromkeys(names, ""), seats_by_name, dict.fromkeys("xyz"[:new], ""), fresh, lost)
+            )
     return found
 
 
 def broken_rule(
-    core: dict[str, str], stands: dict[str, Seat], joined: dict[str, str], young: set[str], lost: int
+    core: dict[str, str], seats: dict[str, Seat], joined: dict[str, str], recent: set[str], lost: int
 ) -> str:
-    """Which rule the choice breaks."""
-    to = choose_members(core, stands, joined, young, lost).members
-    if to == core:
+    """The rule that the choice of members breaks, or an empty string."""
+    chosen = choose_members(core, seats, joined, recent, lost).members
+    if chosen == core:
         return ""
-    count = Counter(stands[name] for name in to if name in core)
+    count = Counter(seats[name] for name in chosen if name in core)
     sound, votes = count[Seat.SOUND], count[Seat.SOUND] + count[Seat.LEAVING]
-    voters = [n for n in core if stands[n] in (Seat.SOUND, Seat.BEHIND, Seat.LEAVING)]
+    voters = [n for n in core if seats[n] in (Seat.SOUND, Seat.BEHIND, Seat.LEAVING)]
     if not Core(0, core).is_write_quorum(voters):
         return "decides without a majority"
-    if len(to) < min(len(core), min_members(lost)):
+    if len(chosen) < min(len(core), min_members(lost)):
         return "too few are left"
-    if votes < write_quorum(len(to)):
-        return "no majority if who joined dies at once"
-    if any(stands[name] in (Seat.SOUND, Seat.BEHIND) and name not in to for name in core):
-        return "one that is there loses its seat"
-    all_sound = sum(stand is Seat.SOUND for stand in stands.values())
-    bears = [sum(s is Seat.SOUND for s in stands.values()) >= write_quorum(len(c)) for c in (core, to)]
-    if bears[0] and not bears[1]:
-        return "who stays had a majority, and has none"
+    if votes < write_quorum(len(chosen)):
+        return "no majority if the new members fail at once"
+    if any(seats[name] in (Seat.SOUND, Seat.BEHIND) and name not in chosen for name in core):
+        return "a member that is up is removed"
+    all_sound = sum(seat is Seat.SOUND for seat in seats.values())
+    majorities = [
+        sum(s is Seat.SOUND for s in seats.values()) >= write_quorum(len(c)) for c in (core, chosen)
+    ]
+    if majorities[0] and not majorities[1]:
+        return "the sound members had a majority, and have none"
     if lost < min_members(lost) and all_sound >= lost + 1 and sound < lost + 1:
-        return "fewer copies than may be lost"
-    if any(stands[n] is Seat.DARK and n not in to for n in core) and votes >= write_quorum(len(to) + 1):
-        return "a dark one loses its seat without need"
-    # What is chosen next, once who joined has recovered, gives nobody's seat away that was just given
-    later = {name: stands.get(name, Seat.SOUND) for name in to}
-    rest = {name: address for name, address in joined.items() if name not in to}
-    again = choose_members(to, later, rest, young, lost).members
-    if any(name in to and name not in again and later[name] is Seat.SOUND for name in to):
-        return "a seat is given and taken"
+        return "fewer full copies than hosts_lost + 1"
+    if any(seats[n] is Seat.DARK and n not in chosen for n in core) and votes >= write_quorum(
+        len(chosen) + 1
+    ):
+        return "a dark member is removed without need"
+    # The next choice, once the new members have recovered, must not remove one that was just added
+    later = {name: seats.get(name, Seat.SOUND) for name in chosen}
+    rest = {name: address for name, address in joined.items() if name not in chosen}
+    next_chosen = choose_members(chosen, later, rest, recent, lost).members
+    if any(name in chosen and name not in next_chosen and later[name] is Seat.SOUND for name in chosen):
+        return "a member is added and removed again"
     return ""
 
 
@@ -215,18 +221,18 @@
 
 
 def counts_new_members_as_voters(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Who has just joined is taken for one that votes."""
-    whole = placement._candidate
+    """A process that has just joined is counted as a voter."""
+    original = placement._candidate
 
-    def named(members: Any, stands: Any, joined: Any, *counts: int) -> Any:
-        stands.update(dict.fromkeys(joined, Seat.SOUND))
-        return whole(members, stands, joined, *counts)
+    def candidate(members: Any, seats: Any, joined: Any, *counts: int) -> Any:
+        seats.update(dict.fromkeys(joined, Seat.SOUND))
+        return original(members, seats, joined, *counts)
 
-    monkeypatch.setattr(placement, "_candidate", named)
+    monkeypatch.setattr(placement, "_candidate", candidate)
 
 
 def allows_small_core(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A core may become as small as its sound members are."""
+    """A core may shrink to as few members as are sound."""
     monkeypatch.setattr(placement, "min_members", lambda hosts_lost: 1)
 
 
@@ -242,7 +248,7 @@
 
 
 def lacks_majority(world: World) -> bool:
-    """Whether no majority of the newest core is up."""
+    """Whether no majority of the newest core votes."""
     cores = [
         gatekeeper.subscriber.core
         for gatekeeper in world.gatekeepers()
@@ -258,20 +264,20 @@
 
 def majority_throughout(world: World, seconds: float) -> bool:
     """Whether there was a majority all the time."""
-    whole = True
+    had_majority = True
     for _ in range(int(seconds * 10)):
         world.run(0.1)
-        whole = whole and not lacks_majority(world)
-    return whole
+        had_majority = had_majority and not lacks_majority(world)
+    return had_majority
 
 
 def leave_and_wait(world: World, *nodes: Node) -> bool:
-    whole = True
+    had_majority = True
     for node in nodes:
         node.leave()
     while any(node.gatekeeper is not None for node in nodes):
-        whole = majority_throughout(world, 0.1) and whole
-    return whole
+        had_majority = majority_throughout(world, 0.1) and had_majority
+    return had_majority
 
 
 def test_all_core_machines_are_removed_in_turn_while_spares_join() -> None:
@@ -336,11 +342,11 @@
     world = started_world()
     gatekeeper = world.nodes[0].gatekeeper
     assert gatekeeper is not None and gatekeeper.subscriber.core is not None
-    holder = gatekeeper.reconfiguration.coordinator_of(gatekeeper.subscriber.core)
-    node = next(node for node in world.nodes if node.name == holder)
+    coordinator = gatekeeper.reconfiguration.coordinator_of(gatekeeper.subscriber.core)
+    node = next(node for node in world.nodes if node.name == coordinator)
     node.leave()
     world.run(0.1)
-    node.kill()  # it has hardly said so
+    node.kill()  # shortly after it announced that it leaves
     assert majority_throughout(world, 1.5)
     assert members(world) == {tuple(n for n in range(4) if n != node.number)} and epoch(world) == 4
 
@@ -362,7 +368,7 @@
     assert acknowledged(world, 4, 3)
 
 
-SOON_S = 3.2  # from SIGTERM: the 2.9 s that a process takes for its clients, and some looks
+SOON_S = 3.2  # from SIGTERM: 2.9 s in which a process serves its clients, and some checks
 GRACE_ENDS_S = 5.6
 
 
@@ -433,8 +439,9 @@
 
 
 def hand_over_fault(late: float, seed: int, lag: float) -> str:
-    """A successor starts so long after SIGTERM, and tells everybody but the one that leaves; what does not
-    hold. While a change is under way it does not end before its seat is given up, or the grace is over."""
+    """A successor starts `late` seconds after SIGTERM and is known to all but the leaving process. Returns
+    the property that is violated: during a change the process does not exit before it is removed or the
+    grace period is over."""
     world = started_world(5, 3, seed, spares=1)
     world.seeds = (f"{world.nodes[0].ip}:81", f"{world.nodes[2].ip}:81")
     world.nodes[0].lag = world.nodes[2].lag = lag
@@ -443,14 +450,14 @@
     world.run(late)
     world.nodes[5].start()
     changing = False
-    while node.gatekeeper is not None:  # one event at a time: as it was when the process ended
+    while node.gatekeeper is not None:  # one event at a time, for the state when the process exited
         core = node.gatekeeper.subscriber.core
         changing = core is not None and node.name in core.all_members and change_in_progress(world)
         world.env.step()
     if changing and world.env.now - began < GRACE_ENDS_S:
-        return "ends while its successor is posted"
+        return "exits while its successor is being added"
     if late <= HEARD_S and epoch(world) == began_at:
-        return "ends before its successor is posted"
+        return "exits before its successor is added"
     world.run(8.0)
     if members(world) != {(0, 2, 5)}:
         return f"no successor: {members(world)}"
@@ -460,15 +467,16 @@
     return "" if acknowledged(world, 4, 3) else "no majority"
 
 
-# It ends after 2.9 s at the earliest; before that a start takes a beat (0.25 s) until all know it, the one
-# that leaves asks each 0.52 s at most, and the answer takes two ways of up to 0.04 s and both ends' lags
+# A process exits 2.9 s after SIGTERM at the earliest. Before that, a start takes a tick (0.25 s) until all
+# know it, the leaving process asks each member every 0.52 s at most, and an answer takes two trips of up to
+# 0.04 s and the lags of both ends
 HEARD_S = 1.9
 LATE = [0.1, 0.6, 1.1, 1.4, *(1.5 + 0.05 * step for step in range(17)), 2.5, 2.7, 2.9]
 
 
 @pytest.mark.parametrize(("seed", "lag"), [(0, 0.0), (1, 0.05)])
 def test_no_member_exits_while_its_successor_is_being_added(seed: int, lag: float) -> None:
-    found = {late: told for late in LATE if (told := hand_over_fault(late, seed, lag))}
+    found = {late: fault for late in LATE if (fault := hand_over_fault(late, seed, lag))}
     assert not found
 
 
@@ -476,8 +484,8 @@
     monkeypatch.setattr(
         reconfiguration.Reconfiguration, "_may_be_replaced", lambda self, core, replica: False
     )
-    found = {told for late in LATE if (told := hand_over_fault(late, 1, 0.05))}
-    assert found >= {"ends while its successor is posted", "ends before its successor is posted"}
+    found = {fault for late in LATE if (fault := hand_over_fault(late, 1, 0.05))}
+    assert found >= {"exits while its successor is being added", "exits before its successor is added"}
 
 
 def test_one_that_joins_in_place_of_a_dark_one_and_dies_at_once_leaves_a_majority() -> None:
@@ -513,7 +521,7 @@
 
 
 def test_a_replica_that_votes_before_it_holds_anything_is_no_copy() -> None:
-    """Of the first start, cut off from all subscribers' news until the others hold a version."""
+    """At the first start a replica is cut off from all updates until the others have a version."""
     world = World(7, 4)
     apart = True
     world.cut = lambda a, b: apart and 3 in (a.number, b.number)
@@ -536,33 +544,33 @@
         world.run(0.05)
         for other in world.nodes[:4]:
             assert other.gatekeeper is not None and other.gatekeeper.subscriber.core is not None
-            stands = other.gatekeeper.reconfiguration._seats(other.now(), other.gatekeeper.subscriber.core)
-            seen.append(stands.get(node.name, Seat.BEHIND))
+            seats = other.gatekeeper.reconfiguration._seats(other.now(), other.gatekeeper.subscriber.core)
+            seen.append(seats.get(node.name, Seat.BEHIND))
             assert node.gatekeeper is not None and node.gatekeeper.replica is not None
             assert node.gatekeeper.replica.state is not ReplicaState.NEW
     assert set(seen) <= {Seat.BEHIND, Seat.DARK}
 
 
-# ---- each rule taken away ------------------------------------------------------------------------------
+# ---- planted faults: one rule is disabled ---------------------------------------------------------------
 
 
 def takes_leaving_for_dark(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leaving member is taken for one that is dark: the code as it was."""
+    """A leaving member is handled like a dark one, as in earlier versions."""
     monkeypatch.setattr(reconfiguration.Reconfiguration, "leave", lambda self, now: None)
 
 
 def exits_without_successor(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that leaves does not wait for its successor."""
+    """A leaving process does not wait for its successor."""
     monkeypatch.setattr(reconfiguration.Reconfiguration, "may_exit", lambda self, now: True)
 
 
 def does_not_catch_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Replicas catch up only with the next order: the code as it was."""
+    """Replicas catch up only with the next write, as in earlier versions."""
     monkeypatch.setattr(Recovery, "missing_values", lambda self: {})
 
 
 def takes_voter_for_copy(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whoever votes is taken for a copy."""
+    """Every voter is counted as a full copy."""
     monkeypatch.setattr(
         reconfiguration.Reconfiguration,
         "has_full_copy",
@@ -571,28 +579,28 @@
 
 
 def takes_leaving_for_dark_and_does_not_catch_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both of these."""
+    """A leaving member is handled like a dark one, and replicas catch up only with the next write."""
     takes_leaving_for_dark(monkeypatch)
     does_not_catch_up(monkeypatch)
 
 
 def keeps_ownership_while_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One that leaves keeps the duty."""
-    first = gossip.holders
+    """A leaving process keeps the ownership of core changes."""
+    original = gossip.holders
     monkeypatch.setattr(
         reconfiguration.Reconfiguration,
         "coordinator_of",
-        lambda self, core: first("core", list(core.all_members))[0],
+        lambda self, core: original("core", list(core.all_members))[0],
     )
 
 
 def adds_successor_late(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A successor is posted after 5 s: the code as it was."""
+    """A successor is added after 5 s, as in earlier versions."""
     monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 5.0)
 
 
 def adds_without_gain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Who joined is posted though that gains no vote."""
+    """A process that joined is added at once even if that gains no vote."""
     monkeypatch.setattr(reconfiguration, "NO_GAIN_JOIN_DELAY_S", 0.0)
 
 
