--- a/millfront/register/reconfiguration.py
+++ b/millfront/register/reconfiguration.py
@@ -254,9 +254,8 @@
         if self._no_successor_since is not None and now - self._no_successor_since >= MAX_HANDOVER_S:
             return True
         records = gatekeeper.membership.records
-        return not any(
-            name in records and not records[name].leaving for name in core.all_members
-        )  # nobody stays
+        # whether no member stays
+        return not any(name in records and not records[name].leaving for name in core.all_members)
 
     def _note_own_wait(self, now: float, core: Core) -> None:
         """Log once that this process waits to be removed from the core."""
@@ -264,7 +263,7 @@
             return
         self._waiting = (self.gatekeeper.name,)
         seats = {name: seat.name.lower() for name, seat in self._seats(now, core).items()}
-        text = "its seat waits for a successor before it ends"
+        text = "waits for a successor to take its seat before it exits"
         self.gatekeeper.note("register", text, seats=seats, hosts_lost=self.gatekeeper.settings.hosts_lost)
 
     # ---- changes -----------------------------------------------------------------------------------
--- a/millfront/register/recovery.py
+++ b/millfront/register/recovery.py
@@ -59,7 +59,7 @@
 class Stage(Enum):
     """Stage of a recovery."""
 
-    LEARNING_INCARNATIONS = "learning the earlier incarnations"
+    LEARNING = "learning the earlier incarnations"
     ANNOUNCING = "announcing the new incarnation"
     FETCHING = "fetching long values"
     SYNCING = "syncing the values of the others"
@@ -72,7 +72,7 @@
         self.gatekeeper = gatekeeper
         self._ticks_behind = 0  # ticks for which a voting replica lacked values that its process has
         self._complete = False
-        self._enter_stage(Stage.LEARNING_INCARNATIONS)
+        self._enter_stage(Stage.LEARNING)
 
     def _enter_stage(
         self, stage: Stage, incarnation: int = 0, values: dict[str, Value] | None = None
@@ -87,7 +87,7 @@
 
     def core_changed(self) -> None:
         """Answers from members of the previous core do not count in the new one."""
-        self._enter_stage(Stage.LEARNING_INCARNATIONS)
+        self._enter_stage(Stage.LEARNING)
 
     # ---- a replica that recovers --------------------------------------------------------------------
 
@@ -96,7 +96,7 @@
         gatekeeper, elapsed = self.gatekeeper, self._ticks
         self._ticks += 1
         match self.stage:
-            case Stage.LEARNING_INCARNATIONS | Stage.ANNOUNCING if elapsed % RESEND_TICKS == 0:
+            case Stage.LEARNING | Stage.ANNOUNCING if elapsed % RESEND_TICKS == 0:
                 for name, address in core.all_members.items():
                     if name != gatekeeper.name:
                         gatekeeper.to_replica(now, name, address, self._request(core))
@@ -114,7 +114,7 @@
 
     def _request(self, core: Core) -> Message:
         name = self.gatekeeper.name
-        if self.stage is Stage.LEARNING_INCARNATIONS:
+        if self.stage is Stage.LEARNING:
             return {"t": "fetch", "r": self._ref(core), "e": core.epoch, "k": [INCARNATION_PREFIX + name]}
         return {
             "t": "recover",
@@ -127,7 +127,7 @@
 
     def _ref(self, core: Core) -> str:
         """Reference of requests, unique to this core, this step and this incarnation of the process."""
-        step = "lives" if self.stage is Stage.LEARNING_INCARNATIONS else "heir"
+        step = "lives" if self.stage is Stage.LEARNING else "heir"
         return f"{step} {core.epoch} {self.incarnation} {self.gatekeeper.coordinator.name}"
 
     def handle_answer(self, now: float, sender: str, message: Message) -> None:
@@ -136,9 +136,7 @@
         replica, core = gatekeeper.replica, gatekeeper.subscriber.core
         if replica is None or core is None or replica.state is not ReplicaState.RECOVERING:
             return
-        if self.stage not in (Stage.LEARNING_INCARNATIONS, Stage.ANNOUNCING) or message["r"] != self._ref(
-            core
-        ):
+        if self.stage not in (Stage.LEARNING, Stage.ANNOUNCING) or message["r"] != self._ref(core):
             return
         if sender not in core.all_members:
             return
@@ -156,7 +154,7 @@
                 newest[key] = max(newest.get(key, value), value)
             for key, offer in offers.items():
                 long_stamps[key] = max(long_stamps.get(key, offer.stamp), offer.stamp)
-        if self.stage is Stage.LEARNING_INCARNATIONS:
+        if self.stage is Stage.LEARNING:
             previous = newest.get(INCARNATION_PREFIX + gatekeeper.name)
             self._enter_stage(Stage.ANNOUNCING, (previous.version if previous else 0) + 1)
             return
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -255,7 +255,7 @@
     while gatekeeper.subscriber.core.epoch == before and not gatekeeper.replica.votes:
         world.run(0.02)
     assert not gatekeeper.replica.votes, "it was too quick for this story"
-    assert gatekeeper.reconfiguration.recovery.stage is Stage.LEARNING_INCARNATIONS, (
+    assert gatekeeper.reconfiguration.recovery.stage is Stage.LEARNING, (
         "what members of another core told goes on to count"
     )
     world.caught_up(within=14.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -357,7 +357,7 @@
     node.leave()
     world.run(2.5)
     assert members(world) == {(0, 1, 2)} and node.gatekeeper is not None
-    assert "its seat waits for a successor before it ends" in [
+    assert "waits for a successor to take its seat before it exits" in [
         page["text"] for page in node.gatekeeper.event_log.pages(node.now(), "register")
     ]
     world.nodes[5].start()
@@ -398,17 +398,17 @@
 ) -> None:
     world = started_world(5, 3, seed)
     world.nodes[1].leave()
-    told = 1
+    version = 1
     while world.nodes[1].gatekeeper is not None:
-        answers = world.put(4, document(told + 1))
+        answers = world.put(4, document(version + 1))
         while not answers:
             world.run(0.005)
         assert answers[0][0] == 200
-        told += 1
-    assert told > 10 and int(world.read(3)["revision"], 16) == told
+        version += 1
+    assert version > 10 and int(world.read(3)["revision"], 16) == version
     world.power_off()
     world.run(6.0)
-    assert int(world.read(3)["revision"], 16) == told
+    assert int(world.read(3)["revision"], 16) == version
 
 
 def test_one_of_three_stays_to_the_end_of_the_grace_while_the_others_lack_what_it_has() -> None:
