--- a/millfront/dataplane/keyed_requests.py
+++ b/millfront/dataplane/keyed_requests.py
@@ -41,7 +41,7 @@
         pending = self.claims.begin(operation, at_work_s, partial(self._decided, request))
         if pending is not None and not request.over:
             request.claim = pending
-            loop, wait = asyncio.get_running_loop(), CLAIM_SHARE * request.route.target
+            loop, wait = asyncio.get_running_loop(), CLAIM_SHARE * request.route.target_time
             loop.call_later(min(WIDEN_S, wait / 2), self.claims.widen, pending)
             loop.call_later(wait, self.claims.expire, pending)
 
@@ -103,7 +103,7 @@
 
 def _stored(answer: Message) -> StoredAnswer:
     assert isinstance(answer.start, int)
-    pairs = zip(answer.fields, answer.raw, strict=True)
+    pairs = zip(answer.fields, answer.raw_fields, strict=True)
     kept = [raw for (name, _), raw in pairs if name != ATTEMPT_ID]
     fields = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in kept)
     return StoredAnswer(answer.start, fields, answer.body)
--- a/tests/register_model.py
+++ b/tests/register_model.py
@@ -153,7 +153,7 @@
                 self.recovery.handle_answer(0.0, sender, message)
                 return list(self.persists)
             if self.recovery.stage is Stage.FETCHING:
-                for key, wire in message["v"].items():  # as the subscriber does it
+                for key, wire in message["v"].items():  # as in `Subscriber.adopt`
                     value = Value.from_wire(wire)
                     self.subscriber.values[key] = max(value, self.subscriber.values.get(key, value))
                 self.tick()
--- a/tests/test_gatekeeper_calls.py
+++ b/tests/test_gatekeeper_calls.py
@@ -13,7 +13,7 @@
 import pytest
 
 from millfront.cli import gatekeeper as cli
-from millfront.discovery.platform_client import PlatformError, listed
+from millfront.discovery.platform_client import PlatformError, read_list
 from millfront.discovery.server_list import ServerList
 from millfront.environment import Bounds, Settings
 from millfront.gatekeeper import process
@@ -320,11 +320,11 @@
             writer.write(b"POST /v1/evacuation/ba HTTP/1.1\r\nHost: a\r\n\r\n")
             await made.until(lambda: bool(held))
             writer.close()
-            await made.until(lambda: not any(api.server.unanswered() for api in service.control_apis))
+            await made.until(lambda: not any(api.server.unanswered_count() for api in service.control_apis))
             service.persist = sync  # type: ignore[method-assign]
             for persist in held:
                 service.persist(persist)
-            await made.until(lambda: not service.gatekeeper.waiting)
+            await made.until(lambda: not service.gatekeeper.open_rounds)
             assert not service.gatekeeper.evacuated
             assert (await made.ask("POST", "/v1/evacuation/ba", b"", made.ctl))[0] == 200
             assert sorted(service.gatekeeper.evacuated) == ["ba"]
@@ -449,7 +449,7 @@
     async def story() -> None:
         async with stage(tmp_path, [well]) as made:
             assert field((await made.ask("POST", "/p/a1", b"x", more=KEY))[1], "Keep-Alive") == b"timeout=14"
-            made.service.proxy.server.send_away(True)
+            made.service.proxy.server.set_closing(True)
             _, head, _ = await made.ask("POST", "/p/a2", b"x", more=KEY)
             assert field(head, "Connection") == b"close" and not field(head, "Keep-Alive")
 
@@ -475,15 +475,15 @@
             reader, writer = await kept(made)  # told 14 s
             (connection,) = server._connections
             assert await made.put(with_idle_timeout(2, "4s")) == 200
-            since = connection.rests_since_us
-            connection.expire(since + 12_000_000, server.partial_us)
+            since = connection.idle_since_us
+            connection.check_timeouts(since + 12_000_000, server.request_read_timeout_us)
             assert connection in server._connections
             head = (await exchange(reader, writer, "POST", "/p/a2", b"x", KEY))[1]
             assert field(head, "Keep-Alive") == b"timeout=3"
-            since = connection.rests_since_us
-            connection.expire(since + 3_900_000, server.partial_us)
+            since = connection.idle_since_us
+            connection.check_timeouts(since + 3_900_000, server.request_read_timeout_us)
             assert connection in server._connections
-            connection.expire(since + 4_100_000, server.partial_us)
+            connection.check_timeouts(since + 4_100_000, server.request_read_timeout_us)
             assert connection not in server._connections
             writer.close()
 
@@ -498,7 +498,8 @@
             (connection,) = server._connections
             fields = f"Host: a.example\r\nMillfront-Attempt-Id: a29c\r\n{KEY}"
             writer.write(f"GET /p/a2 HTTP/1.1\r\n{fields}\r\n".encode())
-            connection.expire(connection.rests_since_us + 60_000_000, server.partial_us)  # before it is read
+            # before it is read
+            connection.check_timeouts(connection.idle_since_us + 60_000_000, server.request_read_timeout_us)
             async with asyncio.timeout(5):
                 assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
             writer.close()
@@ -519,14 +520,14 @@
             reader, writer = await asyncio.open_connection(host, int(port), limit=4096)
             fields = f"Host: a.example\r\nMillfront-Attempt-Id: a19c\r\n{KEY}"
             server, proxy = made.service.proxy.server, made.service.proxy
-            server.room.most = 4 * size  # the member is done while the client still reads
+            server.buffer_budget.limit = 4 * size  # the member is done while the client still reads
             made.service.ending.set()
             await made.until(lambda: server.closing)
             writer.write(f"GET /p/a1 HTTP/1.1\r\n{fields}\r\n".encode())
             await made.until(lambda: len(made.seen) == 1 and proxy.open == 0)
             connection = next(iter(server._connections))
-            assert server.untaken() == 1
-            connection.expire(server.clock.now() + 2_000_000, server.partial_us)
+            assert server.unsent_count() == 1
+            connection.check_timeouts(server.clock.now() + 2_000_000, server.request_read_timeout_us)
             async with asyncio.timeout(5):
                 head = await reader.readuntil(b"\r\n\r\n")
                 assert field(head, "Connection") == b"close"
@@ -599,7 +600,7 @@
             async with asyncio.timeout(8):
                 await made.came.wait()
                 made.service.ending.set()
-                await made.until(lambda: made.service.gatekeeper.membership.me.leaving)
+                await made.until(lambda: made.service.gatekeeper.membership.own_record.leaving)
                 assert (await made.ask("GET", "/v1/readiness", at=made.ctl))[0] == 503
                 writer.write(b"x" * 160_000)
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -671,7 +672,7 @@
                 seen.rests_until = proxy.now() + 0.12  # no server takes it for a moment: it is held
             asked = asyncio.get_running_loop().create_task(made.ask("POST", "/p/a1", b"order", more=KEY))
             await made.until(lambda: proxy.open == 1)
-            gatekeeper.server_list.in_time = lambda now: False  # type: ignore[method-assign]
+            gatekeeper.server_list.usable = lambda now: False  # type: ignore[method-assign]
             assert (await asked)[0] == 503
             assert (await made.ask("POST", "/p/a1", b"order", more=KEY))[0] == 503
             assert made.seen == [] and not gatekeeper.ready(proxy.now())
@@ -708,7 +709,7 @@
 
     async def story() -> None:
         server = await asyncio.start_server(paging, "127.0.0.1", 0)
-        found = await listed(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+        found = await read_list(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         assert [entry[0] for entry in found.entries] == ["i-0", "i-1", "i-2", "i-3"] and found.calls == 4
         assert connections == (1 if ends == "kept" else 4)
         server.close()
@@ -728,13 +729,15 @@
     async def story() -> None:
         server = await asyncio.start_server(refusing, "127.0.0.1", 0)
         with pytest.raises(PlatformError, match="429"):
-            await listed(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+            await read_list(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         server.close()
 
     play(story)
     server_list = ServerList()
-    server_list.polled(1.0, server_list.begin(1.0), [["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]])
-    server_list.begin(2.0)
-    server_list.failed(2.0)
+    server_list.poll_succeeded(
+        1.0, server_list.begin_poll(1.0), [["i-1", "shop", "10.0.2.1:80", "aa", 3, 0, 0.0]]
+    )
+    server_list.begin_poll(2.0)
+    server_list.poll_failed(2.0)
     assert server_list.servers["i-1"].phase.name == "READY"  # what was known stays
     assert not server_list.due(2.1, lambda: 0) and server_list.due(2.6, lambda: 0)  # and the platform rests
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 import pytest
 
 from millfront.membership import gossip
-from millfront.membership.gossip import LOST_TICKS, TICK_S
+from millfront.membership.gossip import TICK_S, UNREACHABLE_TICKS
 from millfront.register import placement, reconfiguration
 from millfront.register.placement import Seat, choose_members, min_members
 from millfront.register.recovery import Recovery
@@ -94,7 +94,7 @@
             update_seeds(world)
             spare.start()
         case "relieved":
-            world.run(REMOVAL_DELAY_S + LOST_TICKS * TICK_S + 1.0)
+            world.run(REMOVAL_DELAY_S + UNREACHABLE_TICKS * TICK_S + 1.0)
     world.spares -= {n.number for n in world.nodes if n.gatekeeper is not None}
     world.run(SYNC_TIME_S)
     return spare if repair == "replaced" else node
@@ -358,7 +358,7 @@
     world.run(2.5)
     assert members(world) == {(0, 1, 2)} and node.gatekeeper is not None
     assert "waits for a successor to take its seat before it exits" in [
-        page["text"] for page in node.gatekeeper.event_log.pages(node.now(), "register")
+        page["text"] for page in node.gatekeeper.event_log.entries(node.now(), "register")
     ]
     world.nodes[5].start()
     wait_for_exit(world, node)
@@ -586,7 +586,7 @@
 
 def keeps_ownership_while_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leaving process keeps the ownership of core changes."""
-    original = gossip.holders
+    original = gossip.owners
     monkeypatch.setattr(
         reconfiguration.Reconfiguration,
         "coordinator_of",
--- a/tests/test_restart_from_disk.py
+++ b/tests/test_restart_from_disk.py
@@ -53,7 +53,7 @@
     entries = [
         [f"i-{zone}", "shop", f"10.0.2.{number}:80", zone, 9, 0, 0.0] for number, zone in enumerate(ZONES)
     ]
-    data_plane.gatekeeper.server_list.take(100.0, {"f": 1, "p": 0, "e": entries, "g": []})
+    data_plane.gatekeeper.server_list.handle_list(100.0, {"f": 1, "p": 0, "e": entries, "g": []})
     data_plane.relisted()
     shop = Service("shop", "/health", 100, 0.0, 0.0)
     chosen: set[str] = set()
@@ -68,10 +68,10 @@
     data_plane: Proxy,
 ) -> None:
     server = data_plane.server
-    assert server.most_body == 5000
-    assert server.at_rest_us == 6_000_000
+    assert server.max_body == 5000
+    assert server.idle_timeout_us == 6_000_000
     assert server.keep_alive == b"timeout=5"
-    assert server.partial_us == 2_300_000
+    assert server.request_read_timeout_us == 2_300_000
 
 
 def test_a_node_with_nothing_on_its_disk_starts_with_nothing_in_force() -> None:
