--- a/millfront/register/reconfiguration.py
+++ b/millfront/register/reconfiguration.py
@@ -258,7 +258,7 @@
         return not any(name in records and not records[name].leaving for name in core.all_members)
 
     def _note_own_wait(self, now: float, core: Core) -> None:
-        """Log once that this process waits to be removed from the core."""
+        """Log once that this leaving process waits to be replaced."""
         if self._leaving_since is None or now - self._leaving_since < WAIT_NOTE_DELAY_S or self._waiting:
             return
         self._waiting = (self.gatekeeper.name,)
@@ -291,8 +291,8 @@
             for name in core.members
             if name not in stay and (name not in records or records[name].liveness is Liveness.UNREACHABLE)
         }
-        ending = {name for name in core.members if name in records and records[name].leaving}
-        self._departed = (self._departed | ending) & (core.members.keys() - stay)
+        leaving = {name for name in core.members if name in records and records[name].leaving}
+        self._departed = (self._departed | leaving) & (core.members.keys() - stay)
 
     def _seats(self, now: float, core: Core) -> dict[str, Seat]:
         """State of each member, as far as this process knows."""
@@ -315,9 +315,9 @@
     def coordinator_of(self, core: Core) -> str:
         """The process that makes changes of the core: the owner of the key "core" among the members that are
         up, stay, and report a full copy; "" if there is none."""
-        keep = {record.name for record in self.gatekeeper.membership.live() if record.has_full_copy}
+        complete = {record.name for record in self.gatekeeper.membership.live() if record.has_full_copy}
         return "".join(
-            owners("core", [name for name in core.all_members if name in self._up_since and name in keep])
+            owners("core", [name for name in core.all_members if name in self._up_since and name in complete])
         )
 
     def _is_change_due(self, now: float, core: Core) -> bool:
