--- a/millfront/discovery/__init__.py
+++ b/millfront/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which servers there are: the platform's list, and the picture of it that all processes share."""
+"""Service discovery: the platform's list of servers, and the copy of it that all processes share."""
--- a/millfront/discovery/platform_client.py
+++ b/millfront/discovery/platform_client.py
@@ -1,7 +1,7 @@
-"""The platform's list of servers, asked over HTTP. Thin I/O.
+"""Reads the platform's list of servers over HTTP. Thin I/O.
 
-The pages of one read go over one connection where the platform keeps it open: from another region each
-connection more is a way there and back of the time in which all have to know the list.
+All pages of one read go over one connection where the platform keeps it open: from another region each
+further connection costs a round trip of the time within which all gatekeepers have to know the list.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class PlatformError(Exception):
-    """The platform gave no list."""
+    """The platform's list could not be read."""
 
     def __init__(self, reason: str, failure: ReadFailure = ReadFailure.UNREACHABLE) -> None:
         super().__init__(reason)
@@ -29,13 +29,14 @@
 
 
 class TooManyCallsError(ValueError):
-    """The platform has had more calls than it takes."""
+    """The platform's rate limit is exceeded."""
 
 
 async def read_list(address: str) -> PlatformList:
-    """All entries, page by page.
+    """All entries, read page by page.
 
-    :raises PlatformError: there is no whole answer in time
+    :param address: ``host:port`` of the platform
+    :raises PlatformError: no complete and valid list came within `MAX_READ_S`
     """
     connection = PlatformConnection(address)
     try:
@@ -58,15 +59,15 @@
         token = page.get("next_token") or ""
         if not token:
             return found
-    raise ValueError("pages without an end")
+    raise ValueError(f"the platform's list has more than {MAX_PAGES} pages")
 
 
 class StaleConnectionError(Exception):
-    """A connection that had been kept open ended before an answer began."""
+    """A connection that had been kept open was closed before a response began."""
 
 
 class PlatformConnection:
-    """A connection to the platform, opened anew where the last answer ended it."""
+    """A connection to the platform, reopened where it was closed after the last response."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -74,32 +75,32 @@
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def get(self, target: str) -> dict[str, Any]:
-        """The object that a call is answered with.
+        """The JSON object in the response.
 
-        :raises TooManyCallsError: it is over the platform's bound
-        :raises ValueError: the answer is another status, too long, cut short, or no object
+        :raises TooManyCallsError: status 429
+        :raises ValueError: any other status but 200; or the body is too long, cut short, or no JSON object
         """
         try:
             status, body = await self._call(target)
         except StaleConnectionError:
             status, body = await self._call(target)
         if status == TOO_MANY_REQUESTS:
-            raise TooManyCallsError(f"status {status}")
+            raise TooManyCallsError(f"GET {target}: status {status}, rate limit exceeded")
         if status != OK:
-            raise ValueError(f"status {status}")
+            raise ValueError(f"GET {target}: expected status {OK}, got {status}")
         page = json.loads(body)
         if not isinstance(page, dict):
-            raise ValueError("no object")
+            raise ValueError(f"GET {target}: expected a JSON object, got {type(page).__name__}")
         return page
 
     def close(self) -> None:
-        """End the connection at once, if there is one."""
+        """Abort the connection, if there is one."""
         if self._streams is not None:
             self._streams[1].transport.abort()
             self._streams = None
 
     async def _call(self, target: str) -> tuple[int, bytearray]:
-        """:raises StaleConnectionError: nothing came, on a connection that had been kept; it is closed"""
+        """:raises StaleConnectionError: a kept connection gave no response; it is closed now"""
         kept = self._reuse()
         reader, writer = self._streams or await self._open()
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
@@ -115,7 +116,7 @@
         return await self._read_response(reader)
 
     def _reuse(self) -> bool:
-        """Whether the connection there is can take another call; one that can't is closed."""
+        """Whether the connection can be used for another call; otherwise it is closed."""
         if self._streams is None:
             return False
         if self._client.our_state is h11.DONE and self._client.their_state is h11.DONE:
@@ -141,8 +142,8 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_PAGE_BYTES:
-                    raise ValueError("a page that is too long")
+                    raise ValueError(f"response body longer than {MAX_PAGE_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 return status, body
             elif isinstance(event, h11.ConnectionClosed):
-                raise ValueError("closed before an answer")
+                raise ValueError("connection closed before the response was complete")
--- a/millfront/discovery/server_list.py
+++ b/millfront/discovery/server_list.py
@@ -1,11 +1,11 @@
-"""Service discovery: which servers there are, by the platform's list. No I/O, no clock.
-
-One process asks the platform, by its turn (`polling.py`), and tells the others what has changed, each time
-under a number above all it has seen, and its own name: the fence. Two may ask at once while turns change and
-give their lists one number; so a change is applied only to the very list that it was made from. What comes
-under a lower number is of a process whose turn is over, and is not taken. Of one instance of a server
-(``ident``) the phase only goes forward, ready, draining, gone, so that an old list brings nothing back. Times
-are seconds on the caller's clock.
+"""Service discovery: which servers exist, by the platform's list. No I/O, no clock.
+
+One process polls the platform (`polling.py` says when) and publishes the changes to the others, under a
+fencing number higher than any that it has seen, and its own name. While the role moves, two processes may
+poll at once and give their lists the same number; so a change is applied only to the very list that it was
+made from. A message with a lower number comes from a former poller and is ignored. The phase of a server
+instance (``ident``) only advances: ready, draining, gone; so an old list brings no instance back. Times are
+seconds on the caller's clock.
 """
 
 import math
@@ -17,14 +17,14 @@
 from millfront.discovery.polling import CHECK_INTERVAL_S, SOLO_START_S, TOLERATED_LOSSES, PollTiming, ReadCost
 
 GONE_RETENTION_S = 30.0
-ENDED_RETENTION_S = 600.0  # so long it is remembered that a life has ended
+ENDED_RETENTION_S = 600.0  # how long the ident of an instance that is gone is remembered
 NEVER = -1e9
 
 Message = dict[str, Any]
 
 
 class Phase(IntEnum):
-    """Of one life of a server; it only rises."""
+    """Of one server instance; it only rises."""
 
     READY = 0
     DRAINING = 1
@@ -33,7 +33,8 @@
 
 @dataclass(slots=True)
 class Server:
-    """One life of a server. ``cold_until``: it bears little before; ``since``: first heard of here."""
+    """One instance of a server. ``cold_until``: end of its warm-up, before which it takes little load;
+    ``first_seen``: when this process first heard of it."""
 
     ident: str
     service: str
@@ -46,7 +47,7 @@
     gone_at: float = 0.0
 
     def advance(self, phase: Phase, now: float) -> None:
-        """The one change of phase: forward only."""
+        """Advance to a later phase; the only place where the phase changes."""
         if phase > self.phase:
             self.phase = phase
             if phase is Phase.GONE:
@@ -59,24 +60,24 @@
 
 
 class ReadFailure(Enum):
-    """Why a read of the platform's list gave nothing."""
+    """Why a read of the platform's list failed."""
 
-    REFUSED = "over the platform's bound on calls"
-    UNREACHABLE = "no whole answer in time, or none that can be used"
+    REFUSED = "rate limit of the platform exceeded"
+    UNREACHABLE = "no complete and valid answer in time"
 
 
 @dataclass(slots=True)
 class PlatformList:
-    """What the platform gave: all entries, and how many calls that took."""
+    """The platform's answer: all entries, and how many calls they took."""
 
     entries: list[ServerEntry]
     calls: int = 1
 
 
 def parse_platform_entries(instances: dict[str, Any], parse_seconds: Any) -> list[ServerEntry]:
-    """Entries of the platform's answer; one that can't be read is left out.
+    """The entries of the platform's answer, from ident to fields; invalid ones are skipped.
 
-    :param parse_seconds: reads a time
+    :param parse_seconds: parses a duration
     """
     out: list[ServerEntry] = []
     for ident, entry in instances.items():
@@ -98,60 +99,59 @@
 
 
 class ServerList:
-    """The servers as this process knows them."""
+    """The list of servers as this process holds it."""
 
     def __init__(self, name: str = "", timing: PollTiming | None = None, now: float = NEVER) -> None:
         """:param name: of this incarnation of the process
-        :param now: when it started
+        :param now: when the process started
         """
         self.name, self.timing = name, timing or PollTiming()
-        self.polls_from = now + SOLO_START_S  # unless others are heard of before
-        self.cost = ReadCost()  # of the last whole read here, or as told
+        self.polls_from = now + SOLO_START_S  # earlier once other processes are known
+        self.cost = ReadCost()  # of the latest read, by this process or as received
         self.servers: dict[str, Server] = {}
-        self.list_number = 0  # the fence: of the list held
-        self.poller = ""  # who asked the platform for it: two may ask at once, and give it one number
-        self.as_of = NEVER  # as of when it is held: the platform was asked for it then, or later
-        self.unavailable_as_of = (
-            NEVER  # as of when the platform is known to have given nothing to whose turn it was
-        )
-        self.poll_began = NEVER  # when the call under way began
+        self.list_number = 0  # fencing number of the list held; 0: none
+        self.poller = ""  # who read it: two may poll at once and use the same number
+        self.as_of = NEVER  # start of the read that gave it: the platform was asked then, or later
+        self.unavailable_as_of = NEVER  # start of the latest read, by a poller in turn, known to have failed
+        self.poll_began = NEVER  # start of the latest read
         self.polling = False
         self.backoff_until = NEVER
         self.reads = self.reads_failed = 0
-        self.version = 0  # rises with each change of what is known of servers
-        self._ended: dict[str, float] = {}  # lives that are over and forgotten, and when that was noted
+        self.version = 0  # rises with each change to `servers`
+        self._ended: dict[str, float] = {}  # ident -> when the instance, long gone, was removed
 
     @property
     def stamp(self) -> Stamp:
-        """Of the list held: its number, and who asked for it. A list with a higher one replaces it."""
+        """(number, poller) of the list held. A list with a higher stamp replaces it."""
         return self.list_number, self.poller
 
     def has_list(self) -> bool:
-        """Whether any list has been received yet."""
+        """Whether any list has been read or received yet."""
         return self.list_number > 0
 
     def age(self, now: float) -> float:
-        """Seconds since the platform was asked for what is held, at most; infinite where nothing is."""
+        """Upper bound of the seconds since the platform was asked for this list; infinite without one."""
         return now - self.as_of if self.has_list() else math.inf
 
     def usable(self, now: float) -> bool:
-        """Whether a request may be sent by this list: no server that it calls ready can drain for too long.
+        """Whether requests may be routed by this list: no server that it shows as ready can have been
+        draining for longer than `drain_within`.
 
-        While the platform gives nothing no later list could be had, and what is held goes on."""
+        While the platform is unavailable no newer list exists, and the one held stays in use."""
         return self.has_list() and now - max(self.as_of, self.unavailable_as_of) <= self.timing.max_age()
 
     def overdue(self, now: float) -> bool:
-        """Whether the first two in turn have missed their polls, as far as heard here."""
+        """Whether the first two pollers have missed their polls, as far as this process has heard."""
         return self.age(now) > self.timing.poll_age(TOLERATED_LOSSES, self.cost)
 
     def members_known(self, now: float) -> None:
-        """Who there is is known: from now on it goes by turns."""
+        """Other processes are known: from now on polls go by position."""
         self.polls_from = min(self.polls_from, now)
 
     def due(self, now: float, position: Callable[[], int]) -> bool:
-        """Whether this process is to ask the platform now.
+        """Whether this process is to poll the platform now.
 
-        :param position: tells how many are to ask before this one; not called while nobody is due
+        :param position: returns how many processes poll before this one; not called while nobody is due
         """
         if self.polling or now < self.backoff_until:
             return False
@@ -162,17 +162,17 @@
         return age >= self.timing.interval(self.cost) and age >= self.timing.poll_age(position(), self.cost)
 
     def begin_poll(self, now: float) -> int:
-        """A call to the platform begins; returns its number."""
+        """A read of the platform's list starts; returns the number that its list will have."""
         self.polling, self.poll_began = True, now
         return self.list_number + 1
 
     def poll_failed(
         self, now: float, position: int = 0, failure: ReadFailure = ReadFailure.UNREACHABLE
     ) -> Message | None:
-        """The read gave nothing: this process rests before it asks again.
+        """The read failed: this process backs off before the next.
 
-        :return: what the others are to be told; None: it says nothing of the platform, since others used up
-            its calls, or it was hardly this one's turn, and the cause may lie here
+        :return: what to send to the others; None: the failure says nothing of the platform, since others used
+            up its rate limit, or this process is so late in the order that the cause may lie with itself
         """
         self.polling, self.backoff_until = False, now + self.timing.retry_delay(position)
         self.reads_failed += 1
@@ -182,21 +182,21 @@
         return {"t": "unlisted", "a": round(now - self.poll_began, 3)}
 
     def handle_unavailable(self, now: float, message: Message) -> None:
-        """Another process's word that the platform gave it nothing."""
+        """Another process reports that it found the platform unavailable."""
         self.unavailable_as_of = max(self.unavailable_as_of, now - message["a"])
 
     def poll_succeeded(
         self, now: float, number: int, entries: list[ServerEntry], calls: int = 1
     ) -> Message | None:
-        """The platform's whole answer to the read of that number: what the others are to be told.
+        """The platform's complete answer to the read with that number; returns what to send to the others.
 
-        :param calls: that it took
+        :param calls: how many calls the read took
         """
         self.polling = False
         self.reads += 1
         self.cost = ReadCost.clamped(now - self.poll_began, calls)
         if number <= self.list_number:
-            return None  # somebody else's came in between
+            return None  # another process's list arrived meanwhile
         before, earlier = self.stamp, {s.ident: (s.phase, s.cold_until > now) for s in self._present()}
         gone = self._replace(now, (number, self.name), entries, self.poll_began)
         changed = []
@@ -211,7 +211,7 @@
         return message | cost | {"e": changed, "g": gone, "a": round(now - self.poll_began, 3)}
 
     def full_list(self, now: float) -> Message:
-        """For one that has missed something; it says how old it is."""
+        """The full list and its age, for a process that has missed a change."""
         entries = [
             [s.ident, s.service, s.address, s.zone, s.capacity, int(s.phase), max(0.0, s.cold_until - now)]
             for s in self._present()
@@ -222,19 +222,22 @@
         return message | cost | {"e": entries, "g": [], "a": age}
 
     def list_request(self, whole: bool = False) -> Message:
-        """To another process: its list, if that is newer than this one.
+        """Asks another process for its list if it is newer than this one.
 
-        :param whole: in any case; a change could not be applied here
+        :param whole: ask for the full list in any case, since a change could not be applied here
         """
         return {"t": "list?"} if whole else {"t": "list?", "f": self.list_number, "w": self.poller}
 
     def newer_than(self, request: Message) -> bool:
-        """Whether there is something to hand over to who asks."""
+        """Whether this list is newer than that of the process that asks."""
         return self.has_list() and self.stamp > (request.get("f", -1), request.get("w", ""))
 
     def handle_list(self, now: float, message: Message) -> bool:
-        """What another process was told; False: this one lacks what came before, and asks for the whole."""
-        # An earlier version, beside which this one is started, names nobody and tells no age and no cost
+        """Apply another process's list or change.
+
+        :return: False: this process lacks the list that the change was made from, and needs the full one
+        """
+        # A process of an earlier software version sends no poller, age or cost
         stamp, before = (message["f"], message.get("w", "")), (message["p"], message.get("q", ""))
         as_of = now - message.get("a", 0.0)
         if stamp < self.stamp or (stamp == self.stamp and before != NO_LIST):
@@ -257,7 +260,7 @@
         return [s for s in self.servers.values() if s.phase is not Phase.GONE]
 
     def _replace(self, now: float, stamp: Stamp, entries: list[ServerEntry], as_of: float) -> list[str]:
-        """Hold that list in place of the one before; returns the idents of servers that are gone by it."""
+        """Replace the list held; returns the idents of servers that are gone by the new one."""
         for entry in entries:
             self._apply_entry(now, entry)
         named = {entry[0] for entry in entries}
@@ -286,12 +289,12 @@
         ident, service, address, zone, capacity, draining, cold = entry
         server = self.servers.get(ident)
         if ident in self._ended:
-            return  # an old list: this life has ended, and is forgotten
+            return  # an old list: this instance is gone and was removed
         if server is None or server.address != address:
             server = Server(ident, service, address, zone, capacity, Phase.READY, 0.0, now)
             self.servers[ident] = server
             self.version += 1
         elif server.phase is Phase.GONE and not draining:
-            return  # an old list: this life has ended
+            return  # an old list: this instance is gone
         self._advance(server, Phase(min(int(draining), 1)), now)
         server.cold_until = now + cold if cold > 0 else min(server.cold_until, now)
