--- a/millfront/membership/__init__.py
+++ b/millfront/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which processes there are: gossip, failure detection and ownership by key. Pure."""
+"""Group membership: gossip, failure detection and ownership by key. Pure."""
