--- a/millfront/control/admin.py
+++ b/millfront/control/admin.py
@@ -1,9 +1,9 @@
 """Admin operations: operators' changes and reads, each over a majority of the core. No I/O, no clock.
 
-A configuration's number is claimed, then the document is stored; an evacuation has its turn (a number) made
-known, then its new state is stored; what is read is read from a majority since the call came. Proofs:
-docs/design/control-faults.md. An answer is told once: a status of HTTP and a text. 503 says that it may be
-sent again unchanged.
+For a configuration its revision number is claimed, then the document is stored. For an evacuation the number
+of the change is stored, then its new state. A read asks a majority after the call has come. Proofs:
+docs/design/control-faults.md. Each call is answered once, with an HTTP status and a text; 503 means that it
+may be sent again unchanged.
 """
 
 import random
@@ -20,30 +20,32 @@
 
 EVACUATION = "evacuation/"
 READ_TIMEOUT_S, WRITE_TIMEOUT_S = 2.0, 4.0
-EVACUATION_TIMEOUT_S = 4.0  # an evacuation that was not begun to be written by then is not
-CLAIM_TIMEOUT_S = 4.0  # for a claim, all its ballots together
-BACKOFF_S = 0.15  # about what a ballot takes: one that gave way waits up to twice as long, more each time
+EVACUATION_TIMEOUT_S = 4.0  # an evacuation whose state is not being written by then is given up
+CLAIM_TIMEOUT_S = 4.0  # for all ballots of a claim together
+BACKOFF_S = 0.15  # about the time of a ballot: a losing one waits up to twice as long, more each time
 Message = dict[str, Any]
-Done = Callable[[int, str], None]  # told a status and a text, once
+Done = Callable[[int, str], None]  # called once, with an HTTP status and a text
 
 
 class AdminOperations:
-    """The part of a process that runs admin operations; `Gatekeeper` puts it together with the rest."""
+    """Runs the admin operations of a process; base class of `Gatekeeper`."""
 
     def __init__(self, coordinator: Coordinator, subscriber: Subscriber, now: float, seed: int) -> None:
         self.coordinator, self.subscriber, self.now = coordinator, subscriber, now
         self.random = random.Random(seed)
-        self.open_rounds: dict[str, tuple[Round, Callable[[Round], None]]] = {}  # rounds under way
-        self.retries: list[tuple[float, Callable[[], None]]] = []  # what a beat begins anew, and when
+        self.open_rounds: dict[
+            str, tuple[Round, Callable[[Round], None]]
+        ] = {}  # by reference, with what to call at the end
+        self.retries: list[tuple[float, Callable[[], None]]] = []  # ballots that a tick restarts, and when
 
-    # What the process does for it
+    # Implemented by the gatekeeper
 
     def note(self, part: str, text: str, **facts: Any) -> None:
         """Write an entry to the event log and a line to the log."""
         raise NotImplementedError
 
     def to_replica(self, now: float, name: str, address: str, message: Message) -> None:
-        """Send a message to the replica of that member, which may be this process itself."""
+        """Send a message to the replica of a member, which may be this process itself."""
         raise NotImplementedError
 
     def _adopt(self, found: dict[str, Value]) -> None:
@@ -52,7 +54,7 @@
     # ---- changes and reads -------------------------------------------------------------------------
 
     def put(self, now: float, text: str, done: Done) -> None:
-        """A configuration; `done` is told a status and a text, once."""
+        """Validate and store a configuration; `done` is called once, with a status and a text."""
         self.put_checked(now, configurations.checked(text), done)
 
     def put_checked(
@@ -61,7 +63,7 @@
         read: Result[configurations.Configuration, configurations.ConfigurationError],
         done: Done,
     ) -> None:
-        """One that was read, perhaps in a thread of its own."""
+        """Store a configuration that was validated already, perhaps in another thread."""
         match read:
             case Err(fault):
                 self.note("admin", f"configuration refused: {fault}")
@@ -73,13 +75,13 @@
         self._claim(now, value, done, lambda: self._write(self.now, {CONFIG: value}, done))
 
     def _claim(self, now: float, value: Value, done: Done, then: Callable[[], None]) -> None:
-        """Of a revision number one document is confirmed: whoever's digest a majority has accepted first.
-        Then the document may be written, by anybody who sends it (docs/design/control-faults.md)."""
-        number, until = value.version, now + CLAIM_TIMEOUT_S
+        """Claim a revision number: of all documents under it only the one whose digest a majority accepted
+        first is confirmed. Then any process may write that document (docs/design/control-faults.md)."""
+        number, deadline = value.version, now + CLAIM_TIMEOUT_S
 
-        def ballot(at: float, height: int, tries: int) -> None:
-            core, left = self.subscriber.core, until - at
-            if core is None or left <= 0.0:
+        def ballot(at: float, ballot_number: int, attempts: int) -> None:
+            core, remaining = self.subscriber.core, deadline - at
+            if core is None or remaining <= 0.0:
                 done(503, "no core is known yet" if core is None else "no majority of the core answers")
                 return
 
@@ -87,32 +89,36 @@
                 if round.phase is Phase.DONE and round.proposal == value.tie:
                     then()
                 elif round.phase is Phase.DONE:
-                    self.note("admin", f"configuration {number:08x} refused: {round.proposal} has its number")
-                    done(409, f"revision {number:08x} was given to another document ({round.proposal})")
+                    self.note(
+                        "admin", f"configuration {number:08x} refused: {round.proposal} has its revision"
+                    )
+                    done(409, f"revision {number:08x} belongs to another document (digest {round.proposal})")
                 elif round.old:
                     self._superseded(number, done)
                 elif round.highest:
-                    again = self.now + BACKOFF_S * (tries + 1) * 2.0 * self.random.random()
-                    self.retries.append((again, lambda: ballot(self.now, round.highest + 1, tries + 1)))
+                    next_at = self.now + BACKOFF_S * (attempts + 1) * 2.0 * self.random.random()
+                    self.retries.append((next_at, lambda: ballot(self.now, round.highest + 1, attempts + 1)))
                 else:
                     done(503, "no majority of the core answers")
 
             self.start(
-                at, self.coordinator.decide(at, core, height, value.tie, left, claim_key(number)), decided
+                at,
+                self.coordinator.decide(at, core, ballot_number, value.tie, remaining, claim_key(number)),
+                decided,
             )
 
         ballot(now, 1, 0)
 
     def _superseded(self, number: int, done: Done) -> None:
-        """A configuration under a number that lies so far back that nobody knows whose it was: a majority
-        has a higher one, so that it changes nothing."""
+        """Answer for a revision number so old that no replica knows any more whose it was: a majority has a
+        higher one, so that storing this one changes nothing."""
 
         def read(round: Round) -> None:
             held = round.values.get(CONFIG)
             if round.phase is Phase.DONE and held is not None and held.version > number:
                 done(200, "")
             else:
-                done(503, "the registry can't be read now")
+                done(503, "no majority of the core answered the read in time")
 
         self._read(self.now, [CONFIG], read, lambda: done(503, "no core is known yet"))
 
@@ -124,83 +130,89 @@
         done: Done,
         still_waiting: Callable[[], bool] = lambda: True,
     ) -> None:
-        """One word on one zone, as `_order` writes it.
+        """Start or end the evacuation of one zone.
 
-        :param still_waiting: whether whoever ordered it still waits for the answer
+        :param still_waiting: whether the caller still waits for the answer
         """
         self._write_evacuations(now, now, {EVACUATION + zone: "1" if on else "0"}, done, still_waiting)
 
     def _write_evacuations(
         self, now: float, since: float, states: dict[str, str], done: Done, still_waiting: Callable[[], bool]
     ) -> None:
-        """Read from a majority how many words on each zone there were, make known to one that these are the
-        next (their turns), then write them: whoever begins after one was stored anywhere is above it, so that
-        a change that nobody confirmed does not come up again above one that was confirmed later.
+        """Write new states of evacuations. Reads from a majority how many changes each zone has had, stores
+        at a majority that these are the next, then writes them. So a change that starts after another was
+        stored anywhere has a higher number, and one that was never confirmed does not reappear above one
+        that was confirmed later.
 
-        No two changes are one value: the tie is the read's reference. One that came to a halt on its way is
-        not begun; its operator has sent it elsewhere, and has perhaps taken it back since.
+        No two changes are the same value: the tie is the reference of the read. A change that was delayed on
+        its way is not started; its operator has sent it elsewhere, and has perhaps reversed it since.
 
-        :param since: when the call came, whatever was done for it before this
-        :param states: by the keys of evacuations
+        :param since: when the call came, including what was done for it before
+        :param states: "1" or "0", by the keys of evacuations
         """
-        turns = {key: TURN + key.removeprefix(EVACUATION) for key in states}
+        count_keys = {key: TURN + key.removeprefix(EVACUATION) for key in states}
 
         def in_time() -> bool:
             return self.now - since < EVACUATION_TIMEOUT_S and still_waiting()
 
         def read(round: Round) -> None:
             if round.phase is not Phase.DONE or not in_time():
-                done(503, "the registry can't be read now")
+                done(503, "no majority of the core answered the read in time")
                 return
-            numbers = {key: self._next_number(round, key, turn) for key, turn in turns.items()}
+            numbers = {key: self._next_number(round, key, count_key) for key, count_key in count_keys.items()}
             values = {key: Value(number, round.ref, states[key]) for key, number in numbers.items()}
 
-            def turns_known(status: int, reason: str) -> None:
+            def counts_stored(status: int, reason: str) -> None:
                 if status == 200 and in_time():
                     self._write(self.now, values, done)
                 else:
-                    done(503, reason or "the order was late here")
+                    done(503, reason or "the change was delayed here, and was not started")
 
-            turn_values = {turns[key]: Value(number, round.ref, "") for key, number in numbers.items()}
-            self._write(self.now, turn_values, turns_known)
+            counts = {count_keys[key]: Value(number, round.ref, "") for key, number in numbers.items()}
+            self._write(self.now, counts, counts_stored)
 
-        self._read(now, [*states, *turns.values()], read, lambda: done(503, "no core is known yet"))
+        self._read(
+            now,
+            [*states, *count_keys.values()],
+            read,
+            lambda: done(503, "no core is known yet"),
+        )
 
     def _next_number(self, round: Round, *keys: str) -> int:
-        """Above all that a majority or this process has under these keys."""
+        """One above all versions that a majority or this process has under these keys."""
         found = [round.values[key].version for key in keys if key in round.values]
         return 1 + max([*found, *(self._version(key) for key in keys)])
 
     def read(self, now: float, done: Done) -> None:
-        """The newest configuration, whole, from a majority."""
+        """Answer with the newest configuration document, read from a majority."""
 
         def found(round: Round) -> None:
             value = round.values.get(CONFIG)
             if round.phase is not Phase.DONE:
-                done(503, "the registry can't be read now")
+                done(503, "no majority of the core answered the read in time")
             elif value is None:
-                done(404, "no configuration has been taken yet")
+                done(404, "no configuration has been stored yet")
             else:
                 done(200, value.data)
 
         self._read(now, [CONFIG], found, lambda: done(503, "no core is known yet"))
 
     def read_all(self, now: float, done: Done) -> None:
-        """A snapshot of the register, from a majority."""
+        """Answer with a snapshot of the register, read from a majority."""
 
         def found(round: Round) -> None:
             if round.phase is Phase.DONE:
                 done(200, snapshot.snapshot(round.values))
             else:
-                done(503, "the registry can't be read now")
+                done(503, "no majority of the core answered the read in time")
 
         self._read(now, None, found, lambda: done(503, "no core is known yet"))
 
     def restore(
         self, now: float, body: bytes, done: Done, still_waiting: Callable[[], bool] = lambda: True
     ) -> None:
-        """Put what a snapshot holds. A configuration that is held higher already stays; the evacuations are
-        an order given now, with turns like any other (`_order`), once the configuration is held."""
+        """Store the contents of a snapshot. A configuration that is held with a higher revision stays. The
+        evacuations are changes made now, numbered like any other, once the configuration is stored."""
         match snapshot.restored(body.decode(errors="replace")):
             case Err(fault):
                 self.note("admin", f"snapshot refused: {fault}")
@@ -243,7 +255,7 @@
             if round.phase is Phase.DONE:
                 done(200, "")
             else:
-                done(503, "no majority of the core has it yet")
+                done(503, "no majority of the core has stored it yet")
 
         if self.subscriber.core is None:
             done(503, "no core is known yet")
@@ -251,12 +263,12 @@
         self.start(now, self.coordinator.write(now, self.subscriber.core, values, WRITE_TIMEOUT_S), written)
 
     def start(self, now: float, round: Round, then: Callable[[Round], None]) -> None:
-        """Drive a round until it is done or failed, then call ``then`` with it, once."""
+        """Drive a round until it is done or has failed, then call ``then`` with it, once."""
         self.open_rounds[round.ref] = (round, then)
         self._drive(now, round)
 
     def _drive(self, now: float, round: Round) -> None:
-        """Send what the round wants; when it has ended, what it found is held and whoever waits is told."""
+        """Send the messages of a round; when it has ended, adopt the values found and notify its caller."""
         self.now = now
         for name, message in self.coordinator.drive(now, round):
             self.to_replica(now, name, round.core.all[name], message)
@@ -267,7 +279,7 @@
             then(round)
 
     def tick_rounds(self, now: float) -> None:
-        """Every beat: what is under way goes on, what gave way begins anew."""
+        """Every tick: continue open rounds, and restart ballots that had to wait."""
         for round, _ in list(self.open_rounds.values()):
             self._drive(now, round)
         due = [begin for at, begin in self.retries if at <= now]
@@ -276,13 +288,13 @@
             begin()
 
     def renew_rounds(self, core: Core) -> None:
-        """The core has changed: what is under way goes on with the new one."""
+        """The core has changed: open rounds go on with the new one."""
         for round, then in list(self.open_rounds.values()):
             if round.core.epoch < core.epoch and (
                 round.phase in (Phase.READING, Phase.WRITING) or round.decides != CORE
             ):
                 if CORE in round.values and round.phase is Phase.WRITING:
-                    continue  # the writing of a core itself, which its replicas take whatever theirs is
+                    continue  # it writes a core, which replicas accept whatever core they are in
                 del self.open_rounds[round.ref]
                 self.coordinator.renew(round, core)
                 self.open_rounds[round.ref] = (round, then)
--- a/millfront/control/configuration.py
+++ b/millfront/control/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration: read, checked, and compiled into what a request is routed by. No I/O.
+"""The configuration document: parsed, validated and compiled into routing tables. No I/O.
 
 A configuration is one JSON document with a ``revision`` of eight hexadecimal digits and a list ``resources``.
-The highest revision holds. Times are seconds inside.
+The highest revision is in force. Times are seconds once compiled.
 """
 
 import json
@@ -17,19 +17,19 @@
 from millfront.register.values import digest_of as digest_of
 
 KINDS = ("idempotent", "effectful", "upload", "keyed")
-MAX_TARGET_OVER_DEADLINE_S = 60.0  # a target time so far above its route's deadline is taken for an error
+MAX_TARGET_OVER_DEADLINE_S = 60.0  # a target time so far above the deadline of its route is an error
 MAX_VALID_ENTRIES = 4096
-_valid_entries: set[str] = set()  # digests of entries whose form is right
+_valid_entries: set[str] = set()  # digests of entries that passed their schema
 HEX = frozenset("0123456789abcdef")
 
 
 class ConfigurationError(Exception):
-    """The configuration is invalid; the text names the entry."""
+    """The configuration is invalid; the message names the entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route. ``arms`` are (service, weight), weights above 0."""
+    """One route. ``split`` has (service, weight) pairs, with a sum of weights above 0; times in seconds."""
 
     name: str
     host: str
@@ -45,7 +45,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run twice: a further try may follow one whose outcome is unknown."""
+        """Whether a request may run twice: it may be retried after an attempt with unknown outcome."""
         return self.kind == "idempotent"
 
 
@@ -53,7 +53,7 @@
 class Service:
     """A named group of servers.
 
-    ``warmup`` in seconds; ``warmup_rate`` in requests a second to one cold server.
+    ``warmup`` in seconds; ``warmup_rate`` in requests per second to one cold server.
     """
 
     name: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """``rate`` in requests a second; 0 is without a limit."""
+    """A tenant. ``rate`` in requests per second, 0: unlimited; ``burst`` in requests."""
 
     name: str
     keys: frozenset[str]
@@ -86,8 +86,8 @@
 
 
 class RouteTable:
-    """The routes of one host, found by prefix: a look-up for each slash in the path's begin, however many
-    routes there are.
+    """The routes of one host, found by prefix: one look-up for each slash at the start of the path, however
+    many routes there are.
 
     >>> route = lambda prefix: Route(prefix, "h", prefix, "upload", 1, 1, 0, (), 1, True, frozenset())
     >>> table = RouteTable([route("/a/"), route("/a/b/"), route("/od")])
@@ -98,10 +98,10 @@
     __slots__ = ("_by_prefix", "_longest", "_unaligned", "all")
 
     def __init__(self, routes: list[Route]) -> None:
-        """Of two with one prefix the first counts."""
+        """Of two routes with the same prefix the first is used."""
         self.all = tuple(routes)
         self._by_prefix: dict[str, Route] = {}
-        unaligned = []  # prefixes that end within a name: looked through one by one
+        unaligned = []  # prefixes that end within a path segment: searched one by one
         for route in routes:
             if route.prefix.endswith("/"):
                 self._by_prefix.setdefault(route.prefix, route)
@@ -111,7 +111,7 @@
         self._longest = max(map(len, self._by_prefix), default=0)
 
     def find(self, path: str) -> Route | None:
-        """The route with the longest prefix that begins the path."""
+        """The route with the longest prefix of the path."""
         found, end = None, path.rfind("/", 0, self._longest) + 1
         while end and (found := self._by_prefix.get(path[:end])) is None:
             end = path.rfind("/", 0, end - 1) + 1
@@ -123,27 +123,27 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of the configuration, as it is decided by; immutable."""
+    """One compiled version of the configuration; immutable."""
 
     version: int
-    text: str  # the document, as it was put
+    text: str  # the document as received
     routes: PMap[str, RouteTable]  # by host
     services: PMap[str, Service]
-    tenants: PMap[str, Tenant]  # by key
+    tenants: PMap[str, Tenant]  # by API key
     limits: Limits
 
     @cached_property
     def digest(self) -> str:
-        """Tells two documents of one version apart, the same everywhere."""
+        """Digest of the text, the same in every process; tells two documents of one version apart."""
         return digest_of(self.text)
 
     @cached_property
     def by_name(self) -> dict[str, Tenant]:
-        """The tenants by their names; a tenant with several keys is there once."""
+        """The tenants by name; a tenant with several keys occurs once."""
         return {tenant.name: tenant for tenant in self.tenants.values()}
 
     def route_of(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix that begins the path."""
+        """The route of the host with the longest prefix of the path; None: there is none."""
         table = self.routes.get(host)
         return table.find(path) if table is not None else None
 
@@ -163,9 +163,11 @@
             "path_prefix": And(
                 str, lambda p: p.startswith("/"), error="path_prefix: {!r} starts with no slash"
             ),
-            "variant_tag": Or(*KINDS, error="variant_tag: {!r} is not known"),
+            "variant_tag": Or(
+                *KINDS, error="variant_tag: expected idempotent, effectful, upload or keyed, got {!r}"
+            ),
             "deadline": And(
-                _is_duration, lambda told: seconds(told) > 0.0, error="deadline: {!r} leaves no time"
+                _is_duration, lambda value: seconds(value) > 0.0, error="deadline: {!r} leaves no time"
             ),
             "target_time": _is_duration,
             Optional("rank"): count,
@@ -208,7 +210,11 @@
 }
 DOCUMENT_SCHEMA = Schema(
     {
-        "revision": And(str, lambda v: len(v) == 8 and HEX.issuperset(v.lower()), error="revision: {!r}"),
+        "revision": And(
+            str,
+            lambda v: len(v) == 8 and HEX.issuperset(v.lower()),
+            error="revision: expected 8 hexadecimal digits, got {!r}",
+        ),
         "resources": [
             Schema(
                 {
@@ -225,48 +231,48 @@
 
 
 def checked(text: str) -> Result[Configuration, ConfigurationError]:
-    """A document from an operator: its form, then what its entries say of one another."""
+    """Validate a document from an operator: each entry by its schema, then references between entries."""
     try:
         document = DOCUMENT_SCHEMA.validate(json.loads(text))
         for resource in document["resources"]:
             try:
                 _check_entry(resource["variant"], resource["spec"])
-            except SchemaError as wrong:
-                named = " ".join((resource["variant"], resource["meta"].get("name", ""))).strip()
-                return Err(ConfigurationError(f"{named}: {_error_text(wrong)}"))
-    except SchemaError as wrong:
-        return Err(ConfigurationError(_error_text(wrong)))
-    except (ValueError, RecursionError) as wrong:
-        return Err(ConfigurationError(f"is not JSON: {wrong}"))
+            except SchemaError as error:
+                label = " ".join((resource["variant"], resource["meta"].get("name", ""))).strip()
+                return Err(ConfigurationError(f"{label}: {_error_text(error)}"))
+    except SchemaError as error:
+        return Err(ConfigurationError(_error_text(error)))
+    except (ValueError, RecursionError) as error:
+        return Err(ConfigurationError(f"is not JSON: {error}"))
     return compiled(text, document)
 
 
 def _check_entry(variant: str, spec: dict[str, Any]) -> None:
-    """Versions repeat most of their entries: one that was found right is not checked again."""
-    form = ENTRY_SCHEMAS.get(variant)
-    if form is None:
+    """Validate one entry. Versions repeat most of their entries, so valid ones are not checked again."""
+    schema = ENTRY_SCHEMAS.get(variant)
+    if schema is None:
         return
-    known = digest_of(variant + json.dumps(spec))
-    if known not in _valid_entries:
-        form.validate(spec)
+    digest = digest_of(variant + json.dumps(spec))
+    if digest not in _valid_entries:
+        schema.validate(spec)
         if len(_valid_entries) >= MAX_VALID_ENTRIES:
             _valid_entries.clear()
-        _valid_entries.add(known)
+        _valid_entries.add(digest)
 
 
-def _error_text(wrong: SchemaError) -> str:
-    parts = [part for part in wrong.errors if part] or [part for part in wrong.autos if part]
+def _error_text(error: SchemaError) -> str:
+    parts = [part for part in error.errors if part] or [part for part in error.autos if part]
     return "; ".join(dict.fromkeys(parts)).replace("\n", " ")[:400]
 
 
 def compiled(text: str, document: dict[str, Any] | None = None) -> Result[Configuration, ConfigurationError]:
-    """Of a document whose form is known to be right; what entries say of one another is looked at here."""
+    """Compile a document whose entries are known to be valid; checks references between entries."""
     try:
         return Ok(_compiled(text, json.loads(text) if document is None else document))
-    except ConfigurationError as fault:
-        return Err(fault)
-    except (ValueError, KeyError, TypeError, AttributeError) as wrong:
-        return Err(ConfigurationError(f"can't be read in full: {wrong!r}"))
+    except ConfigurationError as error:
+        return Err(error)
+    except (ValueError, KeyError, TypeError, AttributeError) as cause:
+        return Err(ConfigurationError(f"invalid document: {cause!r}"))
 
 
 def _compiled(text: str, document: dict[str, Any]) -> Configuration:
@@ -290,7 +296,7 @@
             tenant = _tenant(name, spec)
             for key in tenant.keys:
                 if key in tenants:
-                    raise ConfigurationError(f"tenant {name}: shares a key with {tenants[key].name}")
+                    raise ConfigurationError(f"tenant {name}: shares a key with tenant {tenants[key].name}")
                 tenants[key] = tenant
         elif variant == "limits":
             limits = Limits(
@@ -319,11 +325,13 @@
         raise ConfigurationError(f"route {name}: weights sum to 0")
     if not split:
         if not spec.get("target"):
-            raise ConfigurationError(f"route {name}: neither target nor split")
+            raise ConfigurationError(f"route {name}: expected a target or a split, found neither")
         split = [(spec["target"], 1.0)]
     deadline, target_time = seconds(spec["deadline"]), seconds(spec["target_time"])
     if target_time >= deadline + MAX_TARGET_OVER_DEADLINE_S:
-        raise ConfigurationError(f"route {name}: target_time is a minute or more above its deadline")
+        raise ConfigurationError(
+            f"route {name}: target_time {target_time:g} s is a minute or more above {deadline:g} s deadline"
+        )
     return Route(
         name=name,
         host=spec["host"].lower(),
