--- a/millfront/control/__init__.py
+++ b/millfront/control/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration and evacuations: checked documents, admin operations, delivery to subscribers, hints."""
+"""Configuration and evacuations: documents, admin operations, delivery to subscribers, hinted handoff."""
--- a/millfront/control/delivery.py
+++ b/millfront/control/delivery.py
@@ -1,13 +1,13 @@
-"""Configuration delivery: how a process follows the register, and until when it may trust what it holds. No
+"""Configuration delivery: how a process follows the register, and how long it may rely on what it holds. No
 I/O, no clock.
 
-A subscriber asks replicas which versions are newest, over held connections on which replicas also push
-numbered updates, and fetches what it lacks. A replica's answer that names nothing newer than what is held
-here confirms, as of the moment the question was sent, that nothing newer was acknowledged *if* so many
-replicas say so that each majority has one of them (Core.covers). The lease is that moment plus LEASE_SHARE of
-``revoke_within``: a key whose removal was acknowledged at t is refused here from t + LEASE_SHARE *
-revoke_within on, whether this process is in touch or not, without the acknowledgement having waited for
-anybody. Derivation: docs/design/system.md.
+A subscriber asks replicas for their newest versions, over held connections on which replicas also push
+numbered updates, and fetches what it lacks. Answers that name nothing newer than the values held here
+confirm, as of the time the requests were sent, that nothing newer was acknowledged, *if* they come from so
+many replicas that each majority has one of them (Core.covers). The lease lasts from that time for
+LEASE_SHARE of ``revoke_within``: a key whose removal was acknowledged at t is refused here from t +
+LEASE_SHARE * revoke_within on, whether this process is connected or not, and the acknowledgement need not
+wait for any subscriber. Derivation: docs/design/system.md.
 """
 
 from dataclasses import dataclass
@@ -16,49 +16,48 @@
 from millfront.register.chunks import SHORT, Archive, Arrivals, Offer
 from millfront.register.values import CORE, Core, Value
 
-LEASE_SHARE = (
-    0.8  # of revoke_within: the rest is for a clock that runs 1% slow and a request that waits to be sent
-)
+LEASE_SHARE = 0.8  # of revoke_within: the rest allows for a clock 1% slow and a request waiting to be sent
 POLL_INTERVAL_S = 1.0
-REPLICA_TIMEOUT_S = 0.45  # a replica that is silent for so long is passed over for another one
-FETCH_REF_PREFIX = "f "  # with this begins the reference of a subscriber's fetches and of what answers them
+REPLICA_TIMEOUT_S = 0.45  # a replica that has not answered by then is passed over for another one
+FETCH_REF_PREFIX = "f "  # prefix of the reference in a subscriber's fetches and in their answers
 Message = dict[str, Any]
 
 
 @dataclass(slots=True)
 class ReplicaAnswers:
-    """What one replica has said last."""
+    """The latest answers of one replica."""
 
-    confirmed_at: float = -1e9  # when the last question went out that it confirmed by
-    sent_at: float = -1e9  # when a question went out that is not answered yet
-    waiting_since: float = 0.0  # 0: none is
-    stamps: dict[str, list[Any]] | None = None  # of its last answer
-    as_of: float = -1e9
-    failed_at: float = -1e9
-    last_update: int = 0  # the last numbered push
+    confirmed_at: float = -1e9  # send time of the latest request whose answer named nothing newer
+    sent_at: float = -1e9  # when the latest request was sent
+    waiting_since: float = 0.0  # since when a request is unanswered; 0: none is
+    stamps: dict[str, list[Any]] | None = None  # key -> (version, tie) in its latest answer
+    as_of: float = -1e9  # when the request of that answer was sent
+    failed_at: float = -1e9  # when a request last timed out
+    last_update: int = 0  # number of the latest update pushed by it
 
 
 class Subscriber:
-    """Holds the newest values known here, and how sure that is."""
+    """Holds the newest values known here, and the lease under which they may be used."""
 
     def __init__(self, name: str, lease_s: float, member: str = "") -> None:
-        """:param name: of this life of the process: no other's answers are taken
-        :param member: the process's name among the members of the core
+        """:param name: of this incarnation of the process: answers to another one are ignored
+        :param lease_s: how long values may be used after they were confirmed
+        :param member: the name of the process among the members of the core
         """
         self.name, self.member = name, member
         self.lease_s = lease_s
         self.values: dict[str, Value] = {}
         self.core: Core | None = None
         self.replicas: dict[str, ReplicaAnswers] = {}
-        self._fetching: dict[str, float] = {}  # key -> when it was last asked for, or a piece came
+        self._fetching: dict[str, float] = {}  # key -> when it was last requested, or a chunk arrived
         self._arrivals = Arrivals()
-        self._archive = Archive()  # for members that are back and reach no replica yet
-        self._lease_floor = -1e9  # a lease that an earlier core has given
+        self._archive = Archive()  # for members that are back and do not reach a replica yet
+        self._lease_floor = -1e9  # end of the lease under earlier cores
 
-    # ---- what is held ----------------------------------------------------------------------------
+    # ---- values held -----------------------------------------------------------------------------
 
     def adopt(self, found: dict[str, Value]) -> list[str]:
-        """Take what is newer; returns the keys that changed."""
+        """Store the values that are newer than those held; returns the keys that changed."""
         changed = [k for k, v in found.items() if k not in self.values or v > self.values[k]]
         for key in changed:
             if key in self.values:
@@ -67,43 +66,44 @@
             self._fetching.pop(key, None)
             self._arrivals.held(key, found[key])
         if CORE in changed:
-            self._fetching.clear()  # an answer that was meant for the core before is dropped
-            self._lease_floor = (
-                self.lease_until()
-            )  # nothing newer was acknowledged by then, whoever keeps it since
+            self._fetching.clear()  # answers for the previous core are dropped
+            self._lease_floor = self.lease_until()  # stays valid, whichever replicas hold the values since
             self.core = Core.of(self.values[CORE])
-            self.replicas = {
-                name: ReplicaAnswers() for name in self.core.all
-            }  # what counted there doesn't here
+            self.replicas = {name: ReplicaAnswers() for name in self.core.all}  # earlier answers do not count
         if changed:
             for answers in self.replicas.values():
                 self._confirm(answers)
         return changed
 
     def lease_until(self) -> float:
-        """Nothing newer was acknowledged before this time less `lease_s`."""
+        """End of the lease: nothing newer was acknowledged before this time less `lease_s`."""
         if self.core is None:
             return -1e9
-        times = sorted({said.confirmed_at for said in self.replicas.values()}, reverse=True)
+        times = sorted({answers.confirmed_at for answers in self.replicas.values()}, reverse=True)
         for time in times:
-            if self.core.covers(name for name, said in self.replicas.items() if said.confirmed_at >= time):
+            if self.core.covers(
+                name for name, answers in self.replicas.items() if answers.confirmed_at >= time
+            ):
                 return max(time + self.lease_s, self._lease_floor)
         return self._lease_floor
 
     def confirmed_by_majority(self) -> bool:
-        """Whether a majority of the core in force here has answered in its epoch: no lease is renewed in an
-        earlier one from then on."""
-        answered = [name for name, said in self.replicas.items() if said.stamps is not None]
+        """Whether a majority of the core in force here has answered in its epoch: from then on no lease is
+        renewed in an earlier epoch."""
+        answered = [name for name, answers in self.replicas.items() if answers.stamps is not None]
         return self.core is not None and self.core.majority(answered)
 
     def as_of(self) -> float:
-        """Nothing newer than what is held here was acknowledged before this time."""
+        """Nothing newer than the values held here was acknowledged before this time."""
         return self.lease_until() - self.lease_s
 
-    # ---- asking ----------------------------------------------------------------------------------
+    # ---- polling replicas ------------------------------------------------------------------------
 
     def tick(self, now: float, preferred: list[str]) -> list[tuple[str, Message]]:
-        """Questions to be sent to replicas; `near` is the order of preference, nearest and soundest first."""
+        """Requests to send to replicas.
+
+        :param preferred: replicas in order of preference, nearest and healthiest first
+        """
         if self.core is None:
             return []
         core = self.core
@@ -118,7 +118,7 @@
             if core.covers(chosen):
                 break
             chosen.append(name)
-        # while the lease is not renewed in time all are asked, and by a member until a majority has answered
+        # All are asked while the lease is renewed late, and by a core member until a majority has answered
         late = self.lease_until() - self.lease_s < now - 2.0 * POLL_INTERVAL_S
         if late or (self.member in core.all and not self.confirmed_by_majority()):
             chosen = order
@@ -131,7 +131,7 @@
         return out
 
     def handle_answer(self, now: float, sender: str, message: Message) -> list[tuple[str, Message]]:
-        """A replica's answer or push; returns what is to be fetched, and from whom."""
+        """Handle an answer or a push of a replica; returns (replica, fetch) for what is missing here."""
         answers = self.replicas.get(sender)
         if answers is None:
             return []
@@ -150,11 +150,11 @@
         return self._fetch_newer(now, sender, message["s"])
 
     def _fetch_ref(self) -> str:
-        """Of fetches: of this core and this life of the process alone."""
+        """Reference of fetches; it belongs to this core and this incarnation of the process alone."""
         return f"{FETCH_REF_PREFIX}{self.core.epoch if self.core is not None else 0} {self.name}"
 
     def is_own_fetch(self, sender: str, message: Message) -> bool:
-        """Whether an answer is to a fetch of this life of the process, from a member of the core in force."""
+        """Whether this is a core member's answer to a fetch of this incarnation, in the core in force."""
         return self.core is not None and sender in self.core.all and message["r"] == self._fetch_ref()
 
     def _confirm(self, answers: ReplicaAnswers) -> None:
@@ -162,23 +162,24 @@
             answers.confirmed_at = max(answers.confirmed_at, answers.as_of)
 
     def _newer_keys(self, stamps: dict[str, list[Any]]) -> list[str]:
-        lacking = []
+        newer = []
         for key, (version, tie) in stamps.items():
             held = self.values.get(key)
             if held is None or (held.version, held.tie) < (version, tie):
-                lacking.append(key)
-        return lacking
+                newer.append(key)
+        return newer
 
-    # ---- members that are back ------------------------------------------------------------------
+    # ---- hinted handoff -------------------------------------------------------------------------
 
     @staticmethod
     def handoff(values: dict[str, Value]) -> Message:
-        """What one that is back is handed: short values, and the stamps of long ones."""
+        """Message to a member that is back: short values, and the stamps of long ones."""
         short = {key: value.wire() for key, value in values.items() if len(value.data) <= SHORT}
         return {"t": "rest", "v": short, "s": {k: v.stamp for k, v in values.items() if k not in short}}
 
     def answer_handoff(self, message: Message) -> Message:
-        """The answer to one that asks for what it was told of so: as a replica's, but it confirms nothing."""
+        """Answer a member that fetches values named in a handoff: like a replica's answer, but it confirms
+        nothing."""
         if message["t"] == "piece?":
             value = self.values.get(message["k"], Value(0, "", ""))
             return {"t": "piece"} | self._archive.piece(message["k"], value, message["s"], message["o"])
@@ -187,7 +188,7 @@
         return {"t": "found", "v": found, "d": offers}
 
     def fetch_handoff(self, now: float, message: Message) -> list[tuple[str, Message]]:
-        """What is to be asked of a member that has handed this over."""
+        """Fetches to send to the member whose handoff this is."""
         return self.fetch(now, "", self._newer_keys(message.get("s", {})))
 
     # ---- fetching ----------------------------------------------------------------------------------
@@ -198,7 +199,7 @@
         return self.fetch(now, sender, self._newer_keys(stamps))
 
     def fetch(self, now: float, sender: str, keys: list[str]) -> list[tuple[str, Message]]:
-        """Ask that replica for what is not on its way already, and say which versions are here."""
+        """Fetch the keys that are not being fetched already; the message has the versions held here."""
         keys = [key for key in keys if now - self._fetching.get(key, -1e9) > REPLICA_TIMEOUT_S]
         if not keys or self.core is None:
             return []
@@ -210,8 +211,10 @@
     def handle_fetched(
         self, now: float, sender: str, message: Message
     ) -> tuple[dict[str, Value], list[tuple[str, Message]]]:
-        """A replica's answer to a fetch, or a piece. Returns the values that are whole here now, which are to
-        be held, and the questions for the next chunks."""
+        """Handle the answer to a fetch, or a chunk.
+
+        :return: the values that are now complete, for `adopt`, and the requests for further chunks
+        """
         values = {key: Value.of(wire) for key, wire in message.get("v", {}).items()}
         arrived: list[tuple[str, Value | Message | None]] = []
         if message["t"] == "piece":
@@ -221,10 +224,10 @@
             if held is None or (held.version, held.tie) < offer.stamp:
                 arrived.append((key, self._arrivals.offered(key, offer, held)))
         out: list[tuple[str, Message]] = []
-        for key, got in arrived:
-            if isinstance(got, Value):
-                values[key] = got
-            elif got is not None and self.core is not None:
+        for key, result in arrived:
+            if isinstance(result, Value):
+                values[key] = result
+            elif result is not None and self.core is not None:
                 self._fetching[key] = now
-                out.append((sender, got | {"r": self._fetch_ref(), "e": self.core.epoch}))
+                out.append((sender, result | {"r": self._fetch_ref(), "e": self.core.epoch}))
         return values, out
--- a/millfront/control/event_log.py
+++ b/millfront/control/event_log.py
@@ -1,7 +1,7 @@
-"""The event log: what this process did lately and on which facts, kept for whoever asks why. No I/O, no
+"""The event log: the latest decisions of this process and the facts behind them, for diagnosis. No I/O, no
 clock.
 
-One entry for each change of membership, ownership, version or core; never one a request. Bounded.
+One entry for each change of membership, ownership, version or core; never one per request. Bounded.
 """
 
 from collections import deque
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """`at`: seconds on the process's steady clock; `facts`: what the decision went by."""
+    """`at`: seconds on the process's steady clock; `facts`: what the decision was based on."""
 
     at: float
     part: str
@@ -22,12 +22,12 @@
 
 
 class EventLog:
-    """The last entries.
+    """The latest entries.
 
     >>> log = EventLog(max_entries=2)
     >>> for number in range(3):
     ...     log.write(number, "register", f"entry {number}", epoch=2)
-    >>> [(page["text"], page["ago"], page["facts"]) for page in log.entries(3.0)]
+    >>> [(entry["text"], entry["ago"], entry["facts"]) for entry in log.entries(3.0)]
     [('entry 1', 2.0, {'epoch': 2}), ('entry 2', 1.0, {'epoch': 2})]
     >>> log.entries(3.0, part="delivery")
     []
@@ -37,11 +37,11 @@
         self._entries: deque[Entry] = deque(maxlen=max_entries)
 
     def write(self, at: float, part: str, text: str, **facts: Any) -> None:
-        """Append an entry; ``at`` in seconds on the steady clock. The oldest goes where the log is full."""
+        """Append an entry; ``at`` in seconds on the steady clock. A full log drops its oldest entry."""
         self._entries.append(Entry(at, part, text, facts))
 
     def entries(self, now: float, part: str = "") -> list[dict[str, Any]]:
-        """The oldest first, each with how many seconds ago it was; of one part, or of all."""
+        """The entries of one part, or of all, oldest first; ``ago``: seconds since the entry."""
         return [
             asdict(entry) | {"ago": round(now - entry.at, 3)}
             for entry in self._entries
--- a/millfront/control/hinted_handoff.py
+++ b/millfront/control/hinted_handoff.py
@@ -1,9 +1,9 @@
-"""Hinted handoff: what a process that is missing should have had is kept for it by the others, and handed
-over when it is heard of again. No I/O, no clock.
+"""Hinted handoff: updates that a missing process did not receive are handed over by another when it is heard
+of again. No I/O, no clock.
 
-Kept is not a second copy but from where on its own is stale: the stamps of the values when it was last heard
-of. The owner by key among its region hands over what has changed since, or everything to a new incarnation.
-Bounded by the roster, and forgotten with its record.
+A hint is not a second copy of the values but their stamps when the process was last heard of. The owner by
+key among its region hands over what has changed since, or everything to a new incarnation. There is one hint
+per member, dropped with the record of that member.
 """
 
 from collections.abc import Iterable
@@ -13,13 +13,13 @@
 from millfront.membership.record import Liveness, MemberRecord
 from millfront.register.values import Value
 
-FRESH_START_S = 5.0  # a process seen for the first time that is older has been running, and lacks nothing
+FRESH_START_S = 5.0  # a process first seen with a greater uptime has been running, and lacks nothing
 Stamps = dict[str, list[Any]]
 
 
 @dataclass(slots=True)
 class Hint:
-    """Of one other process."""
+    """What one other process had when it was last heard of; ``missing``: it may lack later updates."""
 
     incarnation: int
     stamps: Stamps
@@ -47,7 +47,7 @@
     def update(
         self, records: Iterable[MemberRecord], values: dict[str, Value]
     ) -> dict[str, dict[str, Value]]:
-        """Who is back, and what each is to be handed; called each tick with all other processes."""
+        """Members that are back, with the values to hand over; called each tick with all other processes."""
         due: dict[str, dict[str, Value]] = {}
         hints: dict[str, Hint] = {}
         for record in records:
