--- a/tests/system_world.py
+++ b/tests/system_world.py
@@ -137,7 +137,7 @@
         life = self.life
 
         def asking() -> Generator[Any, Any, None]:
-            told = yield from self.world.platform.listed(ZONES[self.zone])
+            told = yield from self.world.platform.read_list(ZONES[self.zone])
             self.goes_on(lambda: polled(told))
 
         def polled(told: Any) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,5 @@
-"""Cards at many processes and many tenants, in the simulated world: all are heard of, and parts add up."""
+"""Member records of many processes and tenants in the simulated world: all members are known, and partial
+totals add up."""
 
 import json
 from typing import Any
@@ -36,7 +37,7 @@
     }
 
 
-def test_a_region_larger_than_a_mesh_passes_cards_on_and_takes_nobody_for_lost(
+def test_a_region_larger_than_a_mesh_forwards_records_and_finds_nobody_unreachable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(gossip, "MAX_MESH", 6)
@@ -45,25 +46,25 @@
     world.loss = 0.02
     for _ in range(8):
         world.run(1.0)
-        lost = [
-            c
-            for o in world.gatekeepers()
-            for c in o.membership.records.values()
-            if c.liveness is Liveness.UNREACHABLE
+        unreachable = [
+            record
+            for gatekeeper in world.gatekeepers()
+            for record in gatekeeper.membership.records.values()
+            if record.liveness is Liveness.UNREACHABLE
         ]
-        assert not lost
+        assert not unreachable
 
 
-def test_units_that_were_flushed_are_known_in_the_other_region_though_one_relay_is_dead() -> None:
+def test_flushed_totals_reach_the_other_region_though_one_relay_is_dead() -> None:
     world = World().start().run(4.0)
     world.put(5, document(1, {"t": ["k"]}, rate=30.0))
     world.run(6.0)
-    node = world.nodes[4]  # of region a
+    node = world.nodes[4]  # in region a
     gatekeeper = node.gatekeeper
     assert gatekeeper is not None and gatekeeper.configuration is not None
-    there = [other for other in world.nodes if other.zone[0] == "b"]
-    relays = owners(f"relay {node.name}", [other.name for other in there], RELAYS)
-    next(other for other in there if other.name == relays[0]).kill()
+    in_other_region = [other for other in world.nodes if other.zone[0] == "b"]
+    relays = owners(f"relay {node.name}", [other.name for other in in_other_region], RELAYS)
+    next(other for other in in_other_region if other.name == relays[0]).kill()
     decisions: list[Decision] = []
     for _ in range(3):
         node.request("t", decisions.append)
@@ -71,12 +72,12 @@
     assert decisions == [ADMITTED] * 3
     gatekeeper.flush(node.now())
     world.run(0.12)
-    for other in there:
+    for other in in_other_region:
         if other.gatekeeper is not None:
             assert other.gatekeeper.admission.accounts["t"].peers[node.name].sent == 3.0
 
 
-def test_totals_of_many_tenants_told_in_part_add_up_and_the_quiet_ones_fade() -> None:
+def test_partial_totals_of_many_tenants_add_up_and_idle_ones_fade() -> None:
     world = World(8, 4).start().run(4.0)
     tenants = {f"t{number}": [f"k{number}"] for number in range(30)}
     world.put(5, document(1, tenants, rate=30.0))
@@ -91,19 +92,19 @@
         world.run(0.1)
         if decisions == [ADMITTED]:
             sent[name, node.name] = sent.get((name, node.name), 0) + 1
-    datagrams: list[int] = []
-    whole = world.nodes[0].datagram
+    sizes: list[int] = []
+    send_datagram = world.nodes[0].datagram
 
     def counted(address: str, message: dict[str, Any]) -> None:
-        datagrams.append(len(json.dumps(message)))
-        whole(address, message)
+        sizes.append(len(json.dumps(message)))
+        send_datagram(address, message)
 
     world.nodes[0].datagram = counted  # type: ignore[method-assign]
     world.run(9.0)
     for gatekeeper in world.gatekeepers():
-        for (name, where), units in sent.items():
-            if where != gatekeeper.name:
-                peer = gatekeeper.admission.accounts[name].peers[where]
+        for (name, gatekeeper_name), units in sent.items():
+            if gatekeeper_name != gatekeeper.name:
+                peer = gatekeeper.admission.accounts[name].peers[gatekeeper_name]
                 assert peer.sent == units and peer.sent_rate < 0.05
     configuration = world.gatekeepers()[0].configuration
     assert configuration is not None and len(sent) >= 30
@@ -112,4 +113,4 @@
         node.gatekeeper.quotas.granter.level(node.now(), "t0") for node in world.nodes if node.gatekeeper
     ]
     assert sum(levels) >= 0.95 * allowance.capacity - 1.0
-    assert sorted(datagrams)[len(datagrams) // 2] < 400  # not thirty tenants in each
+    assert sorted(sizes)[len(sizes) // 2] < 400  # a record does not have all thirty tenants
