--- a/benchmarks/catching_up.py
+++ b/benchmarks/catching_up.py
@@ -23,14 +23,14 @@
 from millfront.storage.disk import Disk
 from millfront.transport.connections import decoded, encoded
 from tests.system_world import Node
-from tests.test_catching_up import Watched, held_by, long
+from tests.test_catching_up import CatchUpWorld, held_by, long
 
 LINE = 2e6 / 8  # bytes a second
 LARGE = 21_000  # routes of a document of 6 MB
 configuration.compiled = lru_cache(4)(configuration.compiled)  # type: ignore[assignment]  # once for all gatekeepers of a world
 
 
-class Lines(Watched):
+class Lines(CatchUpWorld):
     """A world whose lines take time by length, while `measured` is set."""
 
     measured = -1  # whose
@@ -60,11 +60,11 @@
     def measure(self, number: int, within: float = 120.0) -> tuple[float, int, float]:
         """Until it has caught up, the bytes on lines to it, and the longest that a message waited."""
         self.measured, self.came, self.held_up, self.busy = number, 0, 0.0, {}
-        self.returns(number)
-        self.caught_up(within)
+        self.bring_back(number)
+        self.wait_until_caught_up(within)
         self.run(2.0)
         self.measured = -1
-        return self.took[number], self.came, self.held_up
+        return self.catch_up_s[number], self.came, self.held_up
 
 
 def after(changes: int) -> None:
@@ -76,9 +76,9 @@
             Archive.replaced = lambda *_: None  # type: ignore[method-assign]
         world = Lines(7, 6, 1)
         world.start().run(4.0)
-        world.changes(1, 6, 0.6)
+        world.put_changes(1, 6, 0.6)
         world.nodes[1].kill()
-        world.changes(changes - 1, 6, 0.06)
+        world.put_changes(changes - 1, 6, 0.06)
         for number, kind, missed in (
             (2, "restarted, 1 change", 1),
             (3, "restarted, 20 changes", 20),
@@ -87,7 +87,7 @@
         ):
             if missed:
                 world.nodes[number].kill()
-                world.changes(missed, 6, 0.06)
+                world.put_changes(missed, 6, 0.06)
             elif number == 4:
                 world.wipe(4)
             world.run(1.0)
