--- a/millfront/control/delivery.py
+++ b/millfront/control/delivery.py
@@ -67,7 +67,7 @@
             self._arrivals.held(key, found[key])
         if CORE in changed:
             self._fetching.clear()  # answers for the previous core are dropped
-            self._lease_floor = self.lease_until()  # stays valid, whichever replicas hold the values since
+            self._lease_floor = self.lease_until()  # still valid: nothing newer was acknowledged by then
             self.core = Core.of(self.values[CORE])
             self.replicas = {name: ReplicaAnswers() for name in self.core.all}  # earlier answers do not count
         if changed:
