--- a/millfront/control/admin.py
+++ b/millfront/control/admin.py
@@ -16,7 +16,7 @@
 from millfront.control.delivery import Subscriber
 from millfront.register import snapshot
 from millfront.register.coordinator import Coordinator, Phase, Round
-from millfront.register.values import CONFIG, CORE, TURN, Core, Value, claim_key
+from millfront.register.values import CONFIG, CORE, EVACUATION_COUNT_PREFIX, Core, Value, claim_key
 
 EVACUATION = "evacuation/"
 READ_TIMEOUT_S, WRITE_TIMEOUT_S = 2.0, 4.0
@@ -93,11 +93,13 @@
                         "admin", f"configuration {number:08x} refused: {round.proposal} has its revision"
                     )
                     done(409, f"revision {number:08x} belongs to another document (digest {round.proposal})")
-                elif round.old:
+                elif round.claim_expired:
                     self._superseded(number, done)
-                elif round.highest:
+                elif round.highest_ballot:
                     next_at = self.now + BACKOFF_S * (attempts + 1) * 2.0 * self.random.random()
-                    self.retries.append((next_at, lambda: ballot(self.now, round.highest + 1, attempts + 1)))
+                    self.retries.append(
+                        (next_at, lambda: ballot(self.now, round.highest_ballot + 1, attempts + 1))
+                    )
                 else:
                     done(503, "no majority of the core answers")
 
@@ -150,7 +152,7 @@
         :param since: when the call came, including what was done for it before
         :param states: "1" or "0", by the keys of evacuations
         """
-        count_keys = {key: TURN + key.removeprefix(EVACUATION) for key in states}
+        count_keys = {key: EVACUATION_COUNT_PREFIX + key.removeprefix(EVACUATION) for key in states}
 
         def in_time() -> bool:
             return self.now - since < EVACUATION_TIMEOUT_S and still_waiting()
@@ -202,7 +204,7 @@
 
         def found(round: Round) -> None:
             if round.phase is Phase.DONE:
-                done(200, snapshot.snapshot(round.values))
+                done(200, snapshot.dump(round.values))
             else:
                 done(503, "no majority of the core answered the read in time")
 
@@ -213,7 +215,7 @@
     ) -> None:
         """Store the contents of a snapshot. A configuration that is held with a higher revision stays. The
         evacuations are changes made now, numbered like any other, once the configuration is stored."""
-        match snapshot.restored(body.decode(errors="replace")):
+        match snapshot.load(body.decode(errors="replace")):
             case Err(fault):
                 self.note("admin", f"snapshot refused: {fault}")
                 done(400, str(fault))
@@ -271,7 +273,7 @@
         """Send the messages of a round; when it has ended, adopt the values found and notify its caller."""
         self.now = now
         for name, message in self.coordinator.drive(now, round):
-            self.to_replica(now, name, round.core.all[name], message)
+            self.to_replica(now, name, round.core.all_members[name], message)
         if round.phase in (Phase.DONE, Phase.FAILED) and round.ref in self.open_rounds:
             _, then = self.open_rounds.pop(round.ref)
             if round.phase is Phase.DONE:
@@ -291,10 +293,10 @@
         """The core has changed: open rounds go on with the new one."""
         for round, then in list(self.open_rounds.values()):
             if round.core.epoch < core.epoch and (
-                round.phase in (Phase.READING, Phase.WRITING) or round.decides != CORE
+                round.phase in (Phase.READING, Phase.WRITING) or round.decision_key != CORE
             ):
                 if CORE in round.values and round.phase is Phase.WRITING:
                     continue  # it writes a core, which replicas accept whatever core they are in
                 del self.open_rounds[round.ref]
-                self.coordinator.renew(round, core)
+                self.coordinator.restart(round, core)
                 self.open_rounds[round.ref] = (round, then)
--- a/millfront/control/delivery.py
+++ b/millfront/control/delivery.py
@@ -4,7 +4,7 @@
 A subscriber asks replicas for their newest versions, over held connections on which replicas also push
 numbered updates, and fetches what it lacks. Answers that name nothing newer than the values held here
 confirm, as of the time the requests were sent, that nothing newer was acknowledged, *if* they come from so
-many replicas that each majority has one of them (Core.covers). The lease lasts from that time for
+many replicas that each majority has one of them (Core.is_read_quorum). The lease lasts from that time for
 LEASE_SHARE of ``revoke_within``: a key whose removal was acknowledged at t is refused here from t +
 LEASE_SHARE * revoke_within on, whether this process is connected or not, and the acknowledgement need not
 wait for any subscriber. Derivation: docs/design/system.md.
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from millfront.register.chunks import SHORT, Archive, Arrivals, Offer
+from millfront.register.chunks import MAX_INLINE_CHARS, Archive, IncomingTexts, Offer
 from millfront.register.values import CORE, Core, Value
 
 LEASE_SHARE = 0.8  # of revoke_within: the rest allows for a clock 1% slow and a request waiting to be sent
@@ -50,7 +50,7 @@
         self.core: Core | None = None
         self.replicas: dict[str, ReplicaAnswers] = {}
         self._fetching: dict[str, float] = {}  # key -> when it was last requested, or a chunk arrived
-        self._arrivals = Arrivals()
+        self._arrivals = IncomingTexts()
         self._archive = Archive()  # for members that are back and do not reach a replica yet
         self._lease_floor = -1e9  # end of the lease under earlier cores
 
@@ -61,15 +61,16 @@
         changed = [k for k, v in found.items() if k not in self.values or v > self.values[k]]
         for key in changed:
             if key in self.values:
-                self._archive.replaced(key, self.values[key], found[key])
+                self._archive.record_change(key, self.values[key], found[key])
             self.values[key] = found[key]
             self._fetching.pop(key, None)
-            self._arrivals.held(key, found[key])
+            self._arrivals.discard_superseded(key, found[key])
         if CORE in changed:
             self._fetching.clear()  # answers for the previous core are dropped
             self._lease_floor = self.lease_until()  # still valid: nothing newer was acknowledged by then
-            self.core = Core.of(self.values[CORE])
-            self.replicas = {name: ReplicaAnswers() for name in self.core.all}  # earlier answers do not count
+            self.core = Core.from_value(self.values[CORE])
+            # Answers to the earlier core do not count in this one
+            self.replicas = {name: ReplicaAnswers() for name in self.core.all_members}
         if changed:
             for answers in self.replicas.values():
                 self._confirm(answers)
@@ -81,7 +82,7 @@
             return -1e9
         times = sorted({answers.confirmed_at for answers in self.replicas.values()}, reverse=True)
         for time in times:
-            if self.core.covers(
+            if self.core.is_read_quorum(
                 name for name, answers in self.replicas.items() if answers.confirmed_at >= time
             ):
                 return max(time + self.lease_s, self._lease_floor)
@@ -91,7 +92,7 @@
         """Whether a majority of the core in force here has answered in its epoch: from then on no lease is
         renewed in an earlier epoch."""
         answered = [name for name, answers in self.replicas.items() if answers.stamps is not None]
-        return self.core is not None and self.core.majority(answered)
+        return self.core is not None and self.core.is_write_quorum(answered)
 
     def as_of(self) -> float:
         """Nothing newer than the values held here was acknowledged before this time."""
@@ -115,12 +116,12 @@
         order.sort(key=lambda name: now - self.replicas[name].failed_at < 3.0 * POLL_INTERVAL_S)
         chosen: list[str] = []
         for name in order:
-            if core.covers(chosen):
+            if core.is_read_quorum(chosen):
                 break
             chosen.append(name)
         # All are asked while the lease is renewed late, and by a core member until a majority has answered
         late = self.lease_until() - self.lease_s < now - 2.0 * POLL_INTERVAL_S
-        if late or (self.member in core.all and not self.confirmed_by_majority()):
+        if late or (self.member in core.all_members and not self.confirmed_by_majority()):
             chosen = order
         out = []
         for name in chosen:
@@ -155,7 +156,7 @@
 
     def is_own_fetch(self, sender: str, message: Message) -> bool:
         """Whether this is a core member's answer to a fetch of this incarnation, in the core in force."""
-        return self.core is not None and sender in self.core.all and message["r"] == self._fetch_ref()
+        return self.core is not None and sender in self.core.all_members and message["r"] == self._fetch_ref()
 
     def _confirm(self, answers: ReplicaAnswers) -> None:
         if answers.stamps is not None and not self._newer_keys(answers.stamps):
@@ -174,7 +175,7 @@
     @staticmethod
     def handoff(values: dict[str, Value]) -> Message:
         """Message to a member that is back: short values, and the stamps of long ones."""
-        short = {key: value.wire() for key, value in values.items() if len(value.data) <= SHORT}
+        short = {key: value.to_wire() for key, value in values.items() if len(value.data) <= MAX_INLINE_CHARS}
         return {"t": "rest", "v": short, "s": {k: v.stamp for k, v in values.items() if k not in short}}
 
     def answer_handoff(self, message: Message) -> Message:
@@ -182,9 +183,9 @@
         nothing."""
         if message["t"] == "piece?":
             value = self.values.get(message["k"], Value(0, "", ""))
-            return {"t": "piece"} | self._archive.piece(message["k"], value, message["s"], message["o"])
+            return {"t": "piece"} | self._archive.chunk(message["k"], value, message["s"], message["o"])
         values = {key: self.values[key] for key in message["k"] if key in self.values}
-        found, offers = self._archive.parted(values, message["h"])
+        found, offers = self._archive.inline_or_offer(values, message["h"])
         return {"t": "found", "v": found, "d": offers}
 
     def fetch_handoff(self, now: float, message: Message) -> list[tuple[str, Message]]:
@@ -215,14 +216,14 @@
 
         :return: the values that are now complete, for `adopt`, and the requests for further chunks
         """
-        values = {key: Value.of(wire) for key, wire in message.get("v", {}).items()}
+        values = {key: Value.from_wire(wire) for key, wire in message.get("v", {}).items()}
         arrived: list[tuple[str, Value | Message | None]] = []
         if message["t"] == "piece":
-            arrived.append((message["k"], self._arrivals.piece(message)))
+            arrived.append((message["k"], self._arrivals.add_chunk(message)))
         for key, wire in message.get("d", {}).items():
-            offer, held = Offer.of(wire), self.values.get(key)
+            offer, held = Offer.from_wire(wire), self.values.get(key)
             if held is None or (held.version, held.tie) < offer.stamp:
-                arrived.append((key, self._arrivals.offered(key, offer, held)))
+                arrived.append((key, self._arrivals.accept_offer(key, offer, held)))
         out: list[tuple[str, Message]] = []
         for key, result in arrived:
             if isinstance(result, Value):
--- a/millfront/gatekeeper/process.py
+++ b/millfront/gatekeeper/process.py
@@ -23,7 +23,7 @@
 from millfront.gatekeeper.node import BEAT_S, Gatekeeper
 from millfront.node.config import Address
 from millfront.operations.store import Batch
-from millfront.register.replica import Persist
+from millfront.register.replica import PersistRequest
 from millfront.register.values import Value
 from millfront.transport.connections import Line, Message, Transport
 
@@ -91,7 +91,7 @@
         assert isinstance(via, Line)
         via.send(message)
 
-    def persist(self, persist: Persist) -> None:
+    def persist(self, persist: PersistRequest) -> None:
         """Sync it in the disk's thread, then tell `Gatekeeper.synced` whether it held."""
         self.start(self._persist(persist))
 
@@ -122,7 +122,7 @@
         if not task.cancelled() and (wrong := task.exception()) is not None:
             logger.opt(exception=wrong).error("gatekeeper: a task failed")
 
-    async def _persist(self, persist: Persist) -> None:
+    async def _persist(self, persist: PersistRequest) -> None:
         from millfront.storage.lmdb_folder import DiskError
 
         assert self.disk is not None
@@ -239,21 +239,21 @@
         self.gatekeeper.reconfiguration.leave(self.now())
         server = self.proxy.server
         await asyncio.sleep(LEAVE_S * grace * 0.5)
-        server.send_away(True)
+        server.set_closing(True)
         await asyncio.sleep(LEAVE_S * grace * 0.3)
         server.stop_accepting()
         looks = 0  # in a row at which nothing was under way: a request may still come on a kept connection
         while self.now() < end and looks < LAST_LOOKS:
-            server.close_at_rest()
+            server.close_idle()
             looks = 0 if self._under_way() else looks + 1
             await asyncio.sleep(LOOK_S)
 
     def _under_way(self) -> bool:
         """Whether something is open that is to end before this process does."""
         server = self.proxy.server
-        if self.proxy.open > 0 or server.unanswered() or server.untaken():
+        if self.proxy.open > 0 or server.unanswered_count() or server.unsent_count():
             return True
-        return not self.gatekeeper.reconfiguration.may_go(self.now())
+        return not self.gatekeeper.reconfiguration.may_exit(self.now())
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -15,7 +15,7 @@
 from millfront.control import configuration
 from millfront.control.configuration import digest_of
 from millfront.register import chunks, deltas, reconfiguration, recovery
-from millfront.register.chunks import Archive, Arrivals, Offer
+from millfront.register.chunks import Archive, IncomingTexts, Offer
 from millfront.register.reconfiguration import Change
 from millfront.register.recovery import Recovery, Stage
 from millfront.register.replica import Replica
@@ -156,7 +156,7 @@
 @pytest.fixture
 def small_chunks(monkeypatch: pytest.MonkeyPatch) -> None:
     """Chunks so small that a document of 350 routes has a dozen of them."""
-    monkeypatch.setattr(chunks, "PIECE", 8192)
+    monkeypatch.setattr(chunks, "CHUNK_CHARS", 8192)
 
 
 # ---- scenarios -------------------------------------------------------------------------------------
@@ -195,7 +195,7 @@
         if kills < 2:
             node.kill()
             assert not node.disk, "a disk that holds anything counts as complete at the next start"
-    source = next(n for n in world.nodes if n.name == gatekeeper.reconfiguration.recovery._tellers[0])
+    source = next(n for n in world.nodes if n.name == gatekeeper.reconfiguration.recovery._sources[0])
     source.kill()
     world.wait_until_caught_up(within=8.0)
 
@@ -207,7 +207,7 @@
         gatekeeper = node.gatekeeper
         assert gatekeeper is not None and gatekeeper.replica is not None
         if gatekeeper.reconfiguration.recovery.stage is Stage.FETCHING:
-            coming = gatekeeper.subscriber._arrivals._coming.get("config")
+            coming = gatekeeper.subscriber._arrivals._incoming.get("config")
             if coming is not None and len(coming.parts) > 2:
                 assert not gatekeeper.replica.votes
                 return gatekeeper
@@ -261,13 +261,13 @@
     while gatekeeper.subscriber.core.epoch == before and not gatekeeper.replica.votes:
         world.run(0.02)
     assert not gatekeeper.replica.votes, "it recovered too early for this scenario"
-    assert gatekeeper.reconfiguration.recovery.stage is Stage.LIVES, (
+    assert gatekeeper.reconfiguration.recovery.stage is Stage.LEARNING_INCARNATIONS, (
         "answers of members of another core still count"
     )
     world.wait_until_caught_up(within=14.0)
     world.run(6.0)
     cores = {
-        (o.subscriber.core.epoch, len(o.subscriber.core.all))
+        (o.subscriber.core.epoch, len(o.subscriber.core.all_members))
         for o in world.gatekeepers()
         if o.subscriber.core
     }
@@ -306,7 +306,7 @@
 )
 @pytest.mark.usefixtures("small_chunks")
 def test_while_fetching_chunks(scenario: Callable[[], None], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reconfiguration, "JOINED_S", 2.0)
+    monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 2.0)
     scenario()
 
 
@@ -315,12 +315,12 @@
 
 def long_values_not_awaited(monkeypatch: pytest.MonkeyPatch) -> None:
     """A recovering replica does not wait for the long values."""
-    whole = Recovery.take
+    whole = Recovery.handle_answer
 
     def take(self: Recovery, now: float, sender: str, message: dict[str, Any]) -> None:
         whole(self, now, sender, {key: told for key, told in message.items() if key != "d"})
 
-    monkeypatch.setattr(Recovery, "take", take)
+    monkeypatch.setattr(Recovery, "handle_answer", take)
 
 
 def roles_held_before_caught_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -330,17 +330,17 @@
 
 def no_catching_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """A member that is back waits for the next change; an earlier version did so."""
-    monkeypatch.setattr(Recovery, "keep_up", lambda self, now: None)
+    monkeypatch.setattr(Recovery, "catch_up", lambda self, now: None)
 
 
 def texts_not_pinned(monkeypatch: pytest.MonkeyPatch) -> None:
     """A text is not kept when it changes while its chunks are being sent."""
-    monkeypatch.setattr(chunks, "PIN_CHANGES", -1)
+    monkeypatch.setattr(chunks, "MAX_PIN_CHANGES", -1)
 
 
 def no_deltas(monkeypatch: pytest.MonkeyPatch) -> None:
     """No deltas are sent; an earlier version did so."""
-    monkeypatch.setattr(Archive, "replaced", lambda *_: None)
+    monkeypatch.setattr(Archive, "record_change", lambda *_: None)
 
 
 def core_change_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -350,7 +350,7 @@
 
 def sync_not_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     """A sync that the disk refused is not retried."""
-    monkeypatch.setattr(recovery, "SYNC_BEATS", 10**9)
+    monkeypatch.setattr(recovery, "SYNC_RETRY_TICKS", 10**9)
 
 
 @pytest.mark.parametrize(
@@ -372,7 +372,7 @@
     said: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(reconfiguration, "JOINED_S", 2.0)
+    monkeypatch.setattr(reconfiguration, "JOIN_DELAY_S", 2.0)
     fault(monkeypatch)
     with pytest.raises(AssertionError, match=said):
         scenario()
@@ -389,13 +389,13 @@
 def fetched(before: Value, value: Value, held: Value, corrupt: Callable[[Offer], Offer]) -> Any:
     """The value obtained by a process that holds `held` under the stamp of `before`, the replica's earlier
     value."""
-    archive, arrivals = Archive(), Arrivals()
-    archive.replaced("k", before, value)
+    archive, arrivals = Archive(), IncomingTexts()
+    archive.record_change("k", before, value)
     offer = archive.offer("k", value, held.stamp)
     assert offer.chain is not None
-    result: Any = arrivals.offered("k", corrupt(offer), held)
+    result: Any = arrivals.accept_offer("k", corrupt(offer), held)
     while isinstance(result, dict):
-        result = arrivals.piece(archive.piece("k", value, result["s"], result["o"]))
+        result = arrivals.add_chunk(archive.chunk("k", value, result["s"], result["o"]))
     return result
 
 
@@ -405,9 +405,9 @@
     steps = deltas.difference(old, new, 10**6)
     assert steps is not None
     steps = json.loads(json.dumps(steps))
-    assert deltas.followed(old, [steps], len(new), digest_of(new)) == Ok(new)
+    assert deltas.apply_chain(old, [steps], len(new), digest_of(new)) == Ok(new)
     if old != new:
-        match deltas.followed(new + "x", [steps], len(new), digest_of(new)):
+        match deltas.apply_chain(new + "x", [steps], len(new), digest_of(new)):
             case Ok(text):
                 assert text == new  # the parts that it copied are the same in the wrong base
             case Err(_):
@@ -440,12 +440,12 @@
 def test_earlier_texts_kept_by_a_replica_are_bounded() -> None:
     made = Replica({"core": Value(2, "", "{}"), "config": Value(1, "", long(1))}, False)
     for version in range(2, 400):
-        made._keep({"config": Value(version, "", long(version))})
+        made._merge({"config": Value(version, "", long(version))})
         asked = {"t": "piece?", "r": "f", "e": 2, "k": "config", "s": [version, ""], "o": 0}
         made.handle("somebody", asked)  # and never for the next chunk
     (chain,) = made.archive._chains.values()
-    assert sum(earlier.size for earlier in chain) <= chunks.CHAIN and len(chain) > 100
-    assert len(made.archive._pins) <= chunks.PINNED
+    assert sum(earlier.size for earlier in chain) <= chunks.MAX_CHAIN_CHARS and len(chain) > 100
+    assert len(made.archive._pins) <= chunks.MAX_PINNED
 
 
 # ---- the disk --------------------------------------------------------------------------------------
