--- a/millfront/operations/__init__.py
+++ b/millfront/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Operation keys: of all requests with one key a single one runs, and its answer is given to the others."""
+"""Operation keys: of all requests with the same key only one runs, and repeats receive its answer."""
--- a/millfront/operations/claims.py
+++ b/millfront/operations/claims.py
@@ -1,11 +1,11 @@
-"""A gatekeeper's side of operation keys: it claims a key at the core before it sends a request, and tells how
-the request ended. No I/O, no clock.
-
-A request may be sent once a majority of the core has granted its claim: two majorities have a member in
-common, and a member grants a key to one request only. The nearest majority is asked first, the others where
-that does not do. Everything else is refused early, with a promise that it has not run. The answer is kept by
-the key's owner and its successor: of the core members in regions where it may be stored, the first two by
-rendezvous hashing.
+"""The gatekeeper's side of operation keys: it claims a key at the core before it sends a request, and reports
+the result afterwards. No I/O, no clock.
+
+A request may be sent once a majority of the core has granted its claim: two majorities share a member, and a
+member grants a key to one request only. The nearest majority is asked first, the other members if that does
+not suffice. Everything else is refused early, with a promise that it has not run. The answer is stored by the
+key's owner and its successor: the first two by rendezvous hashing among the core members in regions where it
+may be stored.
 """
 
 from collections.abc import Callable
@@ -28,21 +28,21 @@
 )
 from millfront.register.values import Core, digest_of
 
-ANSWER_COPIES = 2  # of an answer: the key's owner has it, and its successor
+ANSWER_COPIES = 2  # one at the key's owner, one at its successor
 
 
 class Outcome(Enum):
-    """What becomes of a request with a key."""
+    """What happens to a request with a key."""
 
-    RUN = "it may be sent to a server"
-    REPEAT = "another request has run, and this is its answer"
-    AT_WORK = "another request is at work"
-    UNKNOWN = "another request was sent, and no answer of it is known"
-    REFUSED = "no majority of the core grants it now"
+    RUN = "the request may be sent to a server"
+    REPEAT = "another request has run, and its answer is known"
+    AT_WORK = "another request is running"
+    UNKNOWN = "another request was sent, but its answer is not known"
+    REFUSED = "no majority of the core grants the claim now"
 
 
 class Peers(Protocol):
-    """What claims need to know of the process they run in."""
+    """What claims need from the process they run in."""
 
     name: str
 
@@ -50,16 +50,16 @@
         """The core in force."""
 
     def region_of(self, name: str) -> str | None:
-        """Where a member is; None where that is not known."""
+        """The region of a member; None if unknown."""
 
     def nearest(self) -> list[str]:
-        """The members of the core, the nearest and soundest first."""
+        """The members of the core, the nearest and healthiest first."""
 
     def reachable(self, name: str) -> bool:
         """Whether a member can be expected to answer."""
 
     def send(self, name: str, message: Message) -> None:
-        """To the replica of a member; it may be lost."""
+        """Send to the replica of a member; the message may be lost."""
 
 
 DecisionCallback = Callable[[Outcome, StoredAnswer | None], None]
@@ -67,18 +67,18 @@
 
 @dataclass(slots=True, eq=False)
 class PendingClaim:
-    """One request's claim, from its begin until the request has ended."""
+    """One request's claim, from `OperationClaims.begin` until the request has ended."""
 
     operation: str
     attempt: str
     core: Core
-    max_running_s: float  # so long another request may be at work
+    max_running_s: float  # longest time that another request with this key may be running
     on_decision: DecisionCallback | None
     asked: set[str] = field(default_factory=set)
     granted: set[str] = field(default_factory=set)
     conflicts: dict[str, ClaimReply] = field(default_factory=dict)
-    abstained: set[str] = field(default_factory=set)  # members that can't say
-    missing_acks: set[str] = field(default_factory=set)  # who is yet to have the answer
+    abstained: set[str] = field(default_factory=set)  # members that can't decide
+    missing_acks: set[str] = field(default_factory=set)  # members that have not confirmed the answer yet
     on_stored: Callable[[], None] | None = None
 
 
@@ -86,21 +86,22 @@
     """The claims of one gatekeeper."""
 
     def __init__(self, peers: Peers, incarnation: str, invariants: Invariants) -> None:
-        """:param incarnation: of this life of the process, which no other one has"""
+        """:param incarnation: identifies this run of the process, unique among all runs"""
         self.peers, self.invariants = peers, invariants
-        self.incarnation = digest_of(incarnation)  # begins the name of each attempt
+        self.incarnation = digest_of(incarnation)  # prefix of every attempt id
         self.outcomes = dict.fromkeys(Outcome, 0)
         self._pending: dict[str, PendingClaim] = {}  # by attempt
         self._count = 0
 
-    # ---- a request comes -----------------------------------------------------------------------------
+    # ---- claiming ------------------------------------------------------------------------------------
 
     def begin(
         self, operation: str, max_running_s: float, on_decision: DecisionCallback
     ) -> PendingClaim | None:
-        """Claim an operation; ``on_decision`` is reply once, perhaps at once.
+        """Claim an operation; ``on_decision`` is called once, possibly before this returns.
 
-        :param max_running_s: seconds that a request with this key can be at work
+        :param max_running_s: longest time in seconds that a request with this key can be running
+        :returns: None if there is no core, and the request is refused
         """
         core = self.peers.core()
         if core is None:
@@ -114,7 +115,7 @@
         return pending
 
     def _nearest_majority(self, core: Core) -> list[str]:
-        """The nearest that are a majority by themselves."""
+        """The nearest members that form a majority by themselves."""
         chosen: list[str] = []
         for name in self.peers.nearest():
             if core.is_write_quorum(chosen):
@@ -125,12 +126,12 @@
     def _ask(self, pending: PendingClaim, names: list[str]) -> None:
         pending.asked.update(names)
         message = Claim(pending.operation, pending.attempt, pending.core.epoch).to_wire()
-        # This process's own replica may answer at once, and end the claim: it is asked last
+        # This process's own replica may answer immediately and end the claim, so it is asked last
         for name in sorted(names, key=lambda name: name == self.peers.name):
             self.peers.send(name, message)
 
     def widen(self, pending: PendingClaim) -> None:
-        """Those who were asked don't all grant it, or are slow: the others are asked as well."""
+        """Ask the remaining members too: some of those asked refuse the claim or are slow."""
         rest = [name for name in pending.core.all_members if name not in pending.asked]
         if rest and pending.on_decision is not None:
             self._ask(pending, rest)
@@ -177,14 +178,14 @@
             for name, reply in pending.conflicts.items()
             if reply.exact_age and reply.state is not State.RUNNING
         ]
-        detail = f"{pending.operation} is granted, and {' '.join(ran)} know that it has run"
+        detail = f"{pending.operation} is granted, but {' '.join(ran)} report that it has run"
         self.invariants.check(Invariant.OPERATION_RUNS_ONCE, not ran, detail)
         on_decision, pending.on_decision = pending.on_decision, None
         if on_decision is not None:
             self._decide(on_decision, Outcome.RUN)
 
     def expire(self, pending: PendingClaim) -> None:
-        """So long nobody may wait for a majority: decide by what is known."""
+        """Stop waiting for a majority, and decide from the replies received so far."""
         if pending.on_decision is not None:
             self._decide_without_majority(pending)
 
@@ -203,10 +204,10 @@
         if on_decision is not None:
             self._decide(on_decision, outcome, answer)
 
-    # ---- how it ended --------------------------------------------------------------------------------
+    # ---- reporting the result ------------------------------------------------------------------------
 
     def withdraw(self, pending: PendingClaim) -> None:
-        """The request was not sent to any server that ran it, and never will be."""
+        """Release the claim: no server has run the request or will run it."""
         pending.on_decision = None
         if self._pending.pop(pending.attempt, None) is None:
             return
@@ -221,10 +222,10 @@
         regions: frozenset[str],
         on_stored: Callable[[], None],
     ) -> None:
-        """The operation has run. ``on_stored`` is called once its owner and successor have the answer.
+        """The operation has run. ``on_stored`` is called once owner and successor have stored the answer.
 
-        :param answer: None: none came, or it can't be kept
-        :param regions: where it may be stored; empty: everywhere
+        :param answer: None if none came or it can't be stored
+        :param regions: where the answer may be stored; empty: everywhere
         """
         names = self._answer_holders(pending.operation, regions)
         if not names or pending.attempt not in self._pending:
@@ -246,7 +247,7 @@
         return owners(operation, names, ANSWER_COPIES)
 
     def handle_finish_ack(self, sender: str, ack: FinishAck) -> None:
-        """A replica has synced how an operation ended."""
+        """A replica has synced the result of an operation."""
         pending = self._pending.get(ack.attempt)
         if pending is not None:
             pending.missing_acks.discard(sender)
@@ -254,7 +255,7 @@
                 self.stop_waiting(pending)
 
     def stop_waiting(self, pending: PendingClaim) -> None:
-        """Wait no longer for the owner and the successor: the client gets its answer."""
+        """Stop waiting for owner and successor, so that the client gets its answer."""
         self._pending.pop(pending.attempt, None)
         on_stored, pending.on_stored = pending.on_stored, None
         if on_stored is not None:
--- a/millfront/operations/messages.py
+++ b/millfront/operations/messages.py
@@ -18,7 +18,7 @@
 
 
 def operation_id(tenant: str, key: str) -> str:
-    """One operation of one tenant, the same in every process; it tells nothing of the key.
+    """The id of a tenant's operation, the same in every process: a hash that does not reveal the key.
 
     >>> operation_id("a", "k") == operation_id("a", "k") != operation_id("b", "k")
     True
@@ -27,82 +27,82 @@
 
 
 class State(Enum):
-    """What a replica knows of an operation that has been claimed."""
+    """What a replica knows about an operation that has been claimed."""
 
     RUNNING = "running"
-    """It may be sent to a server now, or have been sent by a gatekeeper that told no more."""
+    """It may be sent to a server now, or was sent by a gatekeeper that has not reported the result."""
 
     ANSWERED = "answered"
-    """A server has run it, and its answer is kept here."""
+    """A server has run it, and its answer is stored here."""
 
     UNKNOWN = "unknown"
-    """It was sent to a server, and no answer came or none could be kept."""
+    """It was sent to a server, but no answer came or the answer could not be stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """A server's answer as a repeat is given it."""
+    """A server's answer as repeats receive it."""
 
     status: int
-    fields: tuple[tuple[str, str], ...]  # names and values as the server sent them
+    fields: tuple[tuple[str, str], ...]  # (name, value) as the server sent them
     body: bytes
 
     def to_wire(self) -> list[Any]:
-        """[status, [[name, value], ...], body in base64]."""
+        """``[status, [[name, value], ...], body in base64]``."""
         return [self.status, [list(pair) for pair in self.fields], base64.b64encode(self.body).decode()]
 
     @classmethod
     def from_wire(cls, wire: list[Any]) -> "StoredAnswer":
-        """Read what `to_wire` made."""
+        """Parse what `to_wire` returned."""
         status, fields, body = wire
         return cls(status, tuple((name, value) for name, value in fields), base64.b64decode(body))
 
     @property
     def size(self) -> int:
-        """Bytes that it takes, about."""
+        """Approximate size in bytes."""
         return len(self.body) + sum(len(name) + len(value) for name, value in self.fields)
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A gatekeeper asks to run an operation; ``attempt`` is unique to this request."""
+    """A gatekeeper asks to run an operation; ``attempt`` is unique to its request."""
 
     operation: str
     attempt: str
-    epoch: int  # of the core that it is meant for
+    epoch: int  # of the core that the claim is addressed to
 
     def to_wire(self) -> Message:
-        """Read again by `from_wire`."""
+        """The message as a JSON object; `from_wire` reads it."""
         return {"t": CLAIM, "o": self.operation, "a": self.attempt, "e": self.epoch}
 
     @classmethod
     def from_wire(cls, message: Message) -> "Claim":
-        """Read what `to_wire` made."""
+        """Parse what `to_wire` returned."""
         return cls(message["o"], message["a"], message["e"])
 
 
 class Verdict(Enum):
-    """A replica's answer to a claim."""
+    """A replica's decision about a claim."""
 
     GRANTED = "granted"
     CONFLICT = "had"  # another request has claimed the operation
-    ABSTAINED = "no"  # this replica can't say: of another epoch, not complete, or its disk refuses
+    ABSTAINED = "no"  # this replica can't decide: other epoch, not complete, or its disk refuses writes
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """A replica's answer to a claim, and what it knows where another request has it."""
+    """A replica's answer to a claim; on a conflict also what it knows about the other request."""
 
     operation: str
-    attempt: str  # whose claim this answers
+    attempt: str  # the attempt whose claim this answers
     verdict: Verdict
-    state: State | None = None  # of the other request's
-    age: float = 0.0  # seconds since that was claimed here
+    state: State | None = None  # of the other request's operation
+    age: float = 0.0  # seconds since the other request's claim reached this replica
     answer: StoredAnswer | None = None
-    exact_age: bool = True  # the age is; else it was claimed longer ago, before this replica started
+    exact_age: bool = True  # False: claimed longer ago than `age`, before this replica started
 
     def to_wire(self) -> Message:
-        """Read again by `from_wire`."""
+        """The message as a JSON object; `from_wire` reads it."""
         message: Message = {"t": CLAIM_REPLY, "o": self.operation, "a": self.attempt, "v": self.verdict.value}
         if self.state is not None:
             message |= {"s": self.state.value, "y": round(self.age, 3)} | ({} if self.exact_age else {"x": 0})
@@ -112,7 +112,7 @@
 
     @classmethod
     def from_wire(cls, message: Message) -> "ClaimReply":
-        """Read what `to_wire` made."""
+        """Parse what `to_wire` returned."""
         state = State(message["s"]) if "s" in message else None
         answer = StoredAnswer.from_wire(message["w"]) if "w" in message else None
         verdict = Verdict(message["v"])
@@ -122,90 +122,90 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """The request has not been sent to a server and never will: its claim holds no longer."""
+    """Releases the claim of a request that no server has run or will run."""
 
     operation: str
     attempt: str
 
     def to_wire(self) -> Message:
-        """Read again by `from_wire`."""
+        """The message as a JSON object; `from_wire` reads it."""
         return {"t": WITHDRAW, "o": self.operation, "a": self.attempt}
 
     @classmethod
     def from_wire(cls, message: Message) -> "Withdraw":
-        """Read what `to_wire` made."""
+        """Parse what `to_wire` returned."""
         return cls(message["o"], message["a"])
 
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """The operation has run; ``answer`` is None where none came or it is too long to be kept."""
+    """The operation has run; ``answer`` is None if none came or it is too long to be stored."""
 
     operation: str
     attempt: str
     answer: StoredAnswer | None
 
     def to_wire(self) -> Message:
-        """Read again by `from_wire`."""
-        kept = self.answer.to_wire() if self.answer is not None else None
-        return {"t": FINISH, "o": self.operation, "a": self.attempt, "w": kept}
+        """The message as a JSON object; `from_wire` reads it."""
+        answer = self.answer.to_wire() if self.answer is not None else None
+        return {"t": FINISH, "o": self.operation, "a": self.attempt, "w": answer}
 
     @classmethod
     def from_wire(cls, message: Message) -> "Finish":
-        """Read what `to_wire` made."""
-        kept = StoredAnswer.from_wire(message["w"]) if message["w"] is not None else None
-        return cls(message["o"], message["a"], kept)
+        """Parse what `to_wire` returned."""
+        answer = StoredAnswer.from_wire(message["w"]) if message["w"] is not None else None
+        return cls(message["o"], message["a"], answer)
 
 
 @dataclass(frozen=True, slots=True)
 class FinishAck:
-    """A replica has synced how an operation ended."""
+    """A replica has synced the result of an operation to its disk."""
 
     operation: str
     attempt: str
 
     def to_wire(self) -> Message:
-        """Read again by `from_wire`."""
+        """The message as a JSON object; `from_wire` reads it."""
         return {"t": FINISH_ACK, "o": self.operation, "a": self.attempt}
 
     @classmethod
     def from_wire(cls, message: Message) -> "FinishAck":
-        """Read what `to_wire` made."""
+        """Parse what `to_wire` returned."""
         return cls(message["o"], message["a"])
 
 
 @dataclass(frozen=True, slots=True)
 class Gather:
-    """A replica that is not complete asks another for its records behind ``after``, by name."""
+    """An incomplete replica asks another one for its records whose operation id is above ``after``."""
 
     epoch: int
     after: str = ""
 
     def to_wire(self) -> Message:
-        """Read again by `from_wire`."""
+        """The message as a JSON object; `from_wire` reads it."""
         return {"t": GATHER, "e": self.epoch, "k": self.after}
 
     @classmethod
     def from_wire(cls, message: Message) -> "Gather":
-        """Read what `to_wire` made."""
+        """Parse what `to_wire` returned."""
         return cls(message["e"], message["k"])
 
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """A page of a complete replica's records, by operation, each as it is kept.
+    """A page of a complete replica's records: rows in the disk's format, by operation id.
 
-    ``last``: there are no more."""
+    ``last``: no more pages follow."""
 
     epoch: int
     rows: dict[str, str]
     last: bool
 
     def to_wire(self) -> Message:
-        """Read again by `from_wire`."""
+        """The message as a JSON object; `from_wire` reads it."""
         return {"t": RECORDS, "e": self.epoch, "v": self.rows, "z": self.last}
 
     @classmethod
     def from_wire(cls, message: Message) -> "Records":
-        """Read what `to_wire` made."""
+        """Parse what `to_wire` returned."""
         return cls(message["e"], message["v"], message["z"])
