--- a/millfront/operations/gathering.py
+++ b/millfront/operations/gathering.py
@@ -1,8 +1,7 @@
-"""A replica that may have forgotten claims gathers them from the others before it grants any. No I/O, no
-clock.
+"""A replica that may lack claims gathers them from the other members before it grants any. No I/O, no clock.
 
-It asks all other members of the core, page by page, until so many complete ones have told it all that one of
-them has any claim that was granted before: of N members W hold it, so N - W + 1.
+It fetches the records of all other core members page by page, until enough complete members have sent all of
+theirs: every claim that was granted is held by W of N members, so any N - W + 1 members include a holder.
 """
 
 from dataclasses import dataclass, field
@@ -10,13 +9,13 @@
 from millfront.operations.messages import Gather, Message, Records
 from millfront.register.values import Core, read_quorum
 
-RESEND_S = 0.5  # a page that has not come is asked for again
-START_DELAY_S = 1.0  # after its start: what was claimed at its earlier life is decided by then
+RESEND_S = 0.5  # a page that has not arrived is requested again
+START_DELAY_S = 1.0  # after start; by then all claims made before the restart are decided
 
 
 @dataclass(slots=True)
 class MemberRecords:
-    """What one member has told so far."""
+    """The records that one member has sent so far."""
 
     rows: dict[str, str] = field(default_factory=dict)
     after: str = ""
@@ -25,7 +24,7 @@
 
 
 class Gathering:
-    """One replica's gathering, begun anew when the core changes."""
+    """Collects the other members' records for one replica; starts over when the core changes."""
 
     def __init__(self, name: str, now: float) -> None:
         self.name, self.started_at = name, now
@@ -33,7 +32,7 @@
         self._by_member: dict[str, MemberRecords] = {}
 
     def tick(self, now: float, core: Core) -> list[tuple[str, Message]]:
-        """What is to be asked now, and of whom."""
+        """Requests to send now, as (member, message)."""
         if now - self.started_at < START_DELAY_S:
             return []
         if core.epoch != self._epoch:
@@ -47,7 +46,7 @@
         return out
 
     def handle_records(self, now: float, sender: str, records: Records) -> Message | None:
-        """A page; returns what is to be asked next of the same member."""
+        """Take a page of records; returns the request for the sender's next page, or None."""
         progress = self._by_member.get(sender)
         if progress is None or records.epoch != self._epoch or progress.complete:
             return None
@@ -60,7 +59,7 @@
         return Gather(self._epoch, progress.after).to_wire()
 
     def gathered_rows(self, core: Core) -> dict[str, str] | None:
-        """All that was progress, once enough of the core have told all; None before."""
+        """The merged rows, once enough core members have sent all of theirs; None before."""
         complete = {name: progress for name, progress in self._by_member.items() if progress.complete}
         if not complete or core.epoch != self._epoch:
             return None
--- a/millfront/operations/store.py
+++ b/millfront/operations/store.py
@@ -1,15 +1,15 @@
-"""The part of a replica that holds operations: who may run which, and the answers of those that ran. No I/O,
-no clock.
-
-A claim is granted to the first request that asks, and to no other until it is withdrawn or the window is
-over; it is synced before it is granted. Syncs are batched: while one is under way, what comes waits for the
-next. A replica that may lack claims (its disk was lost, it is a new member, it was out of the core for a
-while) is not complete: it grants nothing until it has gathered the records of so many others that each
-majority has one of them, or until all that it can lack is past the window. The mark of a complete disk names
-the epoch of the core under which it was operation.
-
-Times are seconds on the caller's clock. What is read from the disk counts from the reading: longer than need
-be, never shorter. Derivation: docs/design/operation-keys.md.
+"""A replica's records of operations: which request may run each one, and the answers of those that ran. No
+I/O, no clock.
+
+A claim is granted to the first request that asks, and to no other until it is withdrawn or the window has
+passed; it is synced before it is granted. Syncs are batched: changes made during a sync wait for the next.
+A replica that may lack claims (its disk was lost, it is a new member, it was out of the core for a while) is
+not complete: it grants nothing until it has gathered the records of so many other members that every majority
+includes one of them, or until every claim that it may lack is past the window. The row that marks a disk as
+complete holds the epoch of the core under which it was written.
+
+Times are seconds on the caller's clock. The window of a row read from disk starts at the time of reading:
+longer than necessary, never shorter. Derivation: docs/design/operation-keys.md.
 """
 
 import json
@@ -30,33 +30,33 @@
     Withdraw,
 )
 
-COMPLETE_KEY = "complete"  # the row that marks a disk that lacks nothing, with the epoch as of which
-NO_EPOCH = 0  # of a mark that was made before the first core
-MAX_EPOCH_GAP = 2  # that one core tells of: its own, and the one before it
-WINDOW_MARGIN_S = 5.0  # beyond the window: a request is claimed a moment after it was sent
-PAGE_RECORDS = 300  # records in one answer to a replica that gathers
-MAX_ANSWERS_BYTES = 16 * 1024 * 1024  # of all answers kept here; one beyond that is known as UNKNOWN
+COMPLETE_KEY = "complete"  # key of the row that marks a complete disk; its value is the epoch
+NO_EPOCH = 0  # in a row written before the first core
+MAX_EPOCH_GAP = 2  # a core value names the members of two epochs: its own and the one before
+WINDOW_MARGIN_S = 5.0  # added to the window: a request is claimed a moment after it was sent
+PAGE_RECORDS = 300  # records per page sent to a gathering replica
+MAX_ANSWERS_BYTES = 16 * 1024 * 1024  # total size of stored answers; an answer beyond it becomes UNKNOWN
 SWEEP_INTERVAL_S = 5.0
 
 
 @dataclass(slots=True)
 class Operation:
-    """One operation that was claimed here."""
+    """One operation that was claimed at this replica."""
 
     attempt: str
-    claimed_at: float  # when it was claimed here
+    claimed_at: float  # time of the claim at this replica
     state: State = State.RUNNING
     answer: StoredAnswer | None = None
-    exact_age: bool = True  # it was claimed at `claimed_at`, not before
+    exact_age: bool = True  # False: it was claimed before `claimed_at`
 
     def to_row(self) -> str:
-        """As it is kept on the disk."""
+        """The row as stored on disk."""
         kept = self.answer.to_wire() if self.answer is not None else None
         return json.dumps([self.attempt, self.state.value, kept], separators=(",", ":"))
 
     @classmethod
     def from_row(cls, row: str, now: float) -> "Operation":
-        """Read a row; it counts from now."""
+        """Parse a row; its window starts now."""
         attempt, state, kept = json.loads(row)
         answer = StoredAnswer.from_wire(kept) if kept is not None else None
         return cls(attempt, now, State(state), answer, exact_age=False)
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A message for whoever is at the other end of ``via``."""
+    """A message to the peer at the other end of ``via``."""
 
     via: Any
     message: Message
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Batch:
-    """Rows to be synced together; then `OperationStore.synced` is called with it."""
+    """Rows to sync together; afterwards `OperationStore.synced` is called with the batch."""
 
     rows: dict[str, str] = field(default_factory=dict)
     drop: set[str] = field(default_factory=set)
@@ -84,27 +84,27 @@
         return bool(self.rows or self.drop)
 
     def put(self, name: str, row: str) -> None:
-        """Keep a row."""
+        """Store a row."""
         self.rows[name] = row
         self.drop.discard(name)
 
     def remove(self, name: str) -> None:
-        """Keep it no longer."""
+        """Delete a row."""
         self.rows.pop(name, None)
         self.drop.add(name)
 
 
 class OperationStore:
-    """The operations that one replica holds."""
+    """The operations held by one replica."""
 
     def __init__(self, stored: dict[str, str], fresh: bool, window: float, now: float) -> None:
-        """:param stored: the disk's rows
-        :param fresh: the whole system starts for the first time: nothing can be forgotten
-        :param window: seconds in which an operation runs once
+        """:param stored: the rows on disk
+        :param fresh: the whole system starts for the first time, so no claim can be missing
+        :param window: seconds during which an operation runs at most once
         """
         self.window, self.started_at = window, now
         self.complete = COMPLETE_KEY in stored or fresh
-        self.epoch = int(stored.get(COMPLETE_KEY, NO_EPOCH))  # as of which it is complete
+        self.epoch = int(stored.get(COMPLETE_KEY, NO_EPOCH))  # as of which this replica is complete
         self.incomplete_since = now
         self.operations = {
             name: Operation.from_row(row, now) for name, row in stored.items() if name != COMPLETE_KEY
@@ -114,7 +114,7 @@
         self._last_sweep = now
         if self.complete and COMPLETE_KEY not in stored:
             self._pending_batch.put(COMPLETE_KEY, str(self.epoch))
-        self._refused = Batch()  # what the disk did not take, to be put again
+        self._refused = Batch()  # rows that the disk refused, to be retried
 
     @staticmethod
     def _size(operation: Operation) -> int:
@@ -123,9 +123,9 @@
     # ---- the core ----------------------------------------------------------------------------------
 
     def on_core_change(self, now: float, epoch: int, remains_member: bool) -> None:
-        """The core in force is of that epoch: who was out of one lacks what was claimed under it.
+        """A core of this epoch is in force. A replica that was out of a core lacks the claims made under it.
 
-        :param remains_member: whether this replica is of that core and was of the one before
+        :param remains_member: whether this replica belongs to this core and belonged to the one before
         """
         if epoch <= self.epoch or not self.complete:
             return
@@ -136,12 +136,12 @@
         self.complete, self.incomplete_since = False, now
         self._pending_batch.remove(COMPLETE_KEY)
 
-    # ---- calls -------------------------------------------------------------------------------------
+    # ---- requests ----------------------------------------------------------------------------------
 
     def claim(self, now: float, via: Any, claim: Claim, epoch: int) -> list[Reply]:
-        """Grant an operation to the first request; granted is replied once it is synced.
+        """Grant an operation to the first request; the grant is sent once it is synced.
 
-        :param epoch: of the core that this replica votes in; 0: it does not vote
+        :param epoch: of the core that this replica votes in; 0 if it does not vote
         """
         if not self.complete or claim.epoch != epoch:
             return [self._claim_reply(via, claim, Verdict.ABSTAINED)]
@@ -153,7 +153,8 @@
             self._pending_batch.grants.append((via, claim))
             return []
         if held.attempt == claim.attempt:
-            self._pending_batch.put(claim.operation, held.to_row())  # asked again: it may not be synced yet
+            # A repeated claim: the first one may not be synced yet
+            self._pending_batch.put(claim.operation, held.to_row())
             self._pending_batch.grants.append((via, claim))
             return []
         age = now - held.claimed_at
@@ -167,14 +168,14 @@
         return Reply(via, ClaimReply(claim.operation, claim.attempt, verdict).to_wire())
 
     def withdraw(self, withdraw: Withdraw) -> None:
-        """The request that claimed it was not sent and never will be: another one may claim it."""
+        """Release the claim of a request that was not and will not be sent: another one may claim it."""
         held = self.operations.get(withdraw.operation)
         if held is not None and held.attempt == withdraw.attempt and held.state is State.RUNNING:
             self._forget(withdraw.operation)
             self._pending_batch.remove(withdraw.operation)
 
     def finish(self, now: float, via: Any, finish: Finish) -> None:
-        """Keep how an operation ended; replied once it is synced."""
+        """Store the result of an operation; the reply is sent once it is synced."""
         held = self.operations.get(finish.operation)
         if held is None:  # this replica did not answer the claim in time
             held = self.operations[finish.operation] = Operation(finish.attempt, now)
@@ -191,9 +192,9 @@
         self._pending_batch.replies.append(Reply(via, FinishAck(finish.operation, finish.attempt).to_wire()))
 
     def page(self, gather: Gather, epoch: int) -> Records | None:
-        """Records for a replica that gathers; None: this one is not complete, or of another epoch.
+        """Records for a gathering replica; None if this one is not complete or of another epoch.
 
-        Answers are left out: they may be bound to a region that the other replica is not in."""
+        Answers are left out: they may be restricted to regions that the other replica is not in."""
         if not self.complete or gather.epoch != epoch:
             return None
         names = sorted(name for name in self.operations if name > gather.after)
@@ -208,14 +209,14 @@
     # ---- the disk ----------------------------------------------------------------------------------
 
     def next_batch(self) -> Batch | None:
-        """What is to be synced now; None: nothing, or a sync is under way."""
+        """The batch to sync now; None if there is nothing to sync or a sync is in progress."""
         if self._syncing or not self._pending_batch:
             return None
         batch, self._pending_batch, self._syncing = self._pending_batch, Batch(), True
         return batch
 
     def synced(self, batch: Batch, ok: bool) -> list[Reply]:
-        """The disk is done with a batch; returns what may be replied now."""
+        """The disk has synced (``ok``) or refused a batch; returns the replies to send now."""
         self._syncing = False
         if batch.marks_complete and ok:
             self.complete = True
@@ -232,7 +233,7 @@
         return replies
 
     def _retry_refused(self) -> None:
-        """What the disk refused goes into the next batch, unless something newer is there."""
+        """Put refused rows into the next batch, except where it has a newer row."""
         refused, self._refused = self._refused, Batch()
         for name in refused.drop - self._pending_batch.rows.keys():
             self._pending_batch.remove(name)
@@ -246,7 +247,7 @@
     # ---- time --------------------------------------------------------------------------------------
 
     def tick(self, now: float, epoch: int) -> None:
-        """Forget what is past the window, and put again what the disk refused; called now and then.
+        """Drop operations past the window and retry what the disk refused; called periodically.
 
         :param epoch: of the core in force, if this replica votes in it, else `NO_EPOCH`
         """
@@ -259,12 +260,12 @@
             self._forget(name)
             self._pending_batch.remove(name)
         if epoch == NO_EPOCH:
-            self.incomplete_since = now  # what is claimed meanwhile passes it by
+            self.incomplete_since = now  # claims made now don't reach this replica
         elif not self.complete and self.incomplete_since < oldest:
-            self._mark_complete(epoch)  # whatever it lacks is past the window
+            self._mark_complete(epoch)  # every claim it may lack is past the window
 
     def add_gathered(self, now: float, rows: dict[str, str], epoch: int) -> None:
-        """What enough others of the core of that epoch hold; once it is synced, this replica is complete."""
+        """Add the rows gathered from enough members of this epoch's core; complete once they are synced."""
         for name, row in rows.items():
             if name not in self.operations:
                 self.operations[name] = Operation.from_row(row, now)
