--- a/millfront/storage/__init__.py
+++ b/millfront/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a process keeps on its disk."""
+"""Data that a process stores on its local disk."""
--- a/millfront/storage/disk.py
+++ b/millfront/storage/disk.py
@@ -1,11 +1,12 @@
-"""The register's disk: one lmdb environment, synced before anything is acknowledged. Thin I/O.
+"""The register's database: one lmdb environment, synced before anything is acknowledged. Thin I/O.
 
-Layout: key ``format`` holds the format's number; each other key a value: its stamp as JSON, a line's end,
-``t`` and the text or ``z`` and the text packed (zlib), in UTF-8. Format 1 had a value as one JSON list, which
-is still read. What can't be read is set aside, never deleted, and the replica recovers from the others.
+Layout: key ``format`` holds the format number. Every other key holds a value: its stamp as JSON, a newline,
+and ``t`` with the text or ``z`` with the text compressed by zlib, in UTF-8. Format 1 stored a value as one
+JSON list, which is still read. An unreadable database is set aside, never deleted, and the replica recovers
+from the other members.
 
-The map: lmdb writes a changed value beside the old one and uses the old one's pages again two syncs later, so
-three versions of the longest value must fit (docs/design/catching-up.md).
+Map size: lmdb writes a changed value next to the old one and reuses the old pages two syncs later, so three
+versions of the longest value must fit (docs/design/catching-up.md).
 """
 
 import json
@@ -19,45 +20,46 @@
 from millfront.storage.lmdb_folder import DiskError, LmdbFolder
 
 FORMAT = 2
-COMPRESS_MIN_CHARS = 4096  # characters
+COMPRESS_MIN_CHARS = 4096
 MAP_BYTES = 24 * 1024 * 1024
 FOLDER = "registry"
-EARLIER_ROLE = "office"  # what the role was called: the platform names a role's folder after it
+EARLIER_ROLE = "office"  # former name of the role, after which the platform names the role's folder
 
 
 def _folder(state_dir: Path) -> Path:
-    """Where the data lies: a role that was renamed and has none yet finds it under its earlier name."""
+    """The database folder; until it exists, one under the role's former name is used if there is one."""
     folder, earlier = state_dir / FOLDER, state_dir.parent / EARLIER_ROLE / FOLDER
     return earlier if earlier.exists() and not folder.exists() else folder
 
 
 class Disk:
-    """The register's values on the disk of one machine."""
+    """The register's values on one machine's disk."""
 
     def __init__(self, state_dir: str) -> None:
         self._lmdb = LmdbFolder(_folder(Path(state_dir)), MAP_BYTES)
 
     def load(self) -> tuple[dict[str, Value], str]:
-        """What is kept, and what was wrong with it (empty: nothing).
+        """Read all values.
 
-        :raises DiskError: nothing can be kept here
+        :returns: the values, and why the stored data was set aside (empty if it was readable)
+        :raises DiskError: no database can be opened here
         """
-        why = ""
+        problem = ""
         if self._lmdb.folder.exists():
             try:
                 return self._read(), ""
             except (lmdb.Error, ValueError, OSError, zlib.error) as error:
-                why = f"{error}"
+                problem = f"{error}"
                 self._lmdb.set_aside()
         try:
             self._lmdb.open()
         except (lmdb.Error, OSError) as error:
             raise DiskError(str(error)) from None
-        return {}, why
+        return {}, problem
 
     @property
     def folder(self) -> Path:
-        """Where the data lies."""
+        """The folder of the database."""
         return self._lmdb.folder
 
     def close(self) -> None:
@@ -65,22 +67,21 @@
         self._lmdb.close()
 
     def _read(self) -> dict[str, Value]:
-        found = {}
+        values = {}
         with self._lmdb.open().begin() as transaction:
             stored = transaction.get(b"format")
             if stored is not None and int(bytes(stored)) > FORMAT:
-                raise ValueError(f"format {int(bytes(stored))} is newer than {FORMAT}")
+                raise ValueError(f"expected register format {FORMAT} or older, got {int(bytes(stored))}")
             for key, value in transaction.cursor():
                 if bytes(key) != b"format":
-                    found[bytes(key).decode()] = _decode(bytes(value))
-        return found
+                    values[bytes(key).decode()] = _decode(bytes(value))
+        return values
 
     def store(self, values: dict[str, Value], drop: Iterable[str] = ()) -> None:
-        """Sync all or nothing; waits for the disk.
+        """Write and sync all changes or none; blocks until the disk has synced.
 
-        :param drop: keys that are not kept any longer
-
-        :raises DiskError: nothing of it counts
+        :param drop: keys to delete
+        :raises DiskError: nothing was changed
         """
         try:
             with self._lmdb.open().begin(write=True) as transaction:
@@ -92,7 +93,7 @@
                 for key in drop:
                     transaction.delete(key.encode())
         except lmdb.MapFullError:
-            raise DiskError(f"the map of {MAP_BYTES} bytes is full: nothing was changed") from None
+            raise DiskError(f"the register's map of {MAP_BYTES} bytes is full: nothing was changed") from None
         except (lmdb.Error, OSError, ValueError) as error:
             raise DiskError(str(error)) from None
 
@@ -104,15 +105,15 @@
     return json.dumps(value.stamp).encode() + b"\n" + mark + data
 
 
-def _decode(kept: bytes) -> Value:
-    """:raises ValueError, zlib.error: it can't be read"""
-    head, end, data = kept.partition(b"\n")
+def _decode(stored: bytes) -> Value:
+    """:raises ValueError, zlib.error: the stored bytes can't be decoded"""
+    head, end, data = stored.partition(b"\n")
     if not end:
-        return Value.from_wire(json.loads(kept))  # format 1
+        return Value.from_wire(json.loads(stored))  # format 1
     text = zlib.decompress(data[1:]) if data[:1] == b"z" else data[1:]
     return Value.from_wire([*json.loads(head), text.decode()])
 
 
-def _stamp(kept: bytes) -> tuple[int, str]:
-    stored = json.loads(kept.partition(b"\n")[0])
-    return stored[0], stored[1]
+def _stamp(stored: bytes) -> tuple[int, str]:
+    stamp = json.loads(stored.partition(b"\n")[0])
+    return stamp[0], stamp[1]
--- a/millfront/storage/operations_disk.py
+++ b/millfront/storage/operations_disk.py
@@ -1,7 +1,7 @@
-"""The disk of operation keys: one lmdb environment beside the register's. Thin I/O.
+"""The database of operation keys: one lmdb environment next to the register's. Thin I/O.
 
-A row is kept as the text that `millfront.operations.store` makes of it. What can't be read is set aside; the
-replica then gathers from the others, as after the loss of the disk.
+Rows are stored as the text that `millfront.operations.store` produces. An unreadable database is set aside;
+the replica then gathers records from the other members, as after the loss of its disk.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,18 +11,18 @@
 
 from millfront.storage.lmdb_folder import DiskError, LmdbFolder
 
-MAP_BYTES = 32 * 1024 * 1024  # the answers' bound, a third more in base64, and room for changed pages
+MAP_BYTES = 32 * 1024 * 1024  # the limit on answers, a third more for base64, and room for changed pages
 FOLDER = "operations"
 
 
 class OperationsDisk:
-    """The rows of operation keys on the disk of one machine."""
+    """The rows of operation keys on one machine's disk."""
 
     def __init__(self, state_dir: str) -> None:
         self._lmdb = LmdbFolder(Path(state_dir) / FOLDER, MAP_BYTES)
 
     def load(self) -> tuple[dict[str, str], str]:
-        """The rows, and what was wrong with them (empty: nothing)."""
+        """The rows, and why the stored data was set aside (empty if it was readable)."""
         try:
             with self._lmdb.open().begin() as transaction:
                 return {bytes(name).decode(): bytes(row).decode() for name, row in transaction.cursor()}, ""
@@ -32,9 +32,9 @@
             return {}, str(error)
 
     def store(self, rows: Mapping[str, str], drop: Iterable[str]) -> None:
-        """Sync all or nothing; waits for the disk.
+        """Write and sync all changes or none; blocks until the disk has synced.
 
-        :raises DiskError: nothing of it counts
+        :raises DiskError: nothing was changed
         """
         try:
             with self._lmdb.open().begin(write=True) as transaction:
@@ -46,5 +46,5 @@
             raise DiskError(str(error)) from None
 
     def close(self) -> None:
-        """Close the files."""
+        """Close the database."""
         self._lmdb.close()
