--- a/tests/test_claim_search.py
+++ b/tests/test_claim_search.py
@@ -1,5 +1,5 @@
-"""Claims of one number while the core changes and a disk is lost, in every order that chance brings: the very
-replicas, coordinators, reconfiguration and recovery on the table of test_core_search.py.
+"""Claims of one number while the core changes and a disk is lost, in random orders of events: the production
+replicas, coordinators, reconfiguration and recovery in the simulation of test_core_search.py.
 """
 
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 
 
 class Claims(Simulation):
-    """Four that claim the same number for different documents, two of them at once."""
+    """Four gatekeepers claim the same number for different documents, two of them at once."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.chosen: list[tuple[str, str]] = []  # to whom, and what
+        self.chosen: list[tuple[str, str]] = []  # (claimant, document digest)
         self.lost = ""
         self.recovery: RecoveryDriver | None = None
-        self.lives = 0
+        self.incarnation = 0
 
     def claim(self, name: str, tries: int = 6) -> None:
         coordinator = Coordinator(name)
@@ -49,12 +49,11 @@
         newer = Core.from_value(Value.from_wire(message["core"])) if "core" in message else None
         if isinstance(coordinator, RecoveryDriver):
             if coordinator is self.recovery:
-                self.told(coordinator, name, message, newer)
+                self.handle_recovery_answer(coordinator, name, message, newer)
             return
         for _, round, _ in [entry for entry in self.open if entry[0] is coordinator]:
-            if (
-                newer and round.decision_key != CORE and round.core.epoch < newer.epoch
-            ):  # as `Gatekeeper._move` does it
+            # Like `Gatekeeper._move`
+            if newer and round.decision_key != CORE and round.core.epoch < newer.epoch:
                 coordinator.restart(round, newer)
                 self.drive(coordinator, round)
         super().answer(coordinator, name, message)
@@ -67,10 +66,12 @@
         self.recover(OLD)
 
     def recover(self, core: Core) -> None:
-        self.lives += 1
-        self.recovery = RecoveryDriver(self.lost, core, self.lives)
+        self.incarnation += 1
+        self.recovery = RecoveryDriver(self.lost, core, self.incarnation)
 
-    def told(self, recovery: RecoveryDriver, name: str, message: Message, newer: Core | None) -> None:
+    def handle_recovery_answer(
+        self, recovery: RecoveryDriver, name: str, message: Message, newer: Core | None
+    ) -> None:
         if newer and newer.epoch > recovery.core.epoch:
             self.recover(newer)
             return
@@ -80,24 +81,24 @@
             replica.recovered()
             self.recovery = None
 
-    def ask(self) -> None:
+    def send_recovery_requests(self) -> None:
         recovery = self.recovery
         if recovery is not None:
             if self.lost not in recovery.core.all_members:
-                self.recovery = None  # it is no member any longer
+                self.recovery = None  # it is no longer a member
                 return
             for name, message in recovery.tick():
                 self.send(partial(self.call, recovery, name, message))  # type: ignore[arg-type]
 
-    # ---- what is played --------------------------------------------------------------------------
+    # ---- the run ---------------------------------------------------------------------------------
 
     def check(self) -> None:
-        whole, self.replicas = (
+        all_replicas, self.replicas = (
             self.replicas,
             {n: k for n, k in self.replicas.items() if k.state is ReplicaState.VOTING},
         )
         super().check()
-        self.replicas = whole
+        self.replicas = all_replicas
         assert len({digest for _, digest in self.chosen}) <= 1, "two documents of one number"
 
     def play(self) -> None:
@@ -110,7 +111,7 @@
             if step in (3, 4, 150, 420):
                 self.claim(f"w{step}")
             if step % 25 == 0:
-                self.ask()
+                self.send_recovery_requests()
             self.turn()
 
 
@@ -118,32 +119,34 @@
     assert first_violation(100, Claims) == ""
     claims = Claims(1)
     claims.play()
-    assert len(claims.chosen) == 4 and 4 in claims.cores and claims.lives  # it comes to its end
+    assert len(claims.chosen) == 4 and 4 in claims.cores and claims.incarnation  # the run completes
 
 
-def uncarried(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Claims are not carried over to the new core."""
-    whole = Coordinator._merge_values
+def claims_not_carried_over(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Fault: claims are not carried over to the new core."""
+    merge_values = Coordinator._merge_values
 
-    def found(self: Coordinator, round: Round, wire: dict[str, Any]) -> None:
-        whole(self, round, {key: value for key, value in wire.items() if not key.startswith(CLAIM_PREFIX)})
+    def merge_without_claims(self: Coordinator, round: Round, wire: dict[str, Any]) -> None:
+        merge_values(
+            self, round, {key: value for key, value in wire.items() if not key.startswith(CLAIM_PREFIX)}
+        )
 
-    monkeypatch.setattr(Coordinator, "_merge_values", found)
+    monkeypatch.setattr(Coordinator, "_merge_values", merge_without_claims)
 
 
-def unsure(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A claim that the core changed under goes on with what it was told by the old one."""
-    whole = Coordinator.restart
+def restart_keeps_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Fault: after a change of the core a claim continues with the old core's answers."""
+    restart = Coordinator.restart
 
-    def renew(self: Coordinator, round: Round, core: Core) -> None:
+    def keeping(self: Coordinator, round: Round, core: Core) -> None:
         before = round.phase, round.proposal, round.highest_accepted, round.promised
-        whole(self, round, core)
+        restart(self, round, core)
         round.phase, round.proposal, round.highest_accepted, round.promised = before
 
-    monkeypatch.setattr(Coordinator, "restart", renew)
+    monkeypatch.setattr(Coordinator, "restart", keeping)
 
 
-@pytest.mark.parametrize("fault", [uncarried, unsure])
+@pytest.mark.parametrize("fault", [claims_not_carried_over, restart_keeps_answers])
 def test_a_planted_fault_is_found(
     fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Of a revision number one document is confirmed, and what is kept of numbers stays bounded."""
+"""Of each revision number one document is confirmed, and the number of stored claims stays bounded."""
 
 import random
 from collections import Counter
@@ -16,7 +16,7 @@
 from tests.system_world import World, document
 
 
-def founded(seed: int = 1, spares: int = 0) -> World:
+def started_world(seed: int = 1, spares: int = 0) -> World:
     world = World(7, 4, seed, spares=spares).start().run(4.0)
     assert put(world, 6, document(1)) == 200
     return world
@@ -28,49 +28,49 @@
     return int(answers[0][0]) if answers else 0
 
 
-def two(version: int) -> tuple[str, str]:
-    """Two documents of one number."""
+def two_documents(version: int) -> tuple[str, str]:
+    """Two documents under the same number."""
     return document(version, {"t": ["key-a"]}), document(version, {"t": ["key-b"]})
 
 
 def test_of_two_operators_under_one_number_one_is_confirmed_and_the_other_is_told_who_won() -> None:
-    world = founded()
+    world = started_world()
     world.lost_answers = 0.05
     for version in range(2, 14):
-        texts = two(version)
+        texts = two_documents(version)
         calls = [
             world.put(at, text) for at, text in zip((version % 7, (version + 3) % 7), texts, strict=True)
         ]
         world.run(5.0)
-        told = [answers[0][0] for answers in calls]
-        assert Counter(told) == {200: 1, 409: 1}
-        won = told.index(200)
+        statuses = [answers[0][0] for answers in calls]
+        assert Counter(statuses) == {200: 1, 409: 1}
+        won = statuses.index(200)
         assert digest_of(texts[won]) in calls[1 - won][0][1] and f"{version:08x}" in calls[1 - won][0][1]
         held = {
             gatekeeper.configuration.text for gatekeeper in world.gatekeepers() if gatekeeper.configuration
         }
-        assert held == {texts[won]}, "the refused one is in force somewhere"
-        assert put(world, (version + 5) % 7, texts[won], 5.0) == 200, "sent again and not confirmed"
+        assert held == {texts[won]}, "the refused document is in force somewhere"
+        assert put(world, (version + 5) % 7, texts[won], 5.0) == 200, "a repeat is not confirmed"
         assert put(world, (version + 5) % 7, texts[1 - won], 5.0) == 409
 
 
 def test_eight_orders_at_once_under_one_number_come_to_an_end_in_time() -> None:
     for seed in range(12):
-        world = founded(seed)
+        world = started_world(seed)
         texts = [document(9, {"t": [f"key-{number}"]}) for number in range(8)]
         calls = [world.put(number % 7, text) for number, text in enumerate(texts)]
         began = world.env.now
         world.run(6.0)
         assert Counter(answers[0][0] for answers in calls) == {200: 1, 409: 7}
-        assert max(answers[0][2] for answers in calls) - began < 3.0  # half of ack_within
+        assert max(answers[0][2] for answers in calls) - began < 3.0  # half of the bound ack_within
 
 
 def test_a_number_stays_given_through_losses_a_change_of_the_core_and_later_numbers() -> None:
-    world = founded(spares=1)
-    first, other = two(2)
+    world = started_world(spares=1)
+    first, other = two_documents(2)
     assert put(world, 5, first) == 200
     assert put(world, 4, document(7)) == 200
-    assert put(world, 3, first) == 200 and put(world, 3, other) == 409  # older: changes nothing
+    assert put(world, 3, first) == 200 and put(world, 3, other) == 409  # an older number changes nothing
     world.nodes[1].wipe()
     world.run(0.5)
     world.nodes[1].start()
@@ -86,32 +86,32 @@
 
 def test_an_order_whose_coordinator_dies_at_any_moment_is_confirmed_or_leaves_the_number_to_one() -> None:
     for seed in range(12):
-        chance, world = random.Random(seed), founded(seed)
-        first, other = two(3)
+        chance, world = random.Random(seed), started_world(seed)
+        first, other = two_documents(3)
         world.put(4, first)
         world.run(0.3 * chance.random())
         world.nodes[4].kill()
-        told = [put(world, 5, other, 5.0), put(world, 6, first, 5.0)]
-        assert sorted(told) == [200, 409]
+        statuses = [put(world, 5, other, 5.0), put(world, 6, first, 5.0)]
+        assert sorted(statuses) == [200, 409]
 
 
 def test_an_older_number_is_acknowledged_and_changes_nothing() -> None:
-    world = founded()
+    world = started_world()
     assert put(world, 2, document(9)) == 200
-    texts = two(5)
+    texts = two_documents(5)
     assert put(world, 3, texts[0]) == 200 and put(world, 4, texts[1]) == 409
     assert world.read(1)["revision"] == "00000009"
 
 
 def test_a_promise_that_is_not_kept_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    whole = Replica._vote
+    vote = Replica._vote
 
-    def faithless(self: Replica, *how: Any) -> Any:
+    def forgetful(self: Replica, *how: Any) -> Any:
         for key in [key for key in self.values if key.startswith(CLAIM_PREFIX)]:
-            del self.values[key]  # whose a number is is forgotten at once
-        return whole(self, *how)
+            del self.values[key]  # claims are forgotten immediately
+        return vote(self, *how)
 
-    monkeypatch.setattr(Replica, "_vote", faithless)
+    monkeypatch.setattr(Replica, "_vote", forgetful)
     monkeypatch.setattr(Replica, "_last_accepted", lambda self, key: None)
     monkeypatch.setattr(Replica, "_confirmed_claimant", lambda self, key: None)
     with pytest.raises(AssertionError):
@@ -123,28 +123,28 @@
     core = Core(2, {name: name for name in "abcd"})
     round = coordinator.decide(0.0, core, 1, "mine", 4.0, claim_key(7))
 
-    def hear(sender: str, kind: str, **more: str) -> Phase:
+    def handle(sender: str, kind: str, **more: str) -> Phase:
         ref = f"{round.ref}/{round.phase.value}"
         coordinator.handle_answer(0.0, sender, {"t": kind, "r": ref, "l": {}} | more)
         return round.phase
 
-    assert [hear(name, "promised") for name in "abc"][-1] is Phase.ACCEPTING
-    hear("c", "no", won="theirs")
-    assert hear("d", "no", won="theirs") is Phase.ACCEPTING  # two of four are no majority
-    assert hear("a", "accepted") is Phase.DONE and round.proposal == "theirs"
+    assert [handle(name, "promised") for name in "abc"][-1] is Phase.ACCEPTING
+    handle("c", "no", won="theirs")
+    assert handle("d", "no", won="theirs") is Phase.ACCEPTING  # two of four are not a majority
+    assert handle("a", "accepted") is Phase.DONE and round.proposal == "theirs"
 
 
 def test_claims_are_bounded_and_a_forgotten_number_is_acknowledged(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replica, "MAX_CLAIMS", 16)
-    world = founded()
+    world = started_world()
     for version in range(2, 60):
         assert put(world, version % 7, document(version), 0.7) == 200
     for node in world.nodes[:4]:
         assert node.disk is not None
         assert 16 <= sum(key.startswith(CLAIM_PREFIX) for key in node.disk) <= 16 + 16 // 8 + 1
         assert sum(key.startswith("own/" + CLAIM_PREFIX) for key in node.disk) <= 16 + 16 // 8 + 1
-    assert put(world, 5, two(3)[0]) == 200, "older than all that is known"
-    assert put(world, 5, two(55)[0]) == 409
+    assert put(world, 5, two_documents(3)[0]) == 200, "a number older than all stored claims is acknowledged"
+    assert put(world, 5, two_documents(55)[0]) == 409
     assert world.read(6)["revision"] == f"{59:08x}"
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Daily operation: the operators' line, and clients sent away and taken again."""
+"""Daily operation: the operators' line, and draining clients and accepting them again."""
 
 import socket
 from pathlib import Path
@@ -104,21 +104,21 @@
         await answer(200, b"slow")(stream)
 
     member = Peer(answer(200, b"first"), slow)
-    async with running_node(member) as on, await on.client() as resting, await on.client() as waiting:
-        assert b"Connection: close" not in await on.ask(request(), resting)
+    async with running_node(member) as on, await on.client() as idle_client, await on.client() as waiting:
+        assert b"Connection: close" not in await on.ask(request(), idle_client)
         await waiting.send(request())
         await member.wait_until(lambda peer: len(peer.seen) == 2)
         for call in (b"drain-on\n", b"drain-off\n", b"drain-on\n", b"drain-on\n"):
             assert (await on.call_admin(call)).startswith(b"SUCCESS")
         assert status(await on.ask(HEALTH)) == 503
-        assert status(await on.ask(request())) == 200  # the front still brings new connections
+        assert status(await on.ask(request())) == 200  # the load balancer still sends connections
         with anyio.fail_after(TEST_TIMEOUT_S), pytest.raises(anyio.EndOfStream):
-            await resting.receive()
+            await idle_client.receive()
         finish.set()
         with anyio.fail_after(TEST_TIMEOUT_S):
             last = await read_message(waiting)
             assert status(last) == 200 and b"Connection: close" in last
-            async with await on.client() as idle:  # says nothing while clients are sent away
+            async with await on.client() as idle:  # sends nothing while clients are drained
                 with pytest.raises(anyio.EndOfStream):
                     await idle.receive()
         assert await on.call_admin(b"check\n") == b"SUCCESS serves; clients are sent away\n"
@@ -132,7 +132,7 @@
             await on.call_admin(b"drain-on\n")
             on.node.stop()
             assert (await on.call_admin(b"drain-off\n")).startswith(b"FAILURE")
-            assert status(await on.ask(request(), again)) == 200  # taken until the front has noticed
+            assert status(await on.ask(request(), again)) == 200  # accepted until the load balancer notices
         with anyio.fail_after(TEST_TIMEOUT_S):
             await on.ended.wait()
 
@@ -141,7 +141,8 @@
 async def test_who_waits_to_be_accepted_when_the_listener_closes_is_served() -> None:
     async with running_node(Peer()) as on:
         host, _, port = on.address.rpartition(":")
-        waiting = [socket.create_connection((host, int(port))) for _ in range(40)]  # no turn of the loop yet
+        # Connected before the event loop runs again
+        waiting = [socket.create_connection((host, int(port))) for _ in range(40)]
         on.node.server.stop_accepting()
         for sock in waiting:
             async with await anyio.abc.SocketStream.from_socket(sock) as stream:
@@ -150,11 +151,11 @@
 
 def test_the_second_address_of_the_environment_wins_and_one_in_use_is_named(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        told = f"127.0.0.1:{taken.getsockname()[1]}"
-        process = started(tmp_path, good() | {"admin_addr": "127.0.0.1:0"}, NODE_ADMIN_ADDR=told)
+        address = f"127.0.0.1:{taken.getsockname()[1]}"
+        process = started(tmp_path, good() | {"admin_addr": "127.0.0.1:0"}, NODE_ADMIN_ADDR=address)
         _, errors = process.communicate(timeout=20)
     assert process.returncode == 2
-    assert f"admin_addr: {told}" in errors and "Traceback" not in errors
+    assert f"admin_addr: {address}" in errors and "Traceback" not in errors
     process = started(tmp_path, good() | {"admin_addr": "nowhere"})
     assert "admin_addr: 'nowhere'" in process.communicate(timeout=20)[1]
     assert process.returncode == 2
