--- a/tests/test_operation_claims.py
+++ b/tests/test_operation_claims.py
@@ -1,6 +1,6 @@
 """Operation keys in whole fleets in simulated time: clients repeat keys at any gatekeeper while processes are
-killed, disks are wiped, parts are cut off and all lose power. No key runs twice, and a repeat is given the
-first run's answer. Each checker is shown a fault that it must find."""
+killed, disks are wiped, nodes are cut off and all machines lose power. No key runs twice, and repeats receive
+the first run's answer. Each checker must find a planted fault."""
 
 import random
 from collections.abc import Callable, Generator
@@ -24,51 +24,51 @@
 WIDEN_S, EXPIRE_S = 0.1, 0.26
 WINDOW_S = 60.0
 Process = Generator[Any, Any, None]
-Trouble = Callable[["Scenario"], Process]
+Disturbance = Callable[["Scenario"], Process]
 
 
 class Scenario:
-    """One fleet, clients that repeat a few keys, and what ran."""
+    """One fleet, clients that repeat a few keys, and the attempts that ran."""
 
     def __init__(self, seed: int, n: int = 11, disks: int = 4) -> None:
         self.random = random.Random(seed)
         self.world = World(n, disks, seed).start().run(6.0)
         self.world.put(5, document(1))
         self.world.run(3.0)
-        self.runs: dict[str, list[str]] = {}  # by key, the attempts that were sent to a server
-        self.wrong: list[str] = []
+        self.runs: dict[str, list[str]] = {}  # key: attempts that were sent to a server
+        self.wrong_answers: list[str] = []
         self.outcomes = dict.fromkeys(Outcome, 0)
 
     def request(self, node: Node, key: str) -> None:
-        """One client's request, as the proxy has it claimed and ended."""
+        """One client's request, claimed and completed as the proxy does it."""
         gatekeeper, life = node.gatekeeper, node.life
         if gatekeeper is None or node.backlog is not None:
             return
         gatekeeper.now = node.now()
         claims, pending = gatekeeper.operations.claims, None
 
-        def decided(outcome: Outcome, answer: StoredAnswer | None) -> None:
+        def on_decision(outcome: Outcome, answer: StoredAnswer | None) -> None:
             self.outcomes[outcome] += 1
             if outcome is Outcome.RUN:
-                self.world.env.process(runs())
+                self.world.env.process(run())
             elif outcome is Outcome.REPEAT:
                 assert answer is not None
                 if answer.body.decode() not in self.runs.get(key, []):
-                    self.wrong.append(f"{key}: given {answer.body!r}")
+                    self.wrong_answers.append(f"{key}: repeat received {answer.body!r}")
 
-        def runs() -> Process:
+        def run() -> Process:
             yield self.world.env.timeout(0.0)
             assert pending is not None
-            if self.random.random() < 0.1:  # no server takes it
+            if self.random.random() < 0.1:  # no server accepts it
                 claims.withdraw(pending)
                 return
             self.runs.setdefault(key, []).append(pending.attempt)
             yield self.world.env.timeout(self.random.uniform(0.02, 0.5))
             if node.life == life and self.random.random() < 0.9:
-                told = StoredAnswer(200, (), pending.attempt.encode())
-                claims.finish(pending, told, frozenset(), lambda: None)
+                stored = StoredAnswer(200, (), pending.attempt.encode())
+                claims.finish(pending, stored, frozenset(), lambda: None)
 
-        def waits(claim: PendingClaim) -> Process:
+        def wait(claim: PendingClaim) -> Process:
             yield self.world.env.timeout(WIDEN_S)
             if node.life == life:
                 claims.widen(claim)
@@ -76,9 +76,9 @@
             if node.life == life:
                 claims.expire(claim)
 
-        pending = claims.begin(operation_id("t", key), 4.0, decided)
+        pending = claims.begin(operation_id("t", key), 4.0, on_decision)
         if pending is not None:
-            self.world.env.process(waits(pending))
+            self.world.env.process(wait(pending))
 
     def clients(self, seconds: float, keys: int) -> None:
         """Requests at random gatekeepers, each key several times within the window."""
@@ -91,11 +91,11 @@
         twice = [
             f"{key}: ran {len(attempts)} times" for key, attempts in self.runs.items() if len(attempts) > 1
         ]
-        return twice + self.wrong
+        return twice + self.wrong_answers
 
 
 def wipes(scenario: Scenario) -> Process:
-    """One disk at a time is lost, as many as are borne at once."""
+    """One disk at a time is lost: as many as the fleet tolerates at once."""
     for _ in range(3):
         yield scenario.world.env.timeout(scenario.random.uniform(2.0, 4.0))
         node = scenario.world.nodes[scenario.random.randrange(4)]
@@ -106,11 +106,11 @@
 
 
 def kills(scenario: Scenario) -> Process:
-    """Any process, and now and then all that have a disk at once."""
+    """Any process is killed, and sometimes all processes with a disk at once."""
     for _ in range(5):
         yield scenario.world.env.timeout(scenario.random.uniform(1.0, 3.0))
-        whole = scenario.random.random() < 0.4
-        nodes = scenario.world.nodes[:4] if whole else [scenario.random.choice(scenario.world.nodes)]
+        all_disks = scenario.random.random() < 0.4
+        nodes = scenario.world.nodes[:4] if all_disks else [scenario.random.choice(scenario.world.nodes)]
         for node in nodes:
             node.kill()
         yield scenario.world.env.timeout(0.5)
@@ -119,7 +119,7 @@
 
 
 def cuts(scenario: Scenario) -> Process:
-    """Some are cut off from all others, one with a disk among them."""
+    """Some nodes, one of them with a disk, are cut off from all others."""
     for _ in range(3):
         yield scenario.world.env.timeout(scenario.random.uniform(1.0, 3.0))
         alone = {scenario.random.randrange(4), *scenario.random.sample(range(4, 11), 3)}
@@ -129,7 +129,7 @@
 
 
 def freezes(scenario: Scenario) -> Process:
-    """One with a disk stands still; what is sent to it waits."""
+    """A node with a disk freezes; messages to it wait."""
     for _ in range(4):
         yield scenario.world.env.timeout(scenario.random.uniform(1.0, 3.0))
         node = scenario.world.nodes[scenario.random.randrange(4)]
@@ -140,8 +140,8 @@
         node.thaw()
 
 
-def ends_in_turn(scenario: Scenario) -> Process:
-    """Those with a disk get SIGTERM one after another, and each starts again soon after its end."""
+def restarts_in_turn(scenario: Scenario) -> Process:
+    """Nodes with a disk get SIGTERM one after another; each restarts soon after it has exited."""
     for number in (0, 1, 2, 3, 0, 1):
         node = scenario.world.nodes[number]
         if node.gatekeeper is None:
@@ -155,7 +155,7 @@
 
 
 def full_disks(scenario: Scenario) -> Process:
-    """One disk after another refuses every write for a while; now and then its process is killed, too."""
+    """One disk after another refuses every write for a while; sometimes its process is killed too."""
     for _ in range(4):
         yield scenario.world.env.timeout(scenario.random.uniform(1.0, 2.0))
         node = scenario.world.nodes[scenario.random.randrange(4)]
@@ -168,47 +168,47 @@
             node.start()
 
 
-def run_scenario(seed: int, troubles: tuple[Trouble, ...]) -> Scenario:
+def run_scenario(seed: int, disturbances: tuple[Disturbance, ...]) -> Scenario:
     scenario = Scenario(seed)
     scenario.world.lost_answers = 0.02
-    for trouble in troubles:
-        scenario.world.env.process(trouble(scenario))
+    for disturbance in disturbances:
+        scenario.world.env.process(disturbance(scenario))
     scenario.clients(20.0, keys=60)
     return scenario
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize(
-    "troubles",
+    "disturbances",
     [(), (wipes,), (kills, cuts), (freezes, cuts), (wipes, freezes), (full_disks,)],
     ids=lambda them: "+".join(t.__name__ for t in them) or "calm",
 )
 def test_no_key_runs_twice_and_a_repeat_is_given_the_first_answer(
-    seed: int, troubles: tuple[Trouble, ...]
+    seed: int, disturbances: tuple[Disturbance, ...]
 ) -> None:
-    scenario = run_scenario(seed, troubles)
+    scenario = run_scenario(seed, disturbances)
     assert scenario.faults() == []
-    assert len(scenario.runs) > 30  # keys run, whatever happens
+    assert len(scenario.runs) > 30  # keys run despite the disturbances
     assert scenario.outcomes[Outcome.REPEAT] > 50
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_no_key_runs_twice_while_members_end_in_order_and_come_back(seed: int) -> None:
     scenario = Scenario(seed)
-    scenario.world.env.process(ends_in_turn(scenario))
+    scenario.world.env.process(restarts_in_turn(scenario))
     scenario.clients(35.0, keys=120)
     assert scenario.faults() == []
     assert len(scenario.runs) > 60
 
 
 def test_what_a_full_disk_did_not_take_is_kept_once_it_does() -> None:
-    """A replica that gathers while its disk is full is complete once all that it was told is on its disk."""
+    """A replica that gathers while its disk is full is complete once all gathered rows are on its disk."""
     made = store({})
     made.add_gathered(1.0, {"o": Operation("a", 0.0).to_row()}, epoch=2)
     batch = made.next_batch()
     assert batch is not None and "o" in batch.rows
     made.synced(batch, ok=False)
-    assert not made.complete and made.next_batch() is None  # not at once: the disk would be asked without end
+    assert not made.complete and made.next_batch() is None  # no immediate retry: it would loop on a full disk
     made.tick(1.25, epoch=2)
     again = made.next_batch()
     assert again is not None and again.rows.keys() == {"o", COMPLETE_KEY}
@@ -225,7 +225,7 @@
     before = dict(scenario.outcomes)
     scenario.clients(6.0, keys=40)
     assert scenario.faults() == [] and ran
-    assert scenario.outcomes[Outcome.REPEAT] > before[Outcome.REPEAT]  # the answers were on disks
+    assert scenario.outcomes[Outcome.REPEAT] > before[Outcome.REPEAT]  # the answers were on disk
 
 
 def test_a_key_that_was_withdrawn_runs_and_one_past_the_window_runs_again() -> None:
@@ -241,17 +241,17 @@
 def test_a_planted_replica_that_forgets_is_found(
     monkeypatch: pytest.MonkeyPatch, violations: list[tuple[Invariant, str]]
 ) -> None:
-    """The check itself: replicas whose lost disks count as complete let keys run twice."""
-    made = OperationStore.__init__
+    """Checks the checker: replicas that count lost disks as complete let keys run twice."""
+    init = OperationStore.__init__
 
-    def forgets(self: OperationStore, kept: dict[str, str], *more: Any) -> None:
-        made(self, kept, *more)
+    def forgets(self: OperationStore, stored: dict[str, str], *more: Any) -> None:
+        init(self, stored, *more)
         self.complete = True
 
     monkeypatch.setattr(OperationStore, "__init__", forgets)
     scenario = Scenario(2)
     scenario.clients(5.0, keys=20)
-    # A majority of four is three: two that forget and one that never knew
+    # A majority of four is three: two replicas that forget and one that never had the claim
     for node in scenario.world.nodes[:2]:
         node.operation_rows.clear()
         node.kill()
@@ -265,11 +265,11 @@
 def test_a_planted_grant_to_whoever_asks_is_found(
     monkeypatch: pytest.MonkeyPatch, violations: list[tuple[Invariant, str]]
 ) -> None:
-    real = OperationStore.claim
+    claim_operation = OperationStore.claim
 
     def grants(self: OperationStore, now: float, via: Any, claim: Claim, epoch: int) -> list[Reply]:
         self.operations.pop(claim.operation, None)
-        return real(self, now, via, claim, epoch)
+        return claim_operation(self, now, via, claim, epoch)
 
     monkeypatch.setattr(OperationStore, "claim", grants)
     assert run_scenario(1, ()).faults()
@@ -279,8 +279,8 @@
 # ---- one replica -------------------------------------------------------------------------------------
 
 
-def store(kept: dict[str, str], now: float = 0.0) -> OperationStore:
-    return OperationStore(kept, False, WINDOW_S, now)
+def store(rows: dict[str, str], now: float = 0.0) -> OperationStore:
+    return OperationStore(rows, False, WINDOW_S, now)
 
 
 def test_a_replica_that_may_have_forgotten_grants_nothing_until_the_window_has_passed() -> None:
@@ -325,7 +325,7 @@
     assert batch is not None
     [reply] = made.synced(batch, ok=False)
     assert reply.message["v"] == "no"
-    assert made.claim(2.0, "via", Claim("o", "b", 2), 2) == []  # nothing stands in its way
+    assert made.claim(2.0, "via", Claim("o", "b", 2), 2) == []  # the refused claim does not block it
 
 
 def test_a_claim_for_another_epoch_is_not_granted() -> None:
@@ -349,11 +349,11 @@
     assert store({}).page(Gather(2), 2) is None
 
 
-# ---- who has the answer ------------------------------------------------------------------------------
+# ---- where answers are stored ------------------------------------------------------------------------
 
 
 def test_an_answer_is_kept_only_where_it_may_be_stored() -> None:
-    """By the owner and its successor of the allowed region; the claim, which tells nothing, by a majority."""
+    """Owner and successor in the allowed region store it; a majority has the claim, which reveals nothing."""
     scenario = Scenario(4)
     node, operation = scenario.world.nodes[9], operation_id("t", "homed")
     gatekeeper = node.gatekeeper
@@ -365,10 +365,10 @@
     assert pending is not None
     scenario.world.run(1.0)
     assert granted == [Outcome.RUN]
-    kept: list[bool] = []
-    claims.finish(pending, StoredAnswer(200, (), b"private"), frozenset({"b"}), lambda: kept.append(True))
+    stored: list[bool] = []
+    claims.finish(pending, StoredAnswer(200, (), b"private"), frozenset({"b"}), lambda: stored.append(True))
     scenario.world.run(1.0)
-    assert kept == [True]
+    assert stored == [True]
     holders = {
         other.zone[0]
         for other in scenario.world.nodes[:4]
--- a/tests/test_operation_keys.py
+++ b/tests/test_operation_keys.py
@@ -1,4 +1,4 @@
-"""Requests with an operation key: the first one runs, a repeat is given its answer, nothing runs twice."""
+"""Requests with an operation key: the first one runs, repeats receive its answer, nothing runs twice."""
 
 import asyncio
 from pathlib import Path
@@ -6,7 +6,7 @@
 from tests.system_world import document
 from tests.test_gatekeeper_calls import KEY, SEAL, play, quick, says, stage
 
-__all__ = ["quick"]  # a fixture: a core of one is founded at once
+__all__ = ["quick"]  # a fixture: a core of one is bootstrapped at once
 
 KEYED = "Millfront-Operation-Key: k-1\r\n" + KEY
 
@@ -27,10 +27,10 @@
 
 def test_a_repeat_while_the_first_is_at_work_is_told_so(tmp_path: Path) -> None:
     async def scenario() -> None:
-        goes_on = asyncio.Event()
+        may_answer = asyncio.Event()
 
         async def slow(head: bytes, writer: asyncio.StreamWriter, number: int) -> None:
-            await goes_on.wait()
+            await may_answer.wait()
             await says(body=b"first", more=SEAL)(head, writer, number)
 
         async with stage(tmp_path, [slow]) as made:
@@ -39,7 +39,7 @@
             while not made.seen:
                 await asyncio.sleep(0)
             assert (await made.ask("POST", "/p/a2", b"x", more=KEYED))[0] == 409
-            goes_on.set()
+            may_answer.set()
             assert (await first)[2] == b"first"
             assert (await made.ask("POST", "/p/a3", b"x", more=KEYED))[2] == b"first"
             assert len(made.seen) == 1
@@ -48,16 +48,16 @@
 
 
 def test_a_servers_own_503_is_no_answer_for_a_repeat_though_the_first_client_has_left(tmp_path: Path) -> None:
-    """It has run: given to a repeat, that 503 would promise that it has not."""
+    """The request has run; the same 503 to a repeat would promise that it has not."""
 
     async def scenario() -> None:
         left = asyncio.Event()
 
-        async def refuses(head: bytes, writer: asyncio.StreamWriter, number: int) -> None:
+        async def answer_503(head: bytes, writer: asyncio.StreamWriter, number: int) -> None:
             await left.wait()
             await says(status="503 Busy", body=b"")(head, writer, number)
 
-        async with stage(tmp_path, [refuses, says(body=b"second", more=SEAL)]) as made:
+        async with stage(tmp_path, [answer_503, says(body=b"second", more=SEAL)]) as made:
             assert await made.put(document(2, {"t": ["key-1"]}, kind="keyed")) == 200
             first = asyncio.create_task(made.ask("POST", "/p/a1", b"x", more=KEYED))
             while not made.seen:
