--- a/tests/linear.py
+++ b/tests/linear.py
@@ -1,14 +1,14 @@
-"""Whether a history of calls is linearizable: whether each call can be given one moment between its beginning
-and its answer so that, in the order of these moments, the object does what the callers were told.
+"""Decides whether a history of calls is linearizable: whether each call can be assigned a moment between its
+start and its answer so that, in the order of these moments, the object returns what the callers received.
 
-The algorithm is Wing and Gong's search with Lowe's memoisation: of the steps that nothing unplaced has to
-come before, each is tried as the next one, and a set of placed steps with the state that it led to is tried
-once. A call without a clear answer may take effect at any later moment or never. A step that changes nothing
-is placed as soon as it may be: nothing is lost by it, unless it would change something later (`stable`).
+The algorithm is Wing and Gong's search with Lowe's memoisation: every step that no unplaced step must precede
+is tried as the next one, and each pair of placed steps and resulting state is tried once. A call without a
+clear answer may take effect at any later moment or never. A step that changes nothing is placed as early as
+possible: this loses no order, unless the step would change something later (`stable`).
 
 `Register` is the object that operators see: revision numbers with one document each, of which the highest
-stored one holds. To put a document is two steps, since another operator may be refused for it before it is in
-force: its number is claimed, then it is stored.
+stored one is in force. Putting a document takes two steps, because another operator may be refused for it
+before it is in force: its number is claimed, then it is stored.
 """
 
 import math
@@ -17,31 +17,31 @@
 from typing import Any
 
 State = Hashable
-NEVER = math.inf  # when a call without a clear answer ends
-MAX_SETS = 400_000  # sets tried; beyond, the search gives up rather than say yes
+NEVER = math.inf  # end of a call without a clear answer
+MAX_SETS = 400_000  # limit on the sets tried; beyond it the search gives up instead of accepting
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """`apply` gives the state after it, or None where the caller can't have been told what it was told."""
+    """`apply` returns the state after the step, or None if the caller can't have received its answer then."""
 
     begun: float
     ended: float
     apply: Callable[[Any], State | None]
     name: str
-    required: bool = True  # it took place; else it may have
-    predecessor: int = -1  # the step before it of the same call
-    stable: bool = True  # where it changes nothing now, it will not later: a read, or what only rises
+    required: bool = True  # it took effect; False: it may have
+    predecessor: int = -1  # index of the previous step of the same call
+    stable: bool = True  # if it changes nothing now, it will not later: a read, or a value that only rises
 
 
 class TooLong(Exception):
-    """The search was given up."""
+    """The search was abandoned."""
 
 
 def linearizable(steps: Sequence[Step], first: State) -> list[str] | None:
-    """None: it is. Else the names of the longest order that was found, and what could not follow it.
+    """None if it is; otherwise the names of the longest order found, then of the steps that could not follow.
 
-    :raises TooLong: neither was found in MAX_SETS sets
+    :raises TooLong: undecided after MAX_SETS sets
     """
     required = sum(1 << i for i, step in enumerate(steps) if step.required)
     by_end = sorted((i for i, step in enumerate(steps) if step.required), key=lambda i: steps[i].ended)
@@ -53,7 +53,7 @@
         placed, state, order = stack.pop()
         successors: list[tuple[int, State]] = []
         progressed = True
-        while progressed:  # what changes nothing is placed at once
+        while progressed:  # steps that change nothing are placed immediately
             progressed, successors = False, []
             limit = next((steps[i].ended for i in by_end if not placed >> i & 1), NEVER)
             for i in by_begin:
@@ -80,12 +80,12 @@
             raise TooLong(f"{len(steps)} steps")
         stack += [(placed | 1 << i, then, [*order, i]) for i, then in reversed(successors)]
     left = [step.name for i, step in enumerate(steps) if step.required and i not in best]
-    return [steps[i].name for i in best] + ["-- and then none of --", *left]
+    return [steps[i].name for i in best] + ["-- then none of --", *left]
 
 
 @dataclass(slots=True)
 class Call:
-    """One call of an operator: `put` of a document under a number, or `get`. `status` 0: no clear answer."""
+    """An operator's call: `put` of a document under a number, or `get`. `status` 0: no clear answer."""
 
     kind: str
     begun: float
@@ -97,34 +97,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """Which document each number was claimed for, and the highest number that is stored."""
+    """The document that each number was claimed for, and the highest stored number."""
 
     claimed: frozenset[tuple[int, str]] = frozenset()
     held: int = 0
 
-    def of(self, number: int) -> str | None:
+    def document_of(self, number: int) -> str | None:
         return next((document for n, document in self.claimed if n == number), None)
 
     def claim(self, number: int, document: str) -> "Register | None":
-        has = self.of(number)
-        if has is None:
+        claimed = self.document_of(number)
+        if claimed is None:
             return Register(self.claimed | {(number, document)}, self.held)
-        return self if has == document else None
+        return self if claimed == document else None
 
     def store(self, number: int, document: str) -> "Register | None":
-        if self.of(number) != document:
+        if self.document_of(number) != document:
             return None
         return self if self.held >= number else Register(self.claimed, number)
 
     def refused(self, number: int, document: str) -> "Register | None":
-        return self if self.of(number) not in (None, document) else None
+        return self if self.document_of(number) not in (None, document) else None
 
     def got(self, number: int, document: str) -> "Register | None":
-        return self if self.held == number and (not number or self.of(number) == document) else None
+        return self if self.held == number and (not number or self.document_of(number) == document) else None
 
 
 def fault(calls: Sequence[Call]) -> list[str] | None:
-    """None: the history is one of a register. A put without a clear answer counts where anybody saw of it."""
+    """None if a register allows the history. A put without a clear answer counts if its effect was seen."""
     read = {(c.number, c.document) for c in calls if c.kind == "get" and c.status == 200}
     refused = {c.number for c in calls if c.status == 409}
     steps: list[Step] = []
--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -1,4 +1,4 @@
-"""The checker of linearizability finds what is planted in histories, and agrees with a search of all
+"""The linearizability checker finds planted faults in histories, and agrees with an exhaustive search of all
 orders."""
 
 import itertools
@@ -56,7 +56,7 @@
 
 
 def test_a_step_that_would_change_something_later_is_not_placed_early() -> None:
-    """Of two writes at once the one that changes nothing yet may be the last."""
+    """Of two concurrent writes, the one that changes nothing now may be the last."""
 
     def writes(word: bool) -> Step:
         return Step(0, 5, lambda _: word, f"write {word}", stable=False)
@@ -68,8 +68,8 @@
     assert linearizable([writes(False), writes(True), reads(6, False), reads(8, True)], False) is not None
 
 
-def anyhow(calls: list[Call]) -> bool:
-    """By all orders of all steps, those of calls without a clear answer left out or in."""
+def linearizable_by_brute_force(calls: list[Call]) -> bool:
+    """Tries all orders of all steps, with and without those of calls that had no clear answer."""
     parts: list[tuple[Call, str]] = []
     for call in calls:
         if call.kind == "put" and call.status != 409:
@@ -98,7 +98,7 @@
 
 
 def test_it_agrees_with_a_search_of_all_orders_on_random_histories() -> None:
-    chance, found = random.Random(7), {True: 0, False: 0}
+    chance, counts = random.Random(7), {True: 0, False: 0}
     for _ in range(500):
         calls, steps = [], 0
         while steps < 5:
@@ -113,7 +113,7 @@
             else:
                 calls.append(put(begun, ended, number, document, chance.choice((200, 200, 200, 409, 0))))
             steps += 2 if calls[-1].kind == "put" and calls[-1].status != 409 else 1
-        sound = anyhow(calls)
+        sound = linearizable_by_brute_force(calls)
         assert (fault(calls) is None) is sound, calls
-        found[sound] += 1
-    assert min(found.values()) > 50, found
+        counts[sound] += 1
+    assert min(counts.values()) > 50, counts
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,6 +1,6 @@
-"""The control side under the operators' worst days, in a simulated world with the very gatekeepers: a core
-machine cut off for twenty seconds, two operators under one number, evacuations in quick turn, and random
-histories of all that, whose answers are held to a register's (tests/linear.py). The proofs stand in
+"""The control plane under severe faults, in a simulated world with the production gatekeepers: a core machine
+cut off for twenty seconds, two operators using one revision number, evacuations in quick succession, and
+random histories of all these, whose answers must be those of a register (tests/linear.py). The proofs are in
 docs/design/control-faults.md.
 """
 
@@ -22,24 +22,24 @@
 from tests import linear
 from tests.system_world import Node, World, document
 
-OFF = 0  # the machine that is cut off, of the core
+OFF = 0  # number of the core machine that is cut off
 
 
 class Operators:
-    """What operators send to a world, and what they are told: `calls` is the register's history."""
+    """The calls of operators to a world, with their answers: `calls` is the register's history."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.calls: list[linear.Call] = []
-        self.lost: Callable[[], bool] = lambda: False  # an answer to an operator
-        self.acknowledged: list[tuple[float, int]] = []  # when, and which version
-        self.answers: list[tuple[int, linear.Call]] = []  # by whom
+        self.lost: Callable[[], bool] = lambda: False  # whether an answer to an operator is lost
+        self.acknowledged: list[tuple[float, int]] = []  # (time, version)
+        self.answers: list[tuple[int, linear.Call]] = []  # (node number, call)
 
     def put(self, at: int, number: int, letter: str = "a") -> linear.Call:
         call = self._begun(at, linear.Call("put", self.world.env.now, number, letter))
         text = document(number, {"t": [f"key-{number}-{letter}"]})
 
-        def told(status: int, _: str) -> None:
+        def answered(status: int, _: str) -> None:
             if not self.lost():
                 call.status = status if status in (200, 409) else 0
                 call.ended = self.world.env.now if call.status else linear.NEVER
@@ -47,20 +47,20 @@
                 if status == 200:
                     self.acknowledged.append((self.world.env.now, number))
 
-        self._to(at, lambda gatekeeper, now: gatekeeper.put(now, text, told))
+        self._to(at, lambda gatekeeper, now: gatekeeper.put(now, text, answered))
         return call
 
     def get(self, at: int) -> linear.Call:
         call = self._begun(at, linear.Call("get", self.world.env.now))
 
-        def told(status: int, text: str) -> None:
+        def answered(status: int, text: str) -> None:
             call.status, call.ended = status, self.world.env.now
             if status == 200:
                 read = json.loads(text)
                 call.number, call.document = int(read["revision"], 16), _letter(text)
             self.answers.append((at, call))
 
-        self._to(at, lambda gatekeeper, now: gatekeeper.read(now, told))
+        self._to(at, lambda gatekeeper, now: gatekeeper.read(now, answered))
         return call
 
     def _begun(self, at: int, call: linear.Call) -> linear.Call:
@@ -73,7 +73,7 @@
             node.goes_on(lambda: does(node.gatekeeper, node.now()) if node.gatekeeper else None)
 
     def newest(self, by: float) -> int:
-        """The newest version that was acknowledged by then."""
+        """The newest version that was acknowledged by that time."""
         return max((number for at, number in self.acknowledged if at <= by), default=0)
 
 
@@ -83,7 +83,7 @@
     )
 
 
-def founded(n: int = 6, disks: int = 4, seed: int = 1) -> tuple[World, Operators]:
+def started_world(n: int = 6, disks: int = 4, seed: int = 1) -> tuple[World, Operators]:
     world = World(n, disks, seed).start().run(4.0)
     operators = Operators(world)
     first = operators.put(n - 1, 1)
@@ -93,11 +93,11 @@
 
 
 def watch(world: World, operators: Operators, each_s: float = 0.05) -> list[str]:
-    """What no process may do, whether it is in touch or not, looked at all the time: say that it knows the
-    newest where a newer version was acknowledged for longer than its word counts; or go back."""
+    """Checks every process all the time, connected or not: none may claim to know the newest version when a
+    newer one was acknowledged longer ago than that claim's bound; none may go back to an older version."""
     faults: list[str] = []
 
-    def look(node: Node) -> None:
+    def check(node: Node) -> None:
         gatekeeper, at = node.gatekeeper, world.env.now
         if gatekeeper is None:
             return
@@ -116,13 +116,13 @@
         ):
             faults.append(f"{at:.2f}: {node.name} is ready without a lease")
 
-    def looking() -> Generator[Any, Any, None]:
+    def checking() -> Generator[Any, Any, None]:
         while True:
             for node in world.nodes:
-                look(node)
+                check(node)
             yield world.env.timeout(each_s)
 
-    world.env.process(looking())
+    world.env.process(checking())
     return faults
 
 
@@ -131,7 +131,7 @@
 
 @contextmanager
 def away(world: World, how: str) -> Iterator[Node]:
-    """The machine OFF, cut off, frozen or slowed."""
+    """The machine OFF while it is cut off, frozen or slowed."""
     node, off = world.nodes[OFF], True
     ways: dict[str, Callable[[Node, Node], bool]] = {
         "cut": lambda a, b: off and OFF in (a.number, b.number),
@@ -156,20 +156,20 @@
 
 
 def cut_off_for_twenty_seconds(how: str) -> tuple[World, Operators, list[str]]:
-    """Both sides get orders, reads and evacuations; what was cut off comes back."""
-    world, operators = founded()
+    """Both sides receive puts, reads and evacuations; then the machine that was cut off returns."""
+    world, operators = started_world()
     faults = watch(world, operators)
-    there: list[list[Any]] = []  # what operators of evacuations are told at the machine, and at the others
+    there: list[list[Any]] = []  # answers to evacuation orders sent to the machine; below: sent to the others
     elsewhere: list[list[Any]] = []
     with away(world, how) as node:
         for second in range(20):
-            operators.put(1 + second % 5, 10 + 2 * second)  # the operators that reach the others
+            operators.put(1 + second % 5, 10 + 2 * second)  # operators who reach the other machines
             operators.get(OFF)
             operators.get(1 + (second + 2) % 5)
-            if second % 4 == 1:  # one that reaches the machine: an order of its own, and one that is old
+            if second % 4 == 1:  # an operator who reaches the machine: a new number and an old one
                 operators.put(OFF, 10 + 2 * second + 1)
                 operators.put(OFF, 10)
-                until = world.env.now + 1.0  # then its operator goes elsewhere
+                until = world.env.now + 1.0  # then the operator gives up on this machine
                 there.append(evacuate(world, OFF, second % 8 == 1, lambda until=until: world.env.now < until))  # type: ignore[misc]
                 elsewhere.append(evacuate(world, 1 + second % 5, second % 8 == 5))
             world.run(1.0)
@@ -179,14 +179,14 @@
                 assert not node.gatekeeper.sure(now) and not node.gatekeeper.trusted(now)
                 named = node.gatekeeper.resolve(now, "a")
                 assert node.plain not in named and (how == "heard by nobody" or not named)
-    for _ in range(10):  # it comes back
+    for _ in range(10):  # the machine is back
         operators.get(OFF)
         world.run(0.1)
     world.run(8.0)
     operators.get(OFF)
     world.run(3.0)
     assert operators.calls[-1].status == 200
-    if any(answers[0][0] != 200 for answers in elsewhere) or evacuated(world):  # the last took it back
+    if any(answers[0][0] != 200 for answers in elsewhere) or evacuated(world):  # the last order revoked it
         faults.append(f"evacuated: {evacuated(world)}, {elsewhere}")
     if any(answers and answers[0][0] != 503 for answers in there):
         faults.append(f"confirmed an evacuation: {there}")
@@ -204,13 +204,13 @@
     )
     assert all(gatekeeper.ready(node.now()) for node in world.nodes if (gatekeeper := node.gatekeeper))
     own = [call for at, call in operators.answers if at == OFF]
-    if how.startswith("cut"):  # nothing but 503 while it was cut off, nothing refused
+    if how.startswith("cut"):  # while it was cut off: no answers but 503, and no refusals
         during = [call for call in own if 6.2 < call.begun < 25.9 and call.ended < 26.0]
         assert during and all(call.status in (0, 503) for call in during), during
 
 
 def test_an_answer_that_is_read_from_what_a_process_holds_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A planted fault of point 1."""
+    """Planted fault: a read answers from what the process holds."""
 
     def held(gatekeeper: Gatekeeper, now: float, done: Callable[[int, str], None]) -> None:
         done(200, gatekeeper.subscriber.values[CONFIG].data)
@@ -221,13 +221,13 @@
 
 
 def frozen_with_a_question_under_way() -> list[str]:
-    """The replicas' answers, given before it was frozen, lie in its buffers for twenty seconds."""
-    world, operators = founded()
+    """The replicas' answers, sent before the process was frozen, stay in its buffers for twenty seconds."""
+    world, operators = started_world()
     node = world.nodes[5]
     assert node.gatekeeper is not None
     for _ in range(2000):
         world.run(0.001)
-        if sum(said.waiting_since > 0 for said in node.gatekeeper.subscriber.replicas.values()) >= 2:
+        if sum(replica.waiting_since > 0 for replica in node.gatekeeper.subscriber.replicas.values()) >= 2:
             break
     node.freeze()
     world.run(6.0)
@@ -250,14 +250,14 @@
 
 
 def test_a_lease_counted_from_the_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A planted fault of point 1."""
-    take = Subscriber.handle_answer
+    """Planted fault: a lease runs from the answer instead of the question."""
+    handle_answer = Subscriber.handle_answer
 
     def counted(self: Subscriber, now: float, sender: str, message: dict[str, Any]) -> Any:
-        out = take(self, now, sender, message)
-        if message["t"] == "newest" and (said := self.replicas.get(sender)) is not None:
-            said.as_of = now
-            self._confirm(said)
+        out = handle_answer(self, now, sender, message)
+        if message["t"] == "newest" and (replica := self.replicas.get(sender)) is not None:
+            replica.as_of = now
+            self._confirm(replica)
         return out
 
     monkeypatch.setattr(Subscriber, "handle_answer", counted)
@@ -265,7 +265,7 @@
 
 
 def test_one_that_was_frozen_sends_nobody_anywhere_until_it_has_heard_of_others_again() -> None:
-    world, _ = founded()
+    world, _ = started_world()
     node = world.nodes[OFF]
     assert node.gatekeeper is not None and node.gatekeeper.resolve(node.now(), "a")
     node.freeze()
@@ -280,7 +280,7 @@
 
 
 def settled(operators: Operators, winner: linear.Call) -> None:
-    """All have the winner's document, and read it."""
+    """Checks that all processes have the winner's document and read it."""
     world = operators.world
     for number in range(len(world.nodes)):
         operators.get(number)
@@ -297,7 +297,7 @@
 def test_of_two_operators_under_one_number_one_is_confirmed_and_the_other_refused(
     seed: int, apart: float
 ) -> None:
-    world, operators = founded(seed=seed)
+    world, operators = started_world(seed=seed)
     chance = random.Random(seed)
     one, other = chance.sample(range(6), 2)
     first = operators.put(one, 7, "a")
@@ -321,7 +321,7 @@
 def test_an_order_whose_answer_was_lost_is_confirmed_again_by_any_gatekeeper_at_any_later_moment(
     seed: int,
 ) -> None:
-    world, operators = founded(seed=seed)
+    world, operators = started_world(seed=seed)
     chance = random.Random(seed)
     operators.lost = lambda: True
     first = operators.put(chance.randrange(6), 7, "b")
@@ -349,7 +349,7 @@
 @pytest.mark.parametrize("numbers", [(20,) * 8, tuple(range(20, 28)), (20, 21, 22, 23) * 2])
 def test_eight_orders_under_way_at_once_are_each_answered_within_ack_within(numbers: tuple[int, ...]) -> None:
     for seed in (0, 1, 2, 13, 15):
-        world, operators = founded(seed=seed)
+        world, operators = started_world(seed=seed)
         at = world.env.now
         calls = [operators.put(i % 6, number, "abcdefgh"[i]) for i, number in enumerate(numbers)]
         world.run(6.0)
@@ -363,7 +363,7 @@
 
 
 def test_a_read_that_dropped_all_answers_still_writes_back_what_it_found_in_them() -> None:
-    """Two lives end meanwhile: of three that count in the end two have the value, and one has not."""
+    """Two incarnations end meanwhile: of the three answers that count in the end, two have the value."""
     coordinator = Coordinator("x")
     round = coordinator.read(0.0, Core(2, {name: name for name in "abcde"}), ["k"], 2.0)
     has: dict[str, Any] = {"k": Value(5, "", "v").to_wire()}
@@ -381,10 +381,10 @@
 
 
 def test_a_register_that_confirms_both_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A planted fault of point 2: documents are stored without their number being claimed."""
+    """Planted fault: documents are stored without claiming their number."""
     if hasattr(Gatekeeper, "_claim"):
         monkeypatch.setattr(Gatekeeper, "_claim", lambda self, now, value, done, then: then())
-    world, operators = founded()
+    world, operators = started_world()
     for letter in "ab":
         operators.put("ab".index(letter), 7, letter)
         world.run(2.0)
@@ -399,8 +399,8 @@
 
 
 def evacuated(world: World) -> bool:
-    """What all have in force, which is the highest that any replica has; no two have another word as the same
-    value."""
+    """What all have in force, which is the highest value that any replica has; no two replicas have different
+    data under the same stamp."""
     (held,) = {tuple(sorted(gatekeeper.evacuated)) for gatekeeper in world.gatekeepers()}
     kept = [n.gatekeeper.replica.values for n in world.nodes[:4] if n.gatekeeper and n.gatekeeper.replica]
     words = {tuple(values[EVACUATION + "bb"].to_wire()) for values in kept if EVACUATION + "bb" in values}
@@ -412,12 +412,12 @@
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("where", ["one office", "two offices"])
 def test_evacuations_at_once_end_in_one_state_everywhere(seed: int, where: str) -> None:
-    world, _ = founded(seed=seed)
+    world, _ = started_world(seed=seed)
     for turn in range(4):
         one, other = (2, 2) if where == "one office" else (2, 5)
         answers = evacuate(world, one, True), evacuate(world, other, False)
         world.run(3.0)
-        assert [told[0][0] for told in answers] == [200, 200]
+        assert [answer[0][0] for answer in answers] == [200, 200]
         evacuated(world)
         last = evacuate(world, turn, turn % 2 == 0)
         world.run(1.0)
@@ -425,12 +425,13 @@
 
 
 def test_evacuations_in_quick_turn_and_sent_again_end_in_the_last_that_was_acknowledged() -> None:
-    world, _ = founded()
+    world, _ = started_world()
     on = False
     for turn in range(20):
         on = not on
         answers = evacuate(world, turn % 6, on)
-        again = evacuate(world, (turn + 3) % 6, on) if turn % 3 == 0 else answers  # its answer was lost
+        # Some orders are repeated, as if their answer was lost
+        again = evacuate(world, (turn + 3) % 6, on) if turn % 3 == 0 else answers
         while not (answers and again):
             world.run(0.01)
         assert answers[0][0] == again[0][0] == 200
@@ -440,8 +441,8 @@
 
 @pytest.mark.parametrize("by", [4, 5])
 def test_an_order_that_one_replica_has_does_not_come_up_again_above_one_confirmed_later(by: int) -> None:
-    """The replica is away then, and so is the gatekeeper, which begins a new life."""
-    world, _ = founded()
+    """Replica and gatekeeper are down in between; the gatekeeper restarts as a new incarnation."""
+    world, _ = started_world()
     cut = True
     world.cut = lambda a, b: cut and a.number == 5 and b.number in (1, 2, 3) and _storing(world)
     first = evacuate(world, 5, True)
@@ -471,22 +472,22 @@
 
 
 def snapshot_of(world: World, at: int) -> bytes:
-    told = world.call(at, lambda gatekeeper, now, done: gatekeeper.read_all(now, done))
+    answers = world.call(at, lambda gatekeeper, now, done: gatekeeper.read_all(now, done))
     world.run(1.0)
-    assert told[0][0] == 200
-    return str(told[0][1]).encode()
+    assert answers[0][0] == 200
+    return str(answers[0][1]).encode()
 
 
 def put_back(world: World, at: int, body: bytes) -> int:
-    told = world.call(at, lambda gatekeeper, now, done: gatekeeper.restore(now, body, done))
+    answers = world.call(at, lambda gatekeeper, now, done: gatekeeper.restore(now, body, done))
     world.run(2.0)
-    return int(told[0][0])
+    return int(answers[0][0])
 
 
 def ordered(world: World, at: int, on: bool) -> None:
-    told = evacuate(world, at, on)
+    answers = evacuate(world, at, on)
     world.run(1.0)
-    assert told[0][0] == 200 and evacuated(world) is on
+    assert answers[0][0] == 200 and evacuated(world) is on
 
 
 @pytest.mark.parametrize("by", [1, 4])
@@ -494,7 +495,7 @@
 def test_a_snapshot_put_back_stands_above_an_order_of_its_zone_that_was_confirmed_later(
     by: int, on: bool
 ) -> None:
-    world, _ = founded()
+    world, _ = started_world()
     assert world.put(2, document(50)) is not None
     ordered(world, 2, on)
     body = snapshot_of(world, 3)
@@ -507,7 +508,7 @@
 
 
 def test_an_order_that_one_replica_has_does_not_come_up_again_above_a_snapshot_put_back() -> None:
-    world, _ = founded()
+    world, _ = started_world()
     ordered(world, 2, True)
     ordered(world, 2, False)
     body, cut = snapshot_of(world, 3), True
@@ -529,24 +530,24 @@
 
 
 def test_a_snapshot_whose_caller_has_gone_orders_no_evacuation() -> None:
-    world, _ = founded()
+    world, _ = started_world()
     ordered(world, 2, True)
     body = snapshot_of(world, 3)
     ordered(world, 2, False)
-    told = world.call(1, lambda gatekeeper, now, done: gatekeeper.restore(now, body, done, lambda: False))
+    answers = world.call(1, lambda gatekeeper, now, done: gatekeeper.restore(now, body, done, lambda: False))
     world.run(6.0)
-    assert told[0][0] == 503 and not evacuated(world)
+    assert answers[0][0] == 503 and not evacuated(world)
 
 
 @pytest.mark.parametrize("froze", [0.0, 0.002, 0.03, 0.06])
 def test_an_order_that_a_frozen_gatekeeper_still_has_does_not_overtake_its_taking_back(froze: float) -> None:
-    world, _ = founded()
+    world, _ = started_world()
     left: list[bool] = []
-    late = evacuate(world, 5, True, lambda: not left)  # its operator gives up after a second
+    late = evacuate(world, 5, True, lambda: not left)  # its operator gives up after one second
     world.run(froze) if froze else None
     world.nodes[5].freeze()
     if not froze:
-        late = evacuate(world, 5, True, lambda: not left)  # it came while the gatekeeper was frozen
+        late = evacuate(world, 5, True, lambda: not left)  # the order arrived while the gatekeeper was frozen
     world.run(1.0)
     left.append(True)
     again = evacuate(world, 1, True)
@@ -560,12 +561,12 @@
 
 
 def orders_of_a_zone(seed: int, steps: int = 40, put_back: bool = False) -> list[linear.Step]:
-    """Random orders of a zone and reads of snapshots, with cuts, kills and freezes; who is back is asked at
-    once.
+    """Random evacuation orders of a zone and reads of snapshots, with cuts, kills and freezes; a machine that
+    returns gets a call immediately.
 
-    :param put_back: half of the orders are snapshots that are put back
+    :param put_back: half of the orders restore a snapshot
     """
-    chance, (world, _) = random.Random(seed), founded(seed=seed)
+    chance, (world, _) = random.Random(seed), started_world(seed=seed)
     island: set[int] = set()
     world.cut = lambda a, b: (a.number in island) != (b.number in island)
     world.lost_answers = 0.05
@@ -575,14 +576,14 @@
         word = chance.random() < 0.5
         if put_back and chance.random() < 0.5:
             body = snapshot.dump({EVACUATION + "bb": Value(1, "x", "1" if word else "0")}).encode()
-            told = world.call(at, lambda gatekeeper, now, done: gatekeeper.restore(now, body, done))
+            answers = world.call(at, lambda gatekeeper, now, done: gatekeeper.restore(now, body, done))
         else:
-            told = evacuate(world, at, word)
-        calls.append((world.env.now, told, word))
+            answers = evacuate(world, at, word)
+        calls.append((world.env.now, answers, word))
 
     def read(at: int) -> None:
-        told = world.call(at, lambda gatekeeper, now, done: gatekeeper.read_all(now, done))
-        calls.append((world.env.now, told, None))
+        answers = world.call(at, lambda gatekeeper, now, done: gatekeeper.read_all(now, done))
+        calls.append((world.env.now, answers, None))
 
     for _ in range(steps):
         node = chance.choice(world.nodes)
@@ -615,8 +616,8 @@
     island = set()
     world.run(10.0)
     made: list[linear.Step] = []
-    for begun, told, on in calls:
-        status, ended = (told[0][0], told[0][2]) if told else (0, linear.NEVER)
+    for begun, answers, on in calls:
+        status, ended = (answers[0][0], answers[0][2]) if answers else (0, linear.NEVER)
         required = status == 200
         name = f"{on} -> {status} ({begun:.2f} to {ended:.2f})"
         if on is not None:
@@ -626,7 +627,7 @@
                 )
             )
         elif required:
-            held = json.loads(told[0][1])["values"].get(EVACUATION + "bb", [0, "", "0"])
+            held = json.loads(answers[0][1])["values"].get(EVACUATION + "bb", [0, "", "0"])
             made.append(linear.Step(begun, ended, _reads(held[2] == "1"), f"{held} {name}"))
     return made
 
@@ -648,7 +649,7 @@
 
 
 def test_a_snapshot_of_what_a_process_holds_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A planted fault of points 1 and 2."""
+    """Planted fault: a snapshot is made from what the process holds."""
 
     def held(gatekeeper: Gatekeeper, now: float, done: Callable[[int, str], None]) -> None:
         done(200, snapshot.dump(gatekeeper.subscriber.values))
@@ -657,13 +658,13 @@
     assert any(linear.linearizable(orders_of_a_zone(seed), False) is not None for seed in range(8))
 
 
-# ---- all of it, at random --------------------------------------------------------------------------------
+# ---- random histories ------------------------------------------------------------------------------------
 
 
 def history(seed: int, steps: int = 30) -> tuple[World, Operators, list[str]]:
-    """Puts (also two under one number, also again), reads, cuts, kills, wipes one at a time, freezes, lost
-    answers; then all is well and everybody is asked."""
-    chance, (world, operators) = random.Random(seed), founded(seed=seed)
+    """Puts (some two under one number, some repeated), reads, cuts, kills, single wipes, freezes and lost
+    answers; then all faults end and every machine is read."""
+    chance, (world, operators) = random.Random(seed), started_world(seed=seed)
     faults = watch(world, operators)
     island: set[int] = set()
     world.cut = lambda a, b: (a.number in island) != (b.number in island)
