--- a/tests/rule_checkers.py
+++ b/tests/rule_checkers.py
@@ -1,5 +1,5 @@
-"""Checkers of the rules that hold for the whole fleet, over a simulated world whose nodes have the daemon's
-data plane. Each checker is told what operators ordered and what nodes did, and lists its faults as text."""
+"""Checkers of the rules that hold for the fleet, in a simulated world whose nodes have the daemon's data
+plane. Each checker records operators' orders and nodes' behaviour, and lists its faults as text."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -14,37 +14,37 @@
 
 
 class ServingNode(Node):
-    """A node whose gatekeeper has a data plane, tied to it as in the daemon."""
+    """A node whose gatekeeper has a data plane, connected as in the daemon."""
 
     proxy: Proxy | None = None
-    touch_since = 0.0  # since when it runs and nothing cuts it off
+    connected_since = 0.0  # since when it has been running and not cut off
 
     def __init__(self, world: World, number: int, disk: bool) -> None:
         super().__init__(world, number, disk)
-        self.lives: list[list[int]] = []  # the versions of those that ended
+        self.past_versions: list[list[int]] = []  # versions in force during each past incarnation
 
     def start(self, fresh: bool = False) -> None:
         super().start(fresh)
         assert self.gatekeeper is not None
-        self.touch_since = float(self.world.env.now)
+        self.connected_since = float(self.world.env.now)
         record = self.gatekeeper.changed
         self.proxy = Proxy(self.gatekeeper, self.number * 1000 + self.life, self.now)
-        tell = self.gatekeeper.changed
+        notify = self.gatekeeper.changed
 
         def changed() -> None:
             record()
-            tell()
+            notify()
 
         self.gatekeeper.changed = changed
-        record()  # what its disk had
+        record()  # the configuration from its disk
 
     def kill(self) -> None:
         super().kill()
-        self.lives.append(self.versions)
+        self.past_versions.append(self.versions)
         self.proxy = None
 
     def picks(self) -> set[str]:
-        """The zones of all servers that its data plane would choose now, one after another."""
+        """The zones of all servers that its data plane would pick now, one after another."""
         gatekeeper, proxy = self.gatekeeper, self.proxy
         if (
             gatekeeper is None
@@ -54,14 +54,14 @@
         ):
             return set()
         service, tried, zones = gatekeeper.configuration.services["shop"], set[str](), set[str]()
-        while seen := proxy.load_balancer.pick(self.now(), service, True, frozenset(), 1000.0, tried):
-            tried.add(seen.server.ident)
-            zones.add(seen.server.zone)
+        while state := proxy.load_balancer.pick(self.now(), service, True, frozenset(), 1000.0, tried):
+            tried.add(state.server.ident)
+            zones.add(state.server.zone)
         return zones
 
 
 class ServingWorld(World):
-    """A world of such nodes."""
+    """A world of serving nodes."""
 
     def __init__(self, n: int, disks: int, seed: int) -> None:
         super().__init__(n, disks, seed)
@@ -72,22 +72,24 @@
         self.cut = lambda a, b: (a.number in self.isolated) != (b.number in self.isolated)
 
     def isolate(self, numbers: set[int]) -> None:
-        """Nothing passes between these and the others from now on; with none the cut ends."""
+        """Cut off these nodes from the others from now on; an empty set ends the cut."""
         for number in self.isolated - numbers:
-            self.serving[number].touch_since = float(self.env.now)
+            self.serving[number].connected_since = float(self.env.now)
         self.isolated = set(numbers)
 
-    def in_touch(self, node: ServingNode) -> bool:
-        """Whether it has been running, and not cut off, for `contact`."""
-        lasted = float(self.env.now) - node.touch_since
+    def is_connected(self, node: ServingNode) -> bool:
+        """Whether it has been running and not cut off for at least the bound `contact`."""
+        duration = float(self.env.now) - node.connected_since
         return (
-            node.gatekeeper is not None and node.number not in self.isolated and lasted >= self.bounds.contact
+            node.gatekeeper is not None
+            and node.number not in self.isolated
+            and duration >= self.bounds.contact
         )
 
 
 @dataclass(slots=True)
 class Order:
-    """What an operator ordered. One that was not acknowledged may be in force or not."""
+    """An operator's order. One that was not acknowledged may or may not be in force."""
 
     sent: float
     acknowledged: float = inf
@@ -106,13 +108,13 @@
 
 @dataclass(slots=True)
 class EvacuationChecker:
-    """EVAC: no node in touch picks a server of a zone later than `evacuate_within` after the acknowledgement
-    of its evacuation, until somebody orders it to be taken back."""
+    """EVAC: no connected node picks a server of a zone later than `evacuate_within` after the acknowledgement
+    of its evacuation, until an operator orders it to be lifted."""
 
     bounds: Bounds
     orders: dict[str, list[Evacuation]] = field(default_factory=dict)
     faults: list[str] = field(default_factory=list)
-    judged: int = 0  # picks of a node while an evacuation bound it
+    judged: int = 0  # picks of a node while an evacuation was binding
 
     def ordered(self, zone: str, on: bool, now: float) -> Evacuation:
         order = Evacuation(now, on=on)
@@ -120,18 +122,18 @@
         return order
 
     def binding(self, now: float) -> set[str]:
-        """The zones that nobody in touch may pick any more."""
+        """The zones that no connected node may pick any more."""
         within = self.bounds.evacuate_within
         last = {zone: orders[-1] for zone, orders in self.orders.items()}
         return {zone for zone, order in last.items() if order.on and now > order.acknowledged + within}
 
     def standing(self) -> dict[str, bool]:
-        """By zone what was acknowledged last, and nobody has ordered anything since."""
+        """By zone the last order, where it was acknowledged."""
         last = {zone: orders[-1] for zone, orders in self.orders.items()}
         return {zone: order.on for zone, order in last.items() if order.acknowledged < inf}
 
     def picked(self, now: float, node: str, zones: set[str]) -> None:
-        """By a node in touch."""
+        """Records the zones picked by a connected node."""
         bound = self.binding(now)
         self.judged += bool(bound)
         for zone in sorted(zones & bound):
@@ -141,18 +143,18 @@
 
 @dataclass(slots=True)
 class QuotaChecker:
-    """QUOTA: what all nodes let in of a tenant in any `rate_window` is within the highest limit that may have
-    been in force in that window. A limit may be from when it was sent until `apply_within` after a later one
-    was acknowledged; burst is a second's rate (`document`)."""
+    """QUOTA: the requests of a tenant that all nodes admit in any `rate_window` are within the highest limit
+    that may have been in force in that window. A limit may be in force from when it was sent until
+    `apply_within` after a later one was acknowledged; burst is one second's rate (`document`)."""
 
     bounds: Bounds
     puts: list[Put]
-    let_in: list[float] = field(default_factory=list)
+    admitted: list[float] = field(default_factory=list)
     refused: int = 0
-    fullest: float = 0.0  # of all windows: let in over allowed
+    max_ratio: float = 0.0  # highest ratio of admitted to allowed requests in any window
 
     def limit(self, begin: float, end: float) -> float:
-        """The rate that binds from `begin` to `end`."""
+        """The highest rate that may have been in force between `begin` and `end`."""
         highest, superseded = 0.0, inf
         for put in reversed(self.puts):  # by version
             if put.sent <= end and superseded > begin:
@@ -165,28 +167,28 @@
         return (rate * b.rate_window + rate) * (1 + b.rate_excess) + b.rate_extra
 
     def faults(self) -> list[str]:
-        """To be asked once, at the end: the worst window, if it is one too many."""
+        """The worst window, if it exceeds the limit; call once, at the end."""
         inside, window, worst = deque[float](), self.bounds.rate_window, ""
-        for at in sorted(self.let_in):
+        for at in sorted(self.admitted):
             inside.append(at)
             while inside[0] <= at - window:
                 inside.popleft()
             allowed = self.allowed(self.limit(at - window, at))
-            if len(inside) / allowed > self.fullest:
-                self.fullest = len(inside) / allowed
+            if len(inside) / allowed > self.max_ratio:
+                self.max_ratio = len(inside) / allowed
                 worst = (
-                    f"QUOTA: {len(inside)} let in within {window:g} s up to {at:.2f}, {allowed:.1f} allowed"
+                    f"QUOTA: {len(inside)} admitted within {window:g} s up to {at:.2f}, {allowed:.1f} allowed"
                 )
-        return [worst] if self.fullest > 1.0 else []
+        return [worst] if self.max_ratio > 1.0 else []
 
 
 def granted_beyond(world: ServingWorld, tenant: str, since: float, rate: float) -> float:
-    """Tokens that the running nodes have granted of a tenant beyond what its allowance gives, over what the
-    rule leaves beyond the limit. Where nobody restarts it is 0 at most; more is a bucket that drifts, long
-    before a window is broken.
+    """Tokens that the running nodes have granted to a tenant beyond its allowance, divided by the excess over
+    the limit that the rule tolerates. Without restarts it is at most 0; a positive value shows a drifting
+    bucket long before a window exceeds its limit.
 
-    :param since: when the first of them could be granted
-    :param rate: the tenant's, all the time
+    :param since: when the first token could be granted
+    :param rate: the tenant's constant rate
     """
     limit, bounds = Tenant(tenant, frozenset(), None, rate, rate, frozenset()), world.bounds
     whole = allowance_of(limit, bounds)
@@ -197,8 +199,8 @@
 
 @dataclass(slots=True)
 class VersionChecker:
-    """CONFIG: a node in touch holds what was acknowledged `apply_within` ago, or something newer; MIXED: no
-    node goes back to an older version in one life."""
+    """CONFIG: a connected node holds the version that was acknowledged `apply_within` ago, or a newer one;
+    MIXED: no node goes back to an older version within one incarnation."""
 
     bounds: Bounds
     puts: list[Put]
@@ -208,19 +210,19 @@
         return max((put.version for put in self.puts if put.acknowledged < before), default=0)
 
     def holds(self, now: float, node: str, version: int) -> None:
-        """A node in touch."""
+        """Checks the version of a connected node."""
         due = self.acknowledged(now - self.bounds.apply_within)
         if version < due:
             self.faults.append(f"CONFIG: {node} holds {version} at {now:.2f}, {due} is due")
 
-    def lived(self, node: str, versions: list[int]) -> None:
+    def check_order(self, node: str, versions: list[int]) -> None:
         if versions != sorted(versions):
             self.faults.append(f"MIXED: {node} went back: {versions}")
 
 
 @dataclass(slots=True)
 class LossChecker:
-    """LOST: what was acknowledged is read back after all lost power, and holds in every data plane."""
+    """LOST: acknowledged orders are read back after all nodes lost power, and hold in every data plane."""
 
     versions: VersionChecker
     evacuations: EvacuationChecker
@@ -240,5 +242,5 @@
             self.faults.append(f"LOST: {node} holds {held and held.version}, {due} was acknowledged")
         for zone, on in self.evacuations.standing().items():
             if (zone in proxy.load_balancer.evacuated) is not on:
-                word = "evacuated" if on else "taken back"
-                self.faults.append(f"LOST: {zone} was {word}, the data plane of {node} doesn't know")
+                word = "evacuated" if on else "lifted"
+                self.faults.append(f"LOST: {zone} was {word}, but the data plane of {node} does not know it")
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -186,7 +186,7 @@
     operators.get(OFF)
     world.run(3.0)
     assert operators.calls[-1].status == 200
-    if any(answers[0][0] != 200 for answers in elsewhere) or evacuated(world):  # the last order revoked it
+    if any(answers[0][0] != 200 for answers in elsewhere) or evacuated(world):  # the last order lifted it
         faults.append(f"evacuated: {evacuated(world)}, {elsewhere}")
     if any(answers and answers[0][0] != 503 for answers in there):
         faults.append(f"confirmed an evacuation: {there}")
--- a/tests/test_rules_together.py
+++ b/tests/test_rules_together.py
@@ -1,6 +1,6 @@
-"""Rules judged while everything happens together: configurations, evacuations, restarts, a cut and a rush of
-one tenant in one simulated world, up to 82 processes, with the daemon's data plane at each; and each checker
-is shown a fault that it must find."""
+"""Rules checked while everything happens together: configurations, evacuations, restarts, a cut and a load
+peak of one tenant in one simulated world of up to 82 processes with the daemon's data plane. Each checker
+must find a planted fault."""
 
 import json
 import random
@@ -31,17 +31,17 @@
 from tests.system_world import ZONES, World, document
 
 RATES = (30.0, 10.0)
-ANSWER_S = 5.0  # so long an operator waits
+ANSWER_S = 5.0  # longest wait of an operator for an answer
 PROBE_S = 0.5
 SEEDS = range(1, 13)
 SERVERS = [[f"i-{zone}", "shop", f"10.0.2.{number}:80", zone, 3, 0, 0.0] for number, zone in enumerate(ZONES)]
 Process = Generator[Any, Any, None]
-Trouble = Literal["restarts", "cut", "herd", "all"]
-TROUBLES: tuple[Trouble, ...] = ("restarts", "cut")
+Disturbance = Literal["restarts", "cut", "herd", "all"]
+DISTURBANCES: tuple[Disturbance, ...] = ("restarts", "cut")
 
 
 class Scenario:
-    """One world, what operators, clients and faults do to it by a seed, and its checkers."""
+    """One world with its checkers, and seeded actions of operators, clients and disturbances."""
 
     def __init__(self, n: int, disks: int, seed: int) -> None:
         self.random, self.disks = random.Random(seed), disks
@@ -57,28 +57,28 @@
         self.hot = 0.0
 
     def orders_faults(self) -> list[str]:
-        """Of all rules but the quota."""
+        """The faults of all rules except the quota."""
         return [*self.evacuations.faults, *self.versions.faults, *self.loss.faults]
 
     # ---- operators -----------------------------------------------------------------------------
 
-    def _answered(self, order: Order, answers: list[Any]) -> Process:
+    def _wait_for_answer(self, order: Order, answers: list[Any]) -> Process:
         until = self.world.env.now + ANSWER_S
         while not answers and self.world.env.now < until:
             yield self.world.env.timeout(0.05)
         if answers and answers[0][0] == 200:
             order.acknowledged = float(answers[0][2])
 
-    def _somebody(self) -> int:
+    def _running_node(self) -> int:
         return self.random.choice([node.number for node in self.world.nodes if node.gatekeeper is not None])
 
-    def _somebody_is_up(self) -> Process:
+    def _wait_for_running_node(self) -> Process:
         while not self.world.gatekeepers():
             yield self.world.env.timeout(0.1)
 
     def put(self, rate: float) -> Process:
-        """The next version; each second one has one more route."""
-        yield from self._somebody_is_up()
+        """Put the next version; every second one has an additional route."""
+        yield from self._wait_for_running_node()
         version = len(self.puts) + 1
         text = document(version, {"t": ["k"]}, rate=rate)
         if version % 2 == 0:
@@ -89,15 +89,15 @@
             text = json.dumps(made)
         order = Put(float(self.world.env.now), version=version, rate=rate)
         self.puts.append(order)
-        yield from self._answered(order, self.world.put(self._somebody(), text))
+        yield from self._wait_for_answer(order, self.world.put(self._running_node(), text))
 
     def evacuate(self, zone: str, on: bool) -> Process:
         def does(gatekeeper: Gatekeeper, now: float, done: Callable[[int, str], None]) -> None:
             gatekeeper.evacuate(now, zone, on, done)
 
-        yield from self._somebody_is_up()
+        yield from self._wait_for_running_node()
         order = self.evacuations.ordered(zone, on, float(self.world.env.now))
-        yield from self._answered(order, self.world.call(self._somebody(), does))
+        yield from self._wait_for_answer(order, self.world.call(self._running_node(), does))
 
     def _configures(self) -> Process:
         while self.world.env.now < self.ends - 4.0:
@@ -105,21 +105,21 @@
             yield from self.put(self.random.choice(RATES))
 
     def _evacuates(self) -> Process:
-        """One zone for long enough that the rule binds; another one in quick turn."""
-        lasting, turning = self.random.sample(sorted(ZONES), 2)
-        yield from self.evacuate(lasting, True)
+        """One zone long enough for the rule to bind; another one on and off in quick succession."""
+        long_zone, toggled_zone = self.random.sample(sorted(ZONES), 2)
+        yield from self.evacuate(long_zone, True)
         on = False
         while self.world.env.now < self.ends - 2.0:
             yield self.world.env.timeout(self.random.uniform(0.3, 2.0))
             on = not on
-            if self.random.random() < 0.3:  # together with a configuration
+            if self.random.random() < 0.3:  # at the same time as a configuration
                 self.world.env.process(self.put(self.random.choice(RATES)))
-            yield from self.evacuate(turning, on)
+            yield from self.evacuate(toggled_zone, on)
 
     # ---- faults and clients --------------------------------------------------------------------
 
     def _restarts(self) -> Process:
-        """One machine with a disk at a time, and others."""
+        """One machine with a disk at a time, and one without."""
         world, n = self.world, len(self.world.nodes)
         while world.env.now < self.ends:
             yield world.env.timeout(self.random.uniform(0.3, 1.5))
@@ -139,7 +139,7 @@
         self.world.isolate(set())
 
     def _herds(self) -> Process:
-        """Most of those without a disk restart at once, amid the rush."""
+        """Most machines without a disk restart at once during the load peak."""
         yield self.world.env.timeout(self.hot + 3.0 - self.world.env.now)
         down = [node for node in self.world.nodes[self.disks :] if self.random.random() < 0.7]
         for node in down:
@@ -149,7 +149,7 @@
             node.start()
 
     def _all_restart(self) -> Process:
-        """All restart at once amid the rush, and again a moment after they serve."""
+        """All machines restart at once during the load peak, and again shortly after they serve."""
         yield self.world.env.timeout(self.hot + 2.0 - self.world.env.now)
         for _ in range(2):
             for node in self.world.nodes:
@@ -164,7 +164,7 @@
 
         def decided(decision: Decision) -> None:
             if decision.outcome is Outcome.ADMITTED:
-                self.quota.let_in.append(float(env.now))
+                self.quota.admitted.append(float(env.now))
             else:
                 self.quota.refused += 1
 
@@ -185,31 +185,33 @@
     def probe(self) -> None:
         now = float(self.world.env.now)
         for node in self.world.serving:
-            for versions in (*node.lives, node.versions):
-                self.versions.lived(node.name, versions)
-            if self.world.in_touch(node) and node.gatekeeper is not None:
+            for versions in (*node.past_versions, node.versions):
+                self.versions.check_order(node.name, versions)
+            if self.world.is_connected(node) and node.gatekeeper is not None:
                 self.evacuations.picked(now, node.name, node.picks())
                 held = node.gatekeeper.configuration
                 self.versions.holds(now, node.name, held.version if held is not None else 0)
 
-    # ---- the whole -----------------------------------------------------------------------------
+    # ---- running -------------------------------------------------------------------------------
 
-    def run(self, seconds: float, founded: float = 3.0, faults: tuple[Trouble, ...] = TROUBLES) -> "Scenario":
-        """All of it at once, with these faults of machines and links."""
-        self.world.run(founded)
+    def run(
+        self, seconds: float, startup: float = 3.0, disturbances: tuple[Disturbance, ...] = DISTURBANCES
+    ) -> "Scenario":
+        """Run all actions at once, with these disturbances of machines and links."""
+        self.world.run(startup)
         self.world.env.process(self.put(RATES[0]))
         self.world.run(1.0)
-        assert self.puts[0].acknowledged < float("inf"), "the first configuration is not taken"
+        assert self.puts[0].acknowledged < float("inf"), "the first configuration was not acknowledged"
         self.ends, self.hot = self.world.env.now + seconds, self.world.env.now + 2.0
         parts = [
             self._configures(),
             self._evacuates(),
-            *([self._cuts()] if "cut" in faults else []),
+            *([self._cuts()] if "cut" in disturbances else []),
             self._clients(),
             self._probes(),
-            *([self._restarts()] if "restarts" in faults else []),
-            *([self._herds()] if "herd" in faults else []),
-            *([self._all_restart()] if "all" in faults else []),
+            *([self._restarts()] if "restarts" in disturbances else []),
+            *([self._herds()] if "herd" in disturbances else []),
+            *([self._all_restart()] if "all" in disturbances else []),
         ]
         for part in parts:
             self.world.env.process(part)
@@ -217,7 +219,7 @@
         return self
 
     def lose_power(self) -> "Scenario":
-        """What is under way ends, then all lose their power, and what was acknowledged must be there."""
+        """End the cut, power off all machines, and check that everything acknowledged is still there."""
         self.world.isolate(set())
         self.world.run(0.5)
         self.world.power_off(0.5)
@@ -229,7 +231,7 @@
         return self
 
     def _revision(self) -> str | None:
-        """What GET answers, asked again as an operator does."""
+        """The revision that GET returns, retried as an operator would."""
         for number in (0, 1, 2, 0, 1, 2):
             answers = self.world.call(number, lambda gatekeeper, now, done: gatekeeper.read(now, done))
             self.world.run(0.5)
@@ -245,21 +247,21 @@
 
 @cache
 def large(seed: int) -> Scenario:
-    return Scenario(82, 6, seed).run(6.0, founded=2.5).lose_power()
+    return Scenario(82, 6, seed).run(6.0, startup=2.5).lose_power()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_all_rules_but_the_quota_hold_at_11_processes_while_everything_happens_together(seed: int) -> None:
     scenario = small(seed)
     assert scenario.orders_faults() == []
-    assert scenario.evacuations.judged > 50, "the rule was put to the test"
+    assert scenario.evacuations.judged > 50, "the rule was not put to the test"
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_quota_holds_at_11_processes_while_everything_happens_together(seed: int) -> None:
     scenario = small(seed)
     assert scenario.quota.faults() == []
-    assert scenario.quota.refused > 100, "the limit was put to the test"
+    assert scenario.quota.refused > 100, "the limit was not put to the test"
 
 
 def test_all_rules_but_the_quota_hold_at_82_processes_while_everything_happens_together() -> None:
@@ -290,12 +292,12 @@
         made(self, *args)
         making.remove(self)
 
-    def told(self: Proxy) -> None:
+    def notified(self: Proxy) -> None:
         if self not in making:
             changed(self)
 
     monkeypatch.setattr(Proxy, "__init__", init)
-    monkeypatch.setattr(Proxy, "on_configuration_changed", told)
+    monkeypatch.setattr(Proxy, "on_configuration_changed", notified)
     scenario = Scenario(11, 4, 1).run(8.0).lose_power()
     assert found(scenario, "LOST") and found(scenario, "EVAC")
 
@@ -303,20 +305,20 @@
 def test_an_evacuation_that_is_dropped_when_it_comes_with_a_configuration_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    hold = Gatekeeper._adopt
+    adopt = Gatekeeper._adopt
 
     def dropping(self: Gatekeeper, found: dict[str, Value]) -> None:
-        held, before, tell = self.subscriber.values, self.evacuated, self.changed
+        held, before, notify = self.subscriber.values, self.evacuated, self.changed
         new = [key for key, value in found.items() if key not in held or value > held[key]]
 
         def changed() -> None:
             self.evacuated = before
-            tell()
+            notify()
 
         if CONFIG in new and any(key.startswith(EVACUATION) for key in new):
             self.changed = changed
-        hold(self, found)
-        self.changed = tell
+        adopt(self, found)
+        self.changed = notify
 
     monkeypatch.setattr(Gatekeeper, "_adopt", dropping)
     scenario = Scenario(11, 4, 1).run(8.0).lose_power()
@@ -324,11 +326,11 @@
 
 
 def test_nodes_that_go_back_to_the_configuration_before_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    hold = Gatekeeper._adopt
+    adopt = Gatekeeper._adopt
 
     def returning(self: Gatekeeper, found: dict[str, Value]) -> None:
         before = self.configuration
-        hold(self, found)
+        adopt(self, found)
         if self.replica is None and before is not None and self.configuration is not before:
             self.configuration = before
             self.changed()
@@ -358,11 +360,12 @@
 def test_stores_that_begin_full_are_found_when_most_restart_in_a_rush(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Which seed shows it hangs on the order of messages: of eight one must, and none where all is sound."""
+    """Which seed shows the fault depends on the message order: one of eight must, none without the fault."""
 
     def outcomes() -> list[bool]:
         return [
-            bool(found(Scenario(11, 4, seed).run(10.0, faults=("all",)), "QUOTA")) for seed in range(1, 9)
+            bool(found(Scenario(11, 4, seed).run(10.0, disturbances=("all",)), "QUOTA"))
+            for seed in range(1, 9)
         ]
 
     assert not any(outcomes())
@@ -375,7 +378,7 @@
 
 
 def test_nodes_that_let_in_what_no_granter_answers_for_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One that is cut off believes nothing of the others: what it lets in on its own is too much."""
+    """A node that is cut off knows nothing about the others: what it admits on its own is too much."""
     assert not found(Scenario(11, 4, 26).run(14.0), "QUOTA")
 
     def trusting(self: TokenRequester, now: float, state: TenantState) -> Decision:
@@ -388,18 +391,18 @@
 def test_buckets_that_are_filled_twice_for_the_same_time_are_found(
     monkeypatch: pytest.MonkeyPatch, violations: list[tuple[Invariant, str]]
 ) -> None:
-    """Long before a window is broken more is granted than was given, and each process finds it itself."""
+    """More than the allowance is granted long before a window exceeds its limit; each process detects it."""
 
     def beyond() -> float:
         scenario = Scenario(20, 6, 4)
-        scenario.run(8.0, faults=())
+        scenario.run(8.0, disturbances=())
         return granted_beyond(scenario.world, "t", 0.0, RATES[0])
 
     assert beyond() <= 0.0
 
     def filling(self: TokenBucket, now: float) -> None:
         filled = self.level + self.limits.rate * max(0.0, now - self.updated_at)
-        self.level = min(self.limits.capacity, filled)  # and `at` stays
+        self.level = min(self.limits.capacity, filled)  # and `updated_at` stays
 
     monkeypatch.setattr(TokenBucket, "advance", filling)
     assert beyond() > 0.0
