--- a/tests/test_docstring_examples.py
+++ b/tests/test_docstring_examples.py
@@ -1,4 +1,4 @@
-"""Examples in the docstrings of the system's modules run as printed."""
+"""The examples in the docstrings of the system's modules produce the output that they show."""
 
 import doctest
 import importlib
@@ -21,5 +21,5 @@
     ],
 )
 def test_a_module_s_examples_run(name: str) -> None:
-    tried = doctest.testmod(importlib.import_module(f"millfront.{name}"))
-    assert tried.attempted and not tried.failed
+    result = doctest.testmod(importlib.import_module(f"millfront.{name}"))
+    assert result.attempted and not result.failed
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The import graph of millfront: arrows point down, and no packages import one another in a circle."""
+"""The import graph of millfront: imports point down the layers, and packages form no import cycle."""
 
 import ast
 import re
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = "millfront"
 
-# The whole system from the top; a part may import those after it, never those before it.
+# Layers of the whole system from the top; a part may import the parts after it, never those before it.
 LAYERS = (
     "cli",
     "gatekeeper",
@@ -25,9 +25,9 @@
     "environment",
     "invariants",
 )
-# What runs above the layers and chooses among commands.
+# Runs above the layers and dispatches commands.
 ENTRY = "__main__"
-# The program in service, which knows nothing of the whole system.
+# The daemon in service, which does not import the whole system.
 IN_SERVICE = frozenset(
     {
         "agreement",
@@ -47,20 +47,20 @@
         "usage",
     }
 )
-# (module, the part it imports): why it may point up. Nothing is added here without a reason.
+# (module, imported part): why the import may point up. Every entry needs a reason.
 EXCEPTIONS = {
     ("register/reconfiguration.py", "control"): "names the type of a protocol's field; nothing is called",
-    ("register/snapshot.py", "control"): "a snapshot's configuration is checked before it is taken back",
+    ("register/snapshot.py", "control"): "a snapshot's configuration is checked before it is restored",
 }
 
 
 def typing_only(node: ast.AST) -> bool:
-    """Whether it is the body of `if TYPE_CHECKING:`, which never runs."""
+    """Whether the node is `if TYPE_CHECKING:`, whose body never runs."""
     return isinstance(node, ast.If) and isinstance(node.test, ast.Name) and node.test.id == "TYPE_CHECKING"
 
 
 def imports(node: ast.AST) -> Iterator[str]:
-    """Dotted names that are imported at run time, at the module's head or inside a function."""
+    """Dotted names that are imported at run time, at module level or inside a function."""
     if isinstance(node, ast.Import):
         yield from (alias.name for alias in node.names)
     elif isinstance(node, ast.ImportFrom):
@@ -79,10 +79,10 @@
     return module.parts[0].removesuffix(".py")
 
 
-def arrows(root: Path) -> set[tuple[str, str]]:
-    """(file below `root`, part it imports), without imports inside one part.
+def dependencies(root: Path) -> set[tuple[str, str]]:
+    """Pairs (file below `root`, imported part), without imports within a part.
 
-    :param root: the package's folder; its name is what the imports begin with
+    :param root: the package's folder, named like the first component of the imports
     """
     known = {part_of(path.relative_to(root)) for path in root.rglob("*.py")}
     found = set()
@@ -97,7 +97,7 @@
 
 
 def upward(found: set[tuple[str, str]]) -> set[tuple[str, str]]:
-    """The arrows that point up: from a layer to an earlier one, or out of the program in service."""
+    """The imports that point up: from a layer to an earlier one, or from the daemon in service to a layer."""
     wrong = set()
     for module, to in found:
         source = part_of(Path(module))
@@ -117,19 +117,19 @@
 
 
 def test_arrows_point_down() -> None:
-    assert upward(arrows(ROOT / PACKAGE)) == set(EXCEPTIONS)
+    assert upward(dependencies(ROOT / PACKAGE)) == set(EXCEPTIONS)
 
 
 def test_packages_of_the_system_form_no_circle() -> None:
     graph: dict[str, set[str]] = {}
-    for module, to in arrows(ROOT / PACKAGE) - set(EXCEPTIONS):
+    for module, to in dependencies(ROOT / PACKAGE) - set(EXCEPTIONS):
         if to in LAYERS:
             graph.setdefault(part_of(Path(module)), set()).add(to)
-    TopologicalSorter(graph).prepare()  # raises CycleError and names the circle
+    TopologicalSorter(graph).prepare()  # raises CycleError that names the cycle
 
 
 def test_an_import_that_points_up_is_seen(tmp_path: Path) -> None:
-    """The check itself: an import in a function, of a package or of a name counts; one for types not."""
+    """Checks the checker: imports in functions, of packages and of names count; those for types do not."""
     root = tmp_path / PACKAGE
     for part in ("gatekeeper", "register", "node"):
         (root / part).mkdir(parents=True)
@@ -141,12 +141,12 @@
     )
     (root / "gatekeeper" / "d.py").write_text("from millfront.register import a\n")
     (root / "node" / "e.py").write_text("from millfront.register.a import f\n")
-    assert upward(arrows(root)) == {
+    assert upward(dependencies(root)) == {
         ("register/a.py", "gatekeeper"),
         ("register/b.py", "gatekeeper"),
         ("node/e.py", "register"),
     }
-    assert ("register/c.py", "node") in arrows(root)
+    assert ("register/c.py", "node") in dependencies(root)
 
 
 def test_files_that_the_page_of_the_architecture_names_are_there() -> None:
