--- a/millfront/agreement/interim.py
+++ b/millfront/agreement/interim.py
@@ -15,59 +15,59 @@
 NARROWNESS = {api.Group.ALL: 0, api.Group.ZONE: 1, api.Group.CELL: 2}
 
 
-def _least(one: float, other: float) -> float:
+def _tighter_limit(one: float, other: float) -> float:
     """Of two limits where 0 means none: the one that holds."""
     if not one or not other:
         return one or other
     return min(one, other)
 
 
-def plan(one: api.Plan, other: api.Plan) -> api.Plan:
+def merge_plan(older: api.Plan, newer: api.Plan) -> api.Plan:
     """A customer's quota and ceiling as both versions allow them. Worth and prices are the newer's: they
     weigh what is let in and never let in more."""
     return replace(
-        other,
-        rate=min(one.rate, other.rate),
-        burst=min(one.burst, other.burst),
-        open_limit=int(_least(one.open_limit, other.open_limit)),
-        ceiling_rate=_least(one.ceiling_rate, other.ceiling_rate),
+        newer,
+        rate=min(older.rate, newer.rate),
+        burst=min(older.burst, newer.burst),
+        open_limit=int(_tighter_limit(older.open_limit, newer.open_limit)),
+        ceiling_rate=_tighter_limit(older.ceiling_rate, newer.ceiling_rate),
         ceiling_burst=(
-            min(one.ceiling_burst, other.ceiling_burst)
-            if one.ceiling_rate and other.ceiling_rate
-            else (one.ceiling_burst if one.ceiling_rate else other.ceiling_burst)
+            min(older.ceiling_burst, newer.ceiling_burst)
+            if older.ceiling_rate and newer.ceiling_rate
+            else (older.ceiling_burst if older.ceiling_rate else newer.ceiling_burst)
         ),
         ceiling_slack=(
-            min(one.ceiling_slack, other.ceiling_slack)
-            if one.ceiling_rate and other.ceiling_rate
-            else (one.ceiling_slack if one.ceiling_rate else other.ceiling_slack)
+            min(older.ceiling_slack, newer.ceiling_slack)
+            if older.ceiling_rate and newer.ceiling_rate
+            else (older.ceiling_slack if older.ceiling_rate else newer.ceiling_slack)
         ),
     )
 
 
-def request_class(one: api.RequestClass, other: api.RequestClass) -> api.RequestClass:
+def merge_request_class(older: api.RequestClass, newer: api.RequestClass) -> api.RequestClass:
     """A class whose repeat changed: the stricter repeat, the shorter window, the narrower group. Its times
     are the newer's; a deadline only says how long a client waits."""
     return replace(
-        other,
-        repeat=max(one.repeat, other.repeat, key=STRICTNESS.__getitem__),
-        group=max(one.group, other.group, key=NARROWNESS.__getitem__),
-        window_us=min(one.window_us, other.window_us),
+        newer,
+        repeat=max(older.repeat, newer.repeat, key=STRICTNESS.__getitem__),
+        group=max(older.group, newer.group, key=NARROWNESS.__getitem__),
+        window_us=min(older.window_us, newer.window_us),
     )
 
 
-def rules(one: api.Rules, other: api.Rules) -> api.Rules:
+def merge_rules(older: api.Rules, newer: api.Rules) -> api.Rules:
     """The drain sooner, a cold member taken as colder for longer, a fall feared earlier."""
     return api.Rules(
-        drain_grace_us=min(one.drain_grace_us, other.drain_grace_us),
-        cold_from=min(one.cold_from, other.cold_from),
-        ramp_us=max(one.ramp_us, other.ramp_us),
-        fall_multiple=min(one.fall_multiple, other.fall_multiple),
-        fall_us=min(one.fall_us, other.fall_us),
+        drain_grace_us=min(older.drain_grace_us, newer.drain_grace_us),
+        cold_from=min(older.cold_from, newer.cold_from),
+        ramp_us=max(older.ramp_us, newer.ramp_us),
+        fall_multiple=min(older.fall_multiple, newer.fall_multiple),
+        fall_us=min(older.fall_us, newer.fall_us),
     )
 
 
-def settings(
-    one: api.Settings, other: api.Settings, classes: dict[int, int], plans: dict[int, int]
+def merge_settings(
+    older: api.Settings, newer: api.Settings, classes: dict[int, int], plans: dict[int, int]
 ) -> api.Settings:
     """`other` (the newer) with every class and plan that both versions name made safe for both.
 
@@ -75,16 +75,16 @@
         version alone keep their own rules: a client can name them only under that one
     :param plans: the same for plans
     """
-    merged_classes = list(other.classes)
-    for place, before in classes.items():
-        merged_classes[place] = request_class(one.classes[before], other.classes[place])
-    merged_plans = list(other.plans)
-    for place, before in plans.items():
-        merged_plans[place] = plan(one.plans[before], other.plans[place])
+    merged_classes = list(newer.classes)
+    for index, older_index in classes.items():
+        merged_classes[index] = merge_request_class(older.classes[older_index], newer.classes[index])
+    merged_plans = list(newer.plans)
+    for index, older_index in plans.items():
+        merged_plans[index] = merge_plan(older.plans[older_index], newer.plans[index])
     return replace(
-        other,
+        newer,
         classes=tuple(merged_classes),
         plans=tuple(merged_plans),
-        allowed=narrower(one.allowed, other.allowed),
-        rules=rules(one.rules, other.rules),
+        allowed=narrower(older.allowed, newer.allowed),
+        rules=merge_rules(older.rules, newer.rules),
     )
--- a/millfront/agreement/register.py
+++ b/millfront/agreement/view.py
@@ -8,112 +8,112 @@
 
 While a gatekeeper can't tell that all are on its version it is *unsure*: it acts by the interim of every
 version it took since the last agreement (millfront.agreement.interim), and leaves that only once a bucket
-shows every gatekeeper expected on its version, or once it has been unsure for `most_unsure_us`. Leaving is
+shows every gatekeeper expected on its version, or once it has been unsure for `max_unsure_us`. Leaving is
 one way: an agreement once seen is not undone by a late answer about an older bucket.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-NAME_BYTES = 64  # PROTOCOL: a counter name is 1 to 64 bytes without spaces
+MAX_NAME_BYTES = 64  # PROTOCOL: a counter name is 1 to 64 bytes without spaces
 
 
 class Mode(Enum):
     AGREED = "agreed"  # every gatekeeper expected was heard on this version
-    UNSURE = "unsure"  # acts by the interim of `merge_of`
+    UNSURE = "unsure"  # acts by the interim of `interim_versions`
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class BucketCounts:
     """One bucket as the counter told it."""
 
     bucket: int
-    all: int  # gatekeepers heard in it
-    mine: int  # of them on this gatekeeper's version
+    total: int  # gatekeepers heard in it
+    same_version: int  # of them on this gatekeeper's version
 
 
 def bucket_of(unix_us: int, period_us: int) -> int:
     return unix_us // period_us
 
 
-def names(prefix: str, document: str, bucket: int, version: str) -> tuple[str, str]:
+def counter_names(prefix: str, document: str, bucket: int, version: str) -> tuple[str, str]:
     """The bucket's roll call and its name for the version, within the counter's 64 bytes."""
     roll = f"{prefix}:{document}:{bucket}"
-    named = f"{roll}:{version}"
-    if len(named.encode()) > NAME_BYTES or " " in named:
-        raise ValueError(f"counter name {named!r}: over {NAME_BYTES} bytes or with a space")
-    return roll, named
+    versioned = f"{roll}:{version}"
+    if len(versioned.encode()) > MAX_NAME_BYTES or " " in versioned:
+        raise ValueError(f"counter name {versioned!r}: over {MAX_NAME_BYTES} bytes or with a space")
+    return roll, versioned
 
 
 @dataclass(slots=True)
-class Agreement:
+class AgreementView:
     """One gatekeeper's view of one document: its version, and whether all others act on it too.
 
     :param expected: gatekeepers in the fleet (PeersTotal, or the operators' count)
-    :param most_unsure_us: the longest an interim lasts without agreement being seen
+    :param max_unsure_us: the longest an interim lasts without agreement being seen
     """
 
-    mine: str
+    version: str
     since_us: int
     expected: int
-    most_unsure_us: int
+    max_unsure_us: int
     mode: Mode = Mode.UNSURE
-    merge_of: tuple[str, ...] = ()  # the versions whose rules all hold while unsure, the newest last
+    interim_versions: tuple[str, ...] = ()  # the versions whose rules all hold while unsure, the newest last
     others_differ: bool = False  # the last bucket heard had gatekeepers on another version
-    last_heard: int = -1  # the newest bucket heard
-    left_by_time: bool = False
+    last_bucket: int = -1  # the newest bucket heard
+    timed_out: bool = False
     history: list[tuple[int, Mode, tuple[str, ...]]] = field(default_factory=list)
     _published: dict[int, str] = field(default_factory=dict)  # by bucket, the version added to its name
 
     def __post_init__(self) -> None:
-        if not self.merge_of:
-            self.merge_of = (self.mine,)
-            self._note(self.since_us)
+        if not self.interim_versions:
+            self.interim_versions = (self.version,)
+            self._record(self.since_us)
 
-    def took(self, version: str, now_us: int) -> None:
+    def set_version(self, version: str, now_us: int) -> None:
         """A new version of the document is in force here (a SIGHUP, a file read anew)."""
-        if version == self.mine:
+        if version == self.version:
             return
-        kept = self.merge_of if self.mode is Mode.UNSURE else (self.mine,)
-        self.merge_of = (*(v for v in kept if v != version), version)
-        self.mine, self.since_us = version, now_us
-        self.mode, self.left_by_time = Mode.UNSURE, False
-        self._note(now_us)
+        current = self.interim_versions if self.mode is Mode.UNSURE else (self.version,)
+        self.interim_versions = (*(v for v in current if v != version), version)
+        self.version, self.since_us = version, now_us
+        self.mode, self.timed_out = Mode.UNSURE, False
+        self._record(now_us)
 
-    def publishing(self, bucket: int) -> str:
+    def version_to_publish(self, bucket: int) -> str:
         """The version to add to the bucket's name, now."""
-        self._published[bucket] = self.mine
-        return self.mine
+        self._published[bucket] = self.version
+        return self.version
 
-    def heard(self, heard: Heard, now_us: int) -> None:
+    def record_bucket(self, counts: BucketCounts, now_us: int) -> None:
         """A bucket read whole. Older than one heard before, it says nothing new; one in which this gatekeeper
         was counted under another version says nothing of the present one."""
-        published = self._published.pop(heard.bucket, None)
-        for old in [bucket for bucket in self._published if bucket < heard.bucket]:
+        published = self._published.pop(counts.bucket, None)
+        for old in [bucket for bucket in self._published if bucket < counts.bucket]:
             del self._published[old]
-        if heard.bucket <= self.last_heard or published is None:
+        if counts.bucket <= self.last_bucket or published is None:
             return
-        self.last_heard = heard.bucket
-        if published != self.mine:
+        self.last_bucket = counts.bucket
+        if published != self.version:
             return
-        self.others_differ = heard.mine < heard.all
-        if self.mode is Mode.UNSURE and heard.all >= self.expected and heard.mine == heard.all:
-            self._agree(now_us, by_time=False)
+        self.others_differ = counts.same_version < counts.total
+        if self.mode is Mode.UNSURE and counts.total >= self.expected and counts.same_version == counts.total:
+            self._enter_agreed(now_us, by_time=False)
 
     def tick(self, now_us: int) -> None:
         """Time passes: an interim ends at its longest."""
-        if self.mode is Mode.UNSURE and now_us - self.since_us >= self.most_unsure_us:
-            self._agree(now_us, by_time=True)
+        if self.mode is Mode.UNSURE and now_us - self.since_us >= self.max_unsure_us:
+            self._enter_agreed(now_us, by_time=True)
 
     @property
-    def wants_reread(self) -> bool:
+    def wants_reload(self) -> bool:
         """Others act on another version: the document in its place may be newer than what is in force."""
         return self.others_differ
 
-    def _agree(self, now_us: int, by_time: bool) -> None:
-        self.mode, self.merge_of, self.left_by_time = Mode.AGREED, (self.mine,), by_time
-        self._note(now_us)
+    def _enter_agreed(self, now_us: int, by_time: bool) -> None:
+        self.mode, self.interim_versions, self.timed_out = Mode.AGREED, (self.version,), by_time
+        self._record(now_us)
 
-    def _note(self, now_us: int) -> None:
-        self.history.append((now_us, self.mode, self.merge_of))
+    def _record(self, now_us: int) -> None:
+        self.history.append((now_us, self.mode, self.interim_versions))
         del self.history[:-16]  # what status shows: the last changes, not all
--- a/millfront/http2/conduct.py
+++ b/millfront/http2/abuse_limits.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     rate: float
 
 
-ALLOWED = {
+LIMITS = {
     "reset": Allowance(100.0, 20.0),
     "ping": Allowance(20.0, 2.0),
     "settings": Allowance(20.0, 1.0),
@@ -36,20 +36,20 @@
 }
 
 
-class Conduct:
+class RateLimits:
     """One connection's stores. Times in µs."""
 
-    __slots__ = ("_filled_us", "_left")
+    __slots__ = ("_refilled_us", "_tokens")
 
     def __init__(self, now_us: int) -> None:
-        self._left = {kind: allowance.burst for kind, allowance in ALLOWED.items()}
-        self._filled_us = dict.fromkeys(ALLOWED, now_us)
+        self._tokens = {kind: allowance.burst for kind, allowance in LIMITS.items()}
+        self._refilled_us = dict.fromkeys(LIMITS, now_us)
 
-    def bears(self, kind: str, now_us: int, units: float = 1.0) -> bool:
+    def allow(self, kind: str, now_us: int, units: float = 1.0) -> bool:
         """Take units of a kind; False once there are none left."""
-        allowance = ALLOWED[kind]
-        seconds = max(0, now_us - self._filled_us[kind]) / SECOND
-        self._filled_us[kind] = now_us
-        left = min(allowance.burst, self._left[kind] + allowance.rate * seconds)
-        self._left[kind] = left - units
-        return left >= units
+        allowance = LIMITS[kind]
+        seconds = max(0, now_us - self._refilled_us[kind]) / SECOND_US
+        self._refilled_us[kind] = now_us
+        tokens = min(allowance.burst, self._tokens[kind] + allowance.rate * seconds)
+        self._tokens[kind] = tokens - units
+        return tokens >= units
--- a/millfront/http2/clients.py
+++ b/millfront/http2/clients.py
@@ -17,8 +17,8 @@
 import h2.settings
 from hyperframe.frame import GoAwayFrame
 
-from millfront.http2.conduct import Conduct
-from millfront.http2.turns import Turns, urgency_of
+from millfront.http2.abuse_limits import RateLimits
+from millfront.http2.scheduler import StreamScheduler, parse_urgency
 from millfront.logs import Log
 from millfront.node.clients import (
     HEALTH_REQUESTS,
@@ -38,15 +38,15 @@
 log = Log(__name__)
 
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-PATH = re.compile(rb"/[!-~]*")
-NAME = re.compile(rb"[-!#$%&'*+.^_`|~0-9a-z]+")
-VALUE = re.compile(rb"[\t -~\x80-\xff]*")
+PATH_PATTERN = re.compile(rb"/[!-~]*")
+FIELD_NAME = re.compile(rb"[-!#$%&'*+.^_`|~0-9a-z]+")
+FIELD_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
 HIGH_WATER = 64 * 1024  # bytes that wait for the kernel; above it no more frames are made
-MOST_HELD = 1024 * 1024  # bytes of unfinished bodies, over all streams of a connection
-LAST_STREAM = 2**31 - 1
-PING_US = 10_000_000  # a connection with open streams that has been silent for so long is asked
-PONG_US = 5_000_000  # and is given up if it has not answered after so much more
-Codes = h2.errors.ErrorCodes
+MAX_UNFINISHED_BODY_BYTES = 1024 * 1024  # bytes of unfinished bodies, over all streams of a connection
+MAX_STREAM_ID = 2**31 - 1
+PING_AFTER_US = 10_000_000  # a connection with open streams that has been silent for so long is asked
+PING_TIMEOUT_US = 5_000_000  # and is given up if it has not answered after so much more
+ErrorCodes = h2.errors.ErrorCodes
 
 
 class ClientStream(MessageCaller):
@@ -54,40 +54,40 @@
 
     __slots__ = (
         "answered",
-        "begun_us",
         "body",
         "connection",
         "fields",
-        "headless",
         "id",
-        "opened",
-        "pending",
-        "since_us",
+        "is_head_request",
+        "open_request",
+        "request_complete",
+        "stalled_since_us",
         "start",
+        "started_us",
+        "unsent_body",
         "urgency",
-        "whole",
     )
 
-    def __init__(self, connection: "Http2Connection", number: int, now_us: int) -> None:
+    def __init__(self, connection: "Http2Connection", stream_id: int, now_us: int) -> None:
         self.connection = connection
-        self.id = number
-        self.begun_us = now_us
+        self.id = stream_id
+        self.started_us = now_us
         self.start: tuple[bytes, bytes] = (b"", b"")
         self.fields: Fields = []
         self.body = bytearray()
-        self.headless = False
-        self.whole = False  # the client has ended its side
+        self.is_head_request = False
+        self.request_complete = False  # the client has ended its side
         self.answered = False
-        self.opened: OpenRequest | None = None
-        self.pending: memoryview | None = None  # of the answer's body: not made into frames yet
-        self.since_us = 0  # since when the client has given no window for it
+        self.open_request: OpenRequest | None = None
+        self.unsent_body: memoryview | None = None  # of the answer's body: not made into frames yet
+        self.stalled_since_us = 0  # since when the client has given no window for it
         self.urgency = 3
 
-    def send_response(self, answer: Message) -> None:
+    def send_response(self, response: Message) -> None:
         if not self.answered:
             self.answered = True
-            self.opened = None
-            self.connection.give(self, answer)
+            self.open_request = None
+            self.connection.start_response(self, response)
 
 
 class Http2Connection:
@@ -110,30 +110,30 @@
             },
         )
         self.streams: dict[int, ClientStream] = {}
-        self.turns = Turns()
-        self.conduct = Conduct(now)
+        self.scheduler = StreamScheduler()
+        self.limits = RateLimits(now)
         self.ending = Ending.CLOSED
-        self.over = False
+        self.closed = False
         self.had_request = False  # a request came whole
         self.finished_us = 0  # since when nothing more goes out
         self.idle_since_us = now
         # of a request that is not whole: told by its stream, not by the connection
         self.request_started_us = 0
         self.input_closed = False
-        self.held = 0  # bytes of unfinished bodies
-        self.heard_us = now
-        self.pinged_us = 0
-        self.last = 0  # the highest stream that was taken
-        self.leaving = 0  # 1: told to go elsewhere, 2: told the last stream
-        self.unread_us = 0  # since when the kernel takes nothing more
-        self._pumping = False
+        self.buffered_bytes = 0  # bytes of unfinished bodies
+        self.last_received_us = now
+        self.ping_sent_us = 0
+        self.last_stream_id = 0  # the highest stream that was taken
+        self.drain_step = 0  # 1: told to go elsewhere, 2: told the last stream
+        self.blocked_since_us = 0  # since when the kernel takes nothing more
+        self._sending = False
         self.h2.initiate_connection()
         if link is None:
             link = Link(sock, self, server.loop)
         else:
             link.owner = self
         self.link = link
-        self.pump()
+        self.send_frames()
 
     @property
     def busy(self) -> bool:
@@ -144,66 +144,67 @@
     def received(self, data: bytes) -> None:
         if self.input_closed:
             return
-        self.heard_us = self.server.clock.now()
-        self.pinged_us = 0
+        self.last_received_us = self.server.clock.now()
+        self.ping_sent_us = 0
         try:
             for event in self.h2.receive_data(data):
-                self.take(event)
+                self.handle_event(event)
                 if self.input_closed:
                     break
-        except h2.exceptions.ProtocolError as wrong:
-            code = getattr(wrong, "error_code", Codes.PROTOCOL_ERROR)
+        except h2.exceptions.ProtocolError as error:
+            code = getattr(error, "error_code", ErrorCodes.PROTOCOL_ERROR)
             closed = self.h2.state_machine.state is h2.connection.ConnectionState.CLOSED
-            self.turn_out(code, str(wrong), told=closed)
+            self.fail(code, str(error), goaway_sent=closed)
             return
         if not self.input_closed:
-            self.check_hoard()
-        self.pump()
+            self.check_buffered_input()
+        self.send_frames()
 
-    def check_hoard(self) -> None:
-        if (found := hoards(self.h2)) is not None:
-            self.turn_out(*found)
+    def check_buffered_input(self) -> None:
+        if (found := find_oversized_input(self.h2)) is not None:
+            self.fail(*found)
 
-    def take(self, event: h2.events.Event) -> None:
-        now = self.heard_us
+    def handle_event(self, event: h2.events.Event) -> None:
+        now = self.last_received_us
         match event:
             case h2.events.RequestReceived():
-                self.begin(event, now)
+                self.start_request(event, now)
             case h2.events.DataReceived():
-                self.body(event, now)
+                self.handle_data(event, now)
             case h2.events.StreamEnded():
                 if (stream := self.streams.get(event.stream_id)) is not None:
-                    self.whole(stream)
+                    self.complete_request(stream)
             case h2.events.StreamReset():
-                self.reset_by_client(event.stream_id, now)
+                self.handle_reset(event.stream_id, now)
             case h2.events.WindowUpdated():
-                self.bears("window", now)
-                self.may_send(event.stream_id)
+                self.charge("window", now)
+                self.window_opened(event.stream_id)
             case h2.events.RemoteSettingsChanged():
-                self.bears("settings", now)
-                self.may_send(0)  # windows may have grown
+                self.charge("settings", now)
+                self.window_opened(0)  # windows may have grown
             case h2.events.PingReceived():
-                self.bears("ping", now)
+                self.charge("ping", now)
             case h2.events.PriorityUpdated():
-                self.bears("priority", now)
+                self.charge("priority", now)
             case h2.events.TrailersReceived():
-                self.bears("empty", now)
+                self.charge("empty", now)
             case h2.events.ConnectionTerminated():
                 if not self.streams:
                     self.close()
 
-    def bears(self, kind: str, now: int) -> None:
-        if not self.input_closed and not self.conduct.bears(kind, now):
-            self.turn_out(Codes.ENHANCE_YOUR_CALM, f"too many of a kind: {kind}")
+    def charge(self, kind: str, now: int) -> None:
+        if not self.input_closed and not self.limits.allow(kind, now):
+            self.fail(ErrorCodes.ENHANCE_YOUR_CALM, f"too many of a kind: {kind}")
 
-    def begin(self, event: h2.events.RequestReceived, now: int) -> None:
-        number = event.stream_id or 0
-        if self.leaving == 2:
-            self.reset(number, Codes.REFUSED_STREAM)  # it certainly never ran: the client may ask elsewhere
+    def start_request(self, event: h2.events.RequestReceived, now: int) -> None:
+        stream_id = event.stream_id or 0
+        if self.drain_step == 2:
+            # It certainly never ran: the client may ask elsewhere.
+            self.reset_stream(stream_id, ErrorCodes.REFUSED_STREAM)
             return
-        self.last = max(self.last, number)
-        stream = ClientStream(self, number, now)
-        self.streams[number] = stream
+        self.last_stream_id = max(self.last_stream_id, stream_id)
+        stream = ClientStream(self, stream_id, now)
+        self.streams[stream_id] = stream
         pseudo: dict[bytes, bytes] = {}
         cookies: list[bytes] = []
         for name, value in event.headers or []:
@@ -219,85 +220,85 @@
         if b":authority" in pseudo and not any(name == b"host" for name, _ in stream.fields):
             stream.fields.insert(0, (b"host", pseudo[b":authority"]))
         stream.start = (pseudo.get(b":method", b""), pseudo.get(b":path", b""))
-        stream.headless = stream.start[0] == b"HEAD"
-        stream.urgency = urgency_of(next((v for n, v in stream.fields if n == b"priority"), b""))
-        why = unfit(stream.start, stream.fields)
-        if why:
-            self.bears("refused", now)
-            stream.send_response(relay.own(400, why + b"\n"))
-
-    def body(self, event: h2.events.DataReceived, now: int) -> None:
-        number, data = event.stream_id or 0, event.data or b""
+        stream.is_head_request = stream.start[0] == b"HEAD"
+        stream.urgency = parse_urgency(next((v for n, v in stream.fields if n == b"priority"), b""))
+        reason = rejection_reason(stream.start, stream.fields)
+        if reason:
+            self.charge("refused", now)
+            stream.send_response(relay.own(400, reason + b"\n"))
+
+    def handle_data(self, event: h2.events.DataReceived, now: int) -> None:
+        stream_id, data = event.stream_id or 0, event.data or b""
         size = event.flow_controlled_length or 0
-        stream = self.streams.get(number)
+        stream = self.streams.get(stream_id)
         if not data and event.stream_ended is None:
-            self.bears("empty", now)
+            self.charge("empty", now)
         if self.input_closed:
             return
         if stream is not None and not stream.answered:
             stream.body += data
-            self.held += len(data)
+            self.buffered_bytes += len(data)
             if len(stream.body) > MAX_BUFFERED_BODY_BYTES:
-                self.let_go(stream)
+                self.discard_body(stream)
                 stream.send_response(relay.own(413, b"body too long\n"))
-            elif self.held > MOST_HELD:
-                self.let_go(stream)
-                self.leave(stream)
-                self.reset(number, Codes.ENHANCE_YOUR_CALM)
+            elif self.buffered_bytes > MAX_UNFINISHED_BODY_BYTES:
+                self.discard_body(stream)
+                self.abandon(stream)
+                self.reset_stream(stream_id, ErrorCodes.ENHANCE_YOUR_CALM)
         if size:
-            self.h2.acknowledge_received_data(size, number)
+            self.h2.acknowledge_received_data(size, stream_id)
 
-    def let_go(self, stream: ClientStream) -> None:
-        self.held -= len(stream.body)
+    def discard_body(self, stream: ClientStream) -> None:
+        self.buffered_bytes -= len(stream.body)
         stream.body.clear()
 
-    def whole(self, stream: ClientStream) -> None:
+    def complete_request(self, stream: ClientStream) -> None:
         """The client has ended its side: the request is taken."""
-        stream.whole = self.had_request = True
+        stream.request_complete = self.had_request = True
         if stream.answered:
-            self.forget_if_done(stream)
+            self.remove_if_done(stream)
             return
         body = bytes(stream.body)
-        self.let_go(stream)
-        told = [value for name, value in stream.fields if name == b"content-length"]
-        if any(not value.isdigit() or int(value) != len(body) for value in told):
-            self.leave(
+        self.discard_body(stream)
+        lengths = [value for name, value in stream.fields if name == b"content-length"]
+        if any(not value.isdigit() or int(value) != len(body) for value in lengths):
+            self.abandon(
                 stream
             )  # malformed (RFC 9113, 8.1.1): one that reads the length would read another body
-            self.reset(stream.id, Codes.PROTOCOL_ERROR)
-            self.bears("refused", self.heard_us)
+            self.reset_stream(stream.id, ErrorCodes.PROTOCOL_ERROR)
+            self.charge("refused", self.last_received_us)
             return
         message = Message(stream.start, stream.fields, stream.fields, body)
         if message.start in HEALTH_REQUESTS:
             stream.send_response(self.server.health())
             return
         try:
-            opened = self.server.admit(self.server.take_in(message, stream.begun_us), stream)
-        except NotTaken as wrong:
-            self.bears("refused", self.heard_us)
-            stream.send_response(relay.own(wrong.status, f"{wrong}\n".encode()))
+            open_request = self.server.admit(self.server.take_in(message, stream.started_us), stream)
+        except NotTaken as error:
+            self.charge("refused", self.last_received_us)
+            stream.send_response(relay.own(error.status, f"{error}\n".encode()))
             return
-        if opened is not None and not opened.over:
-            stream.opened = opened
+        if open_request is not None and not open_request.over:
+            stream.open_request = open_request
 
-    def reset_by_client(self, number: int | None, now: int) -> None:
+    def handle_reset(self, stream_id: int | None, now: int) -> None:
         """The client has left this request: what its class and the settings allow is called off, no more."""
-        stream = self.streams.get(number or 0)
+        stream = self.streams.get(stream_id or 0)
         if stream is not None:
-            if stream.pending is None or not stream.answered:
-                self.bears("reset", now)
-            self.leave(stream)
-            self.rest()
+            if stream.unsent_body is None or not stream.answered:
+                self.charge("reset", now)
+            self.abandon(stream)
+            self.check_idle()
 
-    def leave(self, stream: ClientStream) -> None:
+    def abandon(self, stream: ClientStream) -> None:
         """No answer is owed on it any more."""
         self.streams.pop(stream.id, None)
-        self.turns.drop(stream.id)
-        self.let_go(stream)
-        stream.pending, stream.answered = None, True
-        opened, stream.opened = stream.opened, None
-        if opened is not None:
-            self.server.host.client_left(opened)
+        self.scheduler.remove(stream.id)
+        self.discard_body(stream)
+        stream.unsent_body, stream.answered = None, True
+        open_request, stream.open_request = stream.open_request, None
+        if open_request is not None:
+            self.server.host.client_left(open_request)
 
     def ended(self, why: str) -> None:
         if why and not self.input_closed:
@@ -306,55 +307,55 @@
 
     # ---- out ---------------------------------------------------------------------------------
 
-    def give(self, stream: ClientStream, answer: Message) -> None:
+    def start_response(self, stream: ClientStream, response: Message) -> None:
         """The one answer of a stream, made into frames as windows allow."""
-        if self.over or stream.id not in self.streams:
+        if self.closed or stream.id not in self.streams:
             return
-        assert isinstance(answer.start, int)
-        fields = [(b":status", b"%d" % answer.start)]
+        assert isinstance(response.start, int)
+        fields = [(b":status", b"%d" % response.start)]
         fields += [
-            (name.lower(), value) for name, value in answer.raw_fields if name.lower() not in HOP_BY_HOP
+            (name.lower(), value) for name, value in response.raw_fields if name.lower() not in HOP_BY_HOP
         ]
-        fields.append((b"content-length", b"%d" % len(answer.body)))
-        body = b"" if stream.headless else answer.body
+        fields.append((b"content-length", b"%d" % len(response.body)))
+        body = b"" if stream.is_head_request else response.body
         try:
             self.h2.send_headers(stream.id, fields, end_stream=not body)
-        except h2.exceptions.ProtocolError as wrong:  # closed by the client in the same read
-            log.warning("an answer could not be sent", why=wrong)
-            self.leave(stream)
+        except h2.exceptions.ProtocolError as error:  # closed by the client in the same read
+            log.warning("an answer could not be sent", why=error)
+            self.abandon(stream)
             return
         if body:
-            stream.pending = memoryview(body)
-            stream.since_us = self.server.clock.now()
-            self.turns.add(stream.id, stream.urgency)
+            stream.unsent_body = memoryview(body)
+            stream.stalled_since_us = self.server.clock.now()
+            self.scheduler.add(stream.id, stream.urgency)
         else:
-            self.sent(stream)
-        if not self._pumping:
-            self.pump()
+            self.response_sent(stream)
+        if not self._sending:
+            self.send_frames()
 
-    def may_send(self, number: int | None) -> None:
+    def window_opened(self, stream_id: int | None) -> None:
         """A window has grown: of one stream, or of the connection."""
-        if number:
-            stream = self.streams.get(number)
-            if stream is not None and stream.pending is not None:
-                self.turns.add(stream.id, stream.urgency)
+        if stream_id:
+            stream = self.streams.get(stream_id)
+            if stream is not None and stream.unsent_body is not None:
+                self.scheduler.add(stream.id, stream.urgency)
             return
         for stream in self.streams.values():
-            if stream.pending is not None:
-                self.turns.add(stream.id, stream.urgency)
+            if stream.unsent_body is not None:
+                self.scheduler.add(stream.id, stream.urgency)
 
-    def pump(self) -> None:
+    def send_frames(self) -> None:
         """Frames in turn while the kernel takes them. What waits is the answers themselves, and no more."""
-        if self.over or self._pumping:
+        if self.closed or self._sending:
             return
-        self._pumping = True
+        self._sending = True
         try:
-            while len(self.turns) and self.link.unsent < HIGH_WATER:
-                if not self.frame():
+            while len(self.scheduler) and self.link.unsent < HIGH_WATER:
+                if not self.send_frame():
                     break
                 if self.h2.outbound_flow_control_window <= 0:
                     break
-                if len(self.turns) > 1:
+                if len(self.scheduler) > 1:
                     self.flush()
             self.flush()
             if self.finished_us and not self.link.unsent:
@@ -362,83 +363,83 @@
         except OSError:
             self.end(Ending.CONNECT_FAILED)
         finally:
-            self._pumping = False
+            self._sending = False
 
-    def frame(self) -> bool:
+    def send_frame(self) -> bool:
         """One frame of whose turn it is; False if nobody can send."""
-        number = self.turns.next()
-        if number is None:
+        stream_id = self.scheduler.next()
+        if stream_id is None:
             return False
-        stream = self.streams[number]
-        assert stream.pending is not None
-        window = self.h2.local_flow_control_window(number)
-        size = min(window, self.h2.max_outbound_frame_size, len(stream.pending))
+        stream = self.streams[stream_id]
+        assert stream.unsent_body is not None
+        window = self.h2.local_flow_control_window(stream_id)
+        size = min(window, self.h2.max_outbound_frame_size, len(stream.unsent_body))
         if size <= 0:
-            self.turns.drop(number)  # out of the ring until its window grows
-            return len(self.turns) > 0
-        last = size == len(stream.pending)
-        self.h2.send_data(number, stream.pending[:size].tobytes(), end_stream=last)
-        stream.pending = None if last else stream.pending[size:]
-        stream.since_us = self.server.clock.now()
+            self.scheduler.remove(stream_id)  # out of the ring until its window grows
+            return len(self.scheduler) > 0
+        last = size == len(stream.unsent_body)
+        self.h2.send_data(stream_id, stream.unsent_body[:size].tobytes(), end_stream=last)
+        stream.unsent_body = None if last else stream.unsent_body[size:]
+        stream.stalled_since_us = self.server.clock.now()
         if last:
-            self.sent(stream)
+            self.response_sent(stream)
         return True
 
     def flush(self) -> None:
         data = self.h2.data_to_send()
         if data:
             self.link.write(data)
-        self.unread_us = (self.unread_us or self.server.clock.now()) if self.link.unsent else 0
+        self.blocked_since_us = (self.blocked_since_us or self.server.clock.now()) if self.link.unsent else 0
 
-    def sent(self, stream: ClientStream) -> None:
+    def response_sent(self, stream: ClientStream) -> None:
         """All of its answer is in frames."""
-        stream.pending = None
-        self.turns.drop(stream.id)
-        if not stream.whole:
+        stream.unsent_body = None
+        self.scheduler.remove(stream.id)
+        if not stream.request_complete:
             # Answered before the request had ended: the rest of it is not wanted (RFC 9113, 8.1)
-            self.reset(stream.id, Codes.NO_ERROR)
-            stream.whole = True
-        self.forget_if_done(stream)
+            self.reset_stream(stream.id, ErrorCodes.NO_ERROR)
+            stream.request_complete = True
+        self.remove_if_done(stream)
 
-    def forget_if_done(self, stream: ClientStream) -> None:
-        if stream.answered and stream.pending is None and self.streams.pop(stream.id, None) is not None:
-            self.let_go(stream)
-            self.rest()
+    def remove_if_done(self, stream: ClientStream) -> None:
+        if stream.answered and stream.unsent_body is None and self.streams.pop(stream.id, None) is not None:
+            self.discard_body(stream)
+            self.check_idle()
 
-    def rest(self) -> None:
+    def check_idle(self) -> None:
         if not self.streams:
             self.idle_since_us = self.server.clock.now()
             self.server.connection_idle(self)
-            if self.leaving == 2:
+            if self.drain_step == 2:
                 self.linger()
 
     def drained(self) -> None:
-        self.unread_us = 0
-        self.pump()
+        self.blocked_since_us = 0
+        self.send_frames()
 
-    def reset(self, number: int, code: h2.errors.ErrorCodes) -> None:
+    def reset_stream(self, stream_id: int, code: h2.errors.ErrorCodes) -> None:
         with suppress(h2.exceptions.ProtocolError):  # the client was faster
-            self.h2.reset_stream(number, code)
+            self.h2.reset_stream(stream_id, code)
 
     # ---- ends --------------------------------------------------------------------------------
 
-    def turn_out(self, code: int, why: str, told: bool = False) -> None:
+    def fail(self, code: int, why: str, goaway_sent: bool = False) -> None:
         """A connection error: GOAWAY with the code, and nothing more is taken. Open requests are left."""
         log.warning("a client's HTTP/2 connection is ended", why=why, code=int(code))
         self.input_closed = True
         self.ending = Ending.MALFORMED
-        if not told:
-            self.goaway(self.last, code)
+        if not goaway_sent:
+            self.send_goaway(self.last_stream_id, code)
         for stream in list(self.streams.values()):
-            self.leave(stream)
+            self.abandon(stream)
         self.linger()
 
-    def goaway(self, last: int, code: int = 0) -> None:
+    def send_goaway(self, last_stream_id: int, code: int = 0) -> None:
         """Beside h2, which would take no frame after its own: streams that are open go on to their end."""
-        self.flush_quietly(GoAwayFrame(0, last_stream_id=last, error_code=int(code)).serialize())
+        self.write_direct(GoAwayFrame(0, last_stream_id=last_stream_id, error_code=int(code)).serialize())
 
-    def flush_quietly(self, data: bytes) -> None:
-        if self.over:
+    def write_direct(self, data: bytes) -> None:
+        if self.closed:
             return
         try:
             self.flush()
@@ -447,29 +448,29 @@
             self.end(Ending.CONNECT_FAILED)
 
     def drain(self) -> None:
-        """The first of two steps: no number is named yet, for requests may be on the way."""
-        if not self.leaving and not self.input_closed:
-            self.leaving = 1
-            self.goaway(LAST_STREAM)
+        """The first of two steps: no stream_id is named yet, for requests may be on the way."""
+        if not self.drain_step and not self.input_closed:
+            self.drain_step = 1
+            self.send_goaway(MAX_STREAM_ID)
 
     def close_if_idle(self) -> None:
         """The second step: what is above the last stream taken will be refused, and may be asked
         elsewhere."""
         if self.input_closed:
             return
-        if self.leaving < 2:
-            self.leaving = 2
-            self.goaway(self.last)
+        if self.drain_step < 2:
+            self.drain_step = 2
+            self.send_goaway(self.last_stream_id)
         if not self.streams and not self.finished_us:
             self.linger()
 
     def linger(self) -> None:
         """Say that nothing more comes and let the client close first."""
-        if self.over:
+        if self.closed:
             return
         self.input_closed = True
         self.finished_us = self.finished_us or self.server.clock.now()
-        self.pump()
+        self.send_frames()
 
     def check_timeouts(self, now_us: int, read_timeout_us: int) -> None:
         if self.finished_us:
@@ -477,25 +478,32 @@
                 self.close()
             return
         for stream in list(self.streams.values()):
-            if not stream.whole and not stream.answered and stream.begun_us < now_us - read_timeout_us:
+            if (
+                not stream.request_complete
+                and not stream.answered
+                and stream.started_us < now_us - read_timeout_us
+            ):
                 stream.send_response(relay.own(408, b"request not finished in time\n"))
-            elif stream.pending is not None and stream.since_us < now_us - RESPONSE_STALL_TIMEOUT_US:
-                self.leave(stream)
-                self.reset(stream.id, Codes.CANCEL)  # a window that never opens: guards memory
-        if self.unread_us and self.unread_us < now_us - RESPONSE_STALL_TIMEOUT_US:
+            elif (
+                stream.unsent_body is not None
+                and stream.stalled_since_us < now_us - RESPONSE_STALL_TIMEOUT_US
+            ):
+                self.abandon(stream)
+                self.reset_stream(stream.id, ErrorCodes.CANCEL)  # a window that never opens: guards memory
+        if self.blocked_since_us and self.blocked_since_us < now_us - RESPONSE_STALL_TIMEOUT_US:
             self.end(Ending.TIMED_OUT)
         elif not self.had_request and not self.streams and self.idle_since_us < now_us - read_timeout_us:
             self.end(Ending.TIMED_OUT)  # it says nothing, or plays with frames alone
         elif not self.streams and self.idle_since_us < now_us - IDLE_TIMEOUT_US:
             self.close_if_idle()
-        elif self.streams and self.heard_us < now_us - PING_US:
-            if not self.pinged_us:
-                self.pinged_us = now_us
+        elif self.streams and self.last_received_us < now_us - PING_AFTER_US:
+            if not self.ping_sent_us:
+                self.ping_sent_us = now_us
                 self.h2.ping(b"millfrnt")
-            elif self.pinged_us < now_us - PONG_US:
+            elif self.ping_sent_us < now_us - PING_TIMEOUT_US:
                 self.end(Ending.TIMED_OUT)
-        if not self.over:
-            self.pump()
+        if not self.closed:
+            self.send_frames()
 
     def is_idle(self) -> bool:
         return not self.streams
@@ -506,40 +514,40 @@
 
     def close(self) -> None:
         """Ends the connection; requests that are open are left, each once."""
-        if self.over:
+        if self.closed:
             return
-        self.over = True
+        self.closed = True
         self.link.close()
-        if any(stream.opened is not None for stream in self.streams.values()):
+        if any(stream.open_request is not None for stream in self.streams.values()):
             self.ending = Ending.CLIENT_LEFT
         self.server.connection_closed(self)
         for stream in list(self.streams.values()):
-            self.leave(stream)
+            self.abandon(stream)
 
 
-def hoards(connection: h2.connection.H2Connection) -> tuple[Codes, str] | None:
+def find_oversized_input(connection: h2.connection.H2Connection) -> tuple[ErrorCodes, str] | None:
     """h2 keeps a frame until it is whole, and only then looks at its length; and a header block until it
     ends, of up to 64 frames. Guards memory: both are bounded here as soon as they are seen."""
     waiting = connection.incoming_buffer._data
     blocks = connection.incoming_buffer._headers_buffer
     if len(waiting) >= 3 and int.from_bytes(waiting[:3]) > connection.max_inbound_frame_size:
-        return Codes.FRAME_SIZE_ERROR, "a frame longer than allowed"
+        return ErrorCodes.FRAME_SIZE_ERROR, "a frame longer than allowed"
     if sum(len(block.data) for block in blocks) > 2 * MAX_HEAD_BYTES:
-        return Codes.ENHANCE_YOUR_CALM, "a header block without end"
+        return ErrorCodes.ENHANCE_YOUR_CALM, "a header block without end"
     return None
 
 
-def unfit(start: tuple[bytes, bytes], fields: Fields) -> bytes:
+def rejection_reason(start: tuple[bytes, bytes], fields: Fields) -> bytes:
     """Why a request that h2 lets through may not go on to members that speak HTTP/1.1; nothing if it may.
 
     A path or a value that reads otherwise there would hide a second request in the first.
     """
     method, path = start
-    if not PATH.fullmatch(path):
+    if not PATH_PATTERN.fullmatch(path):
         return b":path: not the absolute path of a resource"
     if not method.isalpha() or not method.isupper():
         return b":method: not a method"
-    if any(not NAME.fullmatch(name) or not VALUE.fullmatch(value) for name, value in fields):
+    if any(not FIELD_NAME.fullmatch(name) or not FIELD_VALUE.fullmatch(value) for name, value in fields):
         return b"a field that can't be passed on"
     if any(value != value.strip(b" \t") for _, value in fields):
         return b"a field that can't be passed on"
--- a/millfront/http2/part.py
+++ b/millfront/http2/part.py
@@ -17,64 +17,74 @@
 
 log = Log(__name__)
 
-LOOK_S = 0.1  # between two looks at the connections to members
+CHECK_INTERVAL_S = 0.1  # between two looks at the connections to members
 
 
-class Http2Front:
+class Http2Part:
     name = "http2"
 
-    def __init__(self, node: Node, told: Http2) -> None:
+    def __init__(self, node: Node, settings: Http2) -> None:
         self.node = node
-        self.told = told
+        self.settings = settings
         self.server: VirtualServer | None = None
         self.members: Http2Members | None = None
 
     async def start(self) -> None:
-        if self.told.shared:
+        if self.settings.shared:
             self.node.server.preface = PREFACE
-            self.node.server.on_preface = self._upgraded
-        if self.told.members:
+            self.node.server.on_preface = self._upgrade
+        if self.settings.members:
             from millfront.http2.members import Http2Members
 
-            told = self.told
-            self.members = Http2Members(self.node.members, told.member_streams, told.member_connections)
+            settings = self.settings
+            self.members = Http2Members(
+                self.node.members, settings.member_streams, settings.member_connections
+            )
             self.node.members.shared = self.members
-        if self.told.listen is None:
+        if self.settings.listen is None:
             return
         main = self.node.server
-        if self.told.connections >= main.max_connections:
-            why = f"{self.told.connections} are not below the {main.max_connections} that clients may hold"
+        if self.settings.connections >= main.max_connections:
+            why = (
+                f"{self.settings.connections} are not below the {main.max_connections} that clients may hold"
+            )
             raise ConfigError(f"http2.connections: {why}")
-        main.max_connections -= self.told.connections  # descriptors are bounded for all together
+        main.max_connections -= self.settings.connections  # descriptors are bounded for all together
         self.server = VirtualServer(
-            main.clock, main.host, main.take_in, main.admit, main.ready, self.told.connections, self._made
+            main.clock,
+            main.host,
+            main.take_in,
+            main.admit,
+            main.ready,
+            self.settings.connections,
+            self._make_connection,
         )
-        self.server.listen(Address.parse(self.told.listen, "http2.listen"))
+        self.server.listen(Address.parse(self.settings.listen, "http2.listen"))
         self.node.fronts.append(self.server)
         log.info("HTTP/2 listens", address=self.server.address)
 
-    def _made(self, server: VirtualServer, sock: socket.socket) -> Http2Connection:
-        return Http2Connection(server, sock, self.told.streams)
+    def _make_connection(self, server: VirtualServer, sock: socket.socket) -> Http2Connection:
+        return Http2Connection(server, sock, self.settings.streams)
 
-    def _upgraded(self, connection: ClientConnection, data: bytes) -> None:
+    def _upgrade(self, connection: ClientConnection, data: bytes) -> None:
         """The shared port's connection has begun with the preface: it goes on as HTTP/2."""
         server = connection.server
-        made = Http2Connection(server, connection.link.sock, self.told.streams, connection.link)
-        server.replace(connection, made)
-        made.received(data)
+        upgraded = Http2Connection(server, connection.link.sock, self.settings.streams, connection.link)
+        server.replace(connection, upgraded)
+        upgraded.received(data)
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
             if self.members is not None:
-                tasks.start_soon(self._look)
+                tasks.start_soon(self._check_members)
             if self.server is not None:
                 await self.server.sweep()
 
-    async def _look(self) -> None:
+    async def _check_members(self) -> None:
         assert self.members is not None
         while True:
-            await anyio.sleep(LOOK_S)
-            self.members.look()
+            await anyio.sleep(CHECK_INTERVAL_S)
+            self.members.check_connections()
 
     async def stop(self) -> None:
         pass  # it ends with the other fronts
--- a/millfront/operators/parts.py
+++ b/millfront/operators/parts.py
@@ -28,16 +28,16 @@
             admin.says("plans", plans.status)
             PlansApi(plans).at(admin)
     if told.agreement is not None:
-        from millfront.agreement.part import Agreeing
+        from millfront.agreement.part import AgreementPart
 
-        agreeing = Agreeing(node, told.agreement)
+        agreeing = AgreementPart(node, told.agreement)
         node.parts.add(agreeing)
         if admin is not None:
             admin.says("agreement", agreeing.status)
     if told.http2 is not None:
-        from millfront.http2.part import Http2Front
+        from millfront.http2.part import Http2Part
 
-        front = Http2Front(node, told.http2)
+        front = Http2Part(node, told.http2)
         node.parts.add(front)
         if admin is not None:
             admin.says("http2", front.status)
--- a/tests/h2client.py
+++ b/tests/h2client.py
@@ -20,7 +20,7 @@
 
 def head(cls: str = "page-fetch", **fields: str) -> list[tuple[str, str]]:
     """The fields of a request; pseudo-fields by their name without the colon."""
-    told = {
+    fields_by_name = {
         ":method": METHODS.get(cls, "POST"),
         ":path": f"/{cls}/more/00000000b4d65521?a=%20b",
         ":scheme": "http",
@@ -31,11 +31,11 @@
         "quota-info": "units=2,spread=2,first=1",
     }
     if cls == "issue-buy":
-        told["idempotency-key"] = "5c0f6e1a2b3d4c59"
+        fields_by_name["idempotency-key"] = "5c0f6e1a2b3d4c59"
     for name, value in fields.items():
-        plain = name.replace("_", "-").lower()
-        told[f":{plain}" if f":{plain}" in told else plain] = value
-    return list(told.items())
+        plain_name = name.replace("_", "-").lower()
+        fields_by_name[f":{plain_name}" if f":{plain_name}" in fields_by_name else plain_name] = value
+    return list(fields_by_name.items())
 
 
 class Client:
@@ -47,8 +47,8 @@
             header_encoding="utf-8", validate_outbound_headers=strict, normalize_outbound_headers=strict
         )
         self.h2 = h2.connection.H2Connection(config)
-        told = {h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: window}
-        self.h2.local_settings = h2.settings.Settings(client=True, initial_values=told)
+        local = {h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: window}
+        self.h2.local_settings = h2.settings.Settings(client=True, initial_values=local)
         self.events: list[h2.events.Event] = []
         self.statuses: dict[int, int] = {}
         self.bodies: defaultdict[int, bytes] = defaultdict(bytes)
@@ -58,14 +58,14 @@
         self.stalled: set[int] = set()
         self.closed = False
         self._ids = itertools.count(1, 2)
-        self.h2._frame_dispatch_table[GoAwayFrame] = self.told_to_go
+        self.h2._frame_dispatch_table[GoAwayFrame] = self.handle_goaway
 
-    def told_to_go(self, frame: Any) -> tuple[list[Any], list[Any]]:
+    def handle_goaway(self, frame: Any) -> tuple[list[Any], list[Any]]:
         """h2 would take no frame after it; streams that are open go on (RFC 9113, 6.8)."""
         self.goaways.append((frame.error_code, frame.last_stream_id))
         return [], []
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         self.h2.initiate_connection()
         await self.flush()
 
@@ -73,19 +73,19 @@
         await self.stream.send(self.h2.data_to_send())
 
     async def ask(self, fields: list[tuple[str, str]], body: bytes = b"", end: bool = True) -> int:
-        number = next(self._ids)
-        self.h2.send_headers(number, fields, end_stream=end and not body)
+        stream_id = next(self._ids)
+        self.h2.send_headers(stream_id, fields, end_stream=end and not body)
         if body:
-            self.h2.send_data(number, body, end_stream=end)
+            self.h2.send_data(stream_id, body, end_stream=end)
         await self.flush()
-        return number
+        return stream_id
 
     async def until(self, condition: Callable[["Client"], Any]) -> None:
         with anyio.fail_after(TEST_TIMEOUT_S):
             while not condition(self):
-                await self.hear()
+                await self.receive()
 
-    async def hear(self) -> None:
+    async def receive(self) -> None:
         try:
             data = await self.stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
@@ -94,11 +94,11 @@
             self.closed = True
             return
         for event in self.h2.receive_data(data):
-            self.note(event)
-        if out := self.h2.data_to_send():
-            await self.stream.send(out)
+            self.handle_event(event)
+        if outgoing := self.h2.data_to_send():
+            await self.stream.send(outgoing)
 
-    def note(self, event: Any) -> None:
+    def handle_event(self, event: Any) -> None:
         self.events.append(event)
         match event:
             case h2.events.ResponseReceived():
@@ -116,6 +116,6 @@
             case h2.events.StreamReset():
                 self.resets[event.stream_id] = int(event.error_code)
 
-    async def answer(self, number: int) -> tuple[int, bytes]:
-        await self.until(lambda c: number in c.ended or number in c.resets or c.closed)
-        return self.statuses[number], self.bodies[number]
+    async def answer(self, stream_id: int) -> tuple[int, bytes]:
+        await self.until(lambda c: stream_id in c.ended or stream_id in c.resets or c.closed)
+        return self.statuses[stream_id], self.bodies[stream_id]
--- a/tests/h2server.py
+++ b/tests/h2server.py
@@ -14,10 +14,10 @@
 
 from tests.peers import Peer
 
-Act = Callable[["Spoken", int], Awaitable[None]]
+Step = Callable[["PeerConnection", int], Awaitable[None]]
 
 
-class Spoken:
+class PeerConnection:
     """One connection to it."""
 
     def __init__(self, stream: SocketStream) -> None:
@@ -35,58 +35,58 @@
         async with self.writing:
             await self.stream.send(data)
 
-    async def answer(self, number: int, status: int = 200, body: bytes = b"page", **fields: str) -> None:
-        told = [(":status", str(status)), *((n.replace("_", "-").lower(), v) for n, v in fields.items())]
-        self.h2.send_headers(number, told)
-        self.h2.send_data(number, body, end_stream=True)
+    async def answer(self, stream_id: int, status: int = 200, body: bytes = b"page", **fields: str) -> None:
+        headers = [(":status", str(status)), *((n.replace("_", "-").lower(), v) for n, v in fields.items())]
+        self.h2.send_headers(stream_id, headers)
+        self.h2.send_data(stream_id, body, end_stream=True)
         await self.flush()
 
-    async def reset(self, number: int, code: int) -> None:
-        self.h2.reset_stream(number, code)
+    async def reset(self, stream_id: int, code: int) -> None:
+        self.h2.reset_stream(stream_id, code)
         await self.flush()
 
     async def goaway(self, last: int) -> None:
         await self.send(GoAwayFrame(0, last_stream_id=last).serialize())
 
 
-async def page(spoken: Spoken, number: int) -> None:
-    await spoken.answer(number)
+async def page(connection: PeerConnection, stream_id: int) -> None:
+    await connection.answer(stream_id)
 
 
-async def nothing(spoken: Spoken, number: int) -> None:
+async def never_answer(connection: PeerConnection, stream_id: int) -> None:
     """Until somebody else does something."""
 
 
 class H2Peer(Peer):
-    """Plays an act of its script for each request; keeps what came: fields, with the body under `body`."""
+    """Plays a step of its script for each request; keeps what came: fields, with the body under `body`."""
 
-    def __init__(self, *acts: Act, streams: int | None = None, otherwise: Act = page) -> None:
+    def __init__(self, *steps: Step, streams: int | None = None, fallback: Step = page) -> None:
         super().__init__()
-        self.acts = deque(acts)
-        self.then = otherwise
-        self.came: list[dict[str, str]] = []
+        self.steps = deque(steps)
+        self.fallback = fallback
+        self.requests: list[dict[str, str]] = []
         self.resets: list[int] = []
-        self.spoken: list[Spoken] = []
+        self.peer_connections: list[PeerConnection] = []
         self.streams = streams
-        self.mute = False
+        self.silent = False
 
     async def serve(self, stream: SocketStream) -> None:
         self.connections += 1
-        spoken = Spoken(stream)
-        self.spoken.append(spoken)
+        connection = PeerConnection(stream)
+        self.peer_connections.append(connection)
         if self.streams is not None:
-            spoken.h2.update_settings({h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: self.streams})
-        spoken.h2.initiate_connection()
+            connection.h2.update_settings({h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: self.streams})
+        connection.h2.initiate_connection()
         async with stream, anyio.create_task_group() as tasks:
             try:
-                await spoken.flush()
+                await connection.flush()
                 while True:
                     data = await stream.receive()
-                    if self.mute:
+                    if self.silent:
                         continue
-                    for event in spoken.h2.receive_data(data):
-                        await self.take(spoken, event)
-                    await spoken.flush()
+                    for event in connection.h2.receive_data(data):
+                        await self.handle_event(connection, event)
+                    await connection.flush()
             except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 self.closed += 1
                 self.notify()
@@ -95,18 +95,18 @@
                 self.notify()
             tasks.cancel_scope.cancel()
 
-    async def take(self, spoken: Spoken, event: Any) -> None:
+    async def handle_event(self, connection: PeerConnection, event: Any) -> None:
         match event:
             case h2.events.RequestReceived():
-                spoken.open[event.stream_id] = {str(n): str(v) for n, v in event.headers} | {"body": ""}
+                connection.open[event.stream_id] = {str(n): str(v) for n, v in event.headers} | {"body": ""}
             case h2.events.DataReceived():
-                spoken.open[event.stream_id]["body"] += event.data.decode()
-                spoken.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
+                connection.open[event.stream_id]["body"] += event.data.decode()
+                connection.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
             case h2.events.StreamEnded():
-                self.came.append(spoken.open[event.stream_id])
-                act = self.acts.popleft() if self.acts else self.then
+                self.requests.append(connection.open[event.stream_id])
+                step = self.steps.popleft() if self.steps else self.fallback
                 self.notify()
-                await act(spoken, event.stream_id)
+                await step(connection, event.stream_id)
             case h2.events.StreamReset():
                 self.resets.append(event.stream_id)
                 self.notify()
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -27,10 +27,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from millfront.http2.abuse_limits import LIMITS, SECOND_US, RateLimits
 from millfront.http2.clients import HIGH_WATER, PREFACE, Http2Connection
-from millfront.http2.conduct import ALLOWED, SECOND, Conduct
-from millfront.http2.part import Http2Front
-from millfront.http2.turns import Turns, urgency_of
+from millfront.http2.part import Http2Part
+from millfront.http2.scheduler import StreamScheduler, parse_urgency
 from millfront.node.http import Message
 from tests.h2client import Client, head
 from tests.peers import TEST_TIMEOUT_S, Peer, RunningNode, answer, request, running_node, silent, status
@@ -45,21 +45,21 @@
 
 
 @asynccontextmanager
-async def h2stage(*members: Peer, streams: int = 100, **told: Any) -> AsyncIterator[RunningNode]:
+async def running_h2_node(*members: Peer, streams: int = 100, **told: Any) -> AsyncIterator[RunningNode]:
     operators = {"http2": {"listen": "127.0.0.1:0", "streams": streams}}
     async with running_node(*members, operators=operators, **told) as on:
         yield on
 
 
-def front(on: RunningNode) -> Http2Front:
-    return next(p for p in on.node.parts._parts if isinstance(p, Http2Front))
+def front(on: RunningNode) -> Http2Part:
+    return next(p for p in on.node.parts._parts if isinstance(p, Http2Part))
 
 
 async def client(on: RunningNode, window: int = 65_535, strict: bool = True, shared: bool = False) -> Client:
     server = on.node.server if shared else front(on).server
     assert server is not None and server.address is not None
     made = Client(await anyio.connect_tcp(server.address.host, server.address.port), window, strict)
-    await made.begin()
+    await made.start()
     return made
 
 
@@ -88,7 +88,7 @@
     version: str, cls: str, fields: dict[str, str], says: int
 ) -> None:
     member = Peer()
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         if version == "1.1":
             assert status(await on.ask(request(cls, **fields))) == says
         else:
@@ -101,7 +101,7 @@
 
 async def test_what_passes_on_is_what_came() -> None:
     member = Peer(answer(200, b"\x00a page", b"X-Kind: Sunday", b"Connection: x-hop", b"X-Hop: 1"))
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         asking = await client(on)
         fields = [*head("code-redeem", Request_Id="9b1f03aa5c7e2d41"), ("cookie", "a=1"), ("cookie", "b=2")]
         number = await asking.ask([*fields, ("x-trace", "As It Came")], b"what is bought")
@@ -116,7 +116,7 @@
 
 async def test_a_request_split_over_every_byte_is_one_request() -> None:
     member = Peer()
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         asking = await client(on)
         asking.h2.send_headers(1, head("code-redeem"))
         asking.h2.send_data(1, b"what is bought", end_stream=True)
@@ -127,7 +127,7 @@
 
 
 async def test_httpx_is_served() -> None:
-    async with h2stage(Peer(), Peer()) as on:
+    async with running_h2_node(Peer(), Peer()) as on:
         server = front(on).server
         assert server is not None
         async with httpx.AsyncClient(http1=False, http2=True) as asking:
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("cls", ["issue-buy", "code-redeem"])
 async def test_a_reset_after_it_was_sent_on_withdraws_and_never_sends_again(cls: str) -> None:
     member, other = Peer(silent), Peer(silent)
-    async with h2stage(member, other) as on:
+    async with running_h2_node(member, other) as on:
         asking = await client(on)
         number = await asking.ask(head(cls), b"what is bought")
         with anyio.fail_after(TEST_TIMEOUT_S):
@@ -181,12 +181,12 @@
 
 
 async def test_a_reset_that_crosses_the_answer_ends_the_stream_once() -> None:
-    async with h2stage(Peer()) as on:
+    async with running_h2_node(Peer()) as on:
         asking = await client(on)
         for _ in range(20):
             number = await asking.ask(head())
             with anyio.move_on_after(0.002):
-                await asking.hear()
+                await asking.receive()
             if number not in asking.ended:
                 asking.h2.reset_stream(number, ErrorCodes.CANCEL)
                 await asking.flush()
@@ -197,7 +197,7 @@
 
 async def test_a_connection_that_breaks_leaves_all_its_streams() -> None:
     member = Peer(*[silent] * 20)
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         asking = await client(on)
         for _ in range(5):
             await asking.ask(head())
@@ -226,7 +226,7 @@
             await (long if self.long else answer(200, b"y" * 2000))(stream)
 
     members = [Pages() for _ in range(80)]  # so many that 200 at once are no overload
-    async with h2stage(*members, streams=300) as on:
+    async with running_h2_node(*members, streams=300) as on:
         asking = await client(on, window=3000)
         asking.stalled.add(1)
         path = "/page-fetch/stalled/00000000b4d65521"
@@ -246,13 +246,13 @@
 
 
 async def test_windows_of_one_byte_get_the_whole_answer() -> None:
-    async with h2stage(Peer(answer(200, b"a page"))) as on:
+    async with running_h2_node(Peer(answer(200, b"a page"))) as on:
         asking = await client(on, window=1)
         assert await asking.answer(await asking.ask(head())) == (200, b"a page")
 
 
 async def test_settings_that_change_in_the_middle_of_an_answer_hold_from_there() -> None:
-    async with h2stage(Peer(answer(200, b"z" * 9000))) as on:
+    async with running_h2_node(Peer(answer(200, b"z" * 9000))) as on:
         asking = await client(on, window=1000)
         asking.stalled.add(1)
         await asking.ask(head())
@@ -268,7 +268,7 @@
 
 async def test_a_body_longer_than_the_window_and_one_longer_than_allowed() -> None:
     member = Peer()
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         asking = await client(on)
         for size, says in ((64 * 1024, 200), (64 * 1024 + 1, 413)):
             number = await asking.ask(head("code-redeem"), end=False)
@@ -296,7 +296,7 @@
         await answer(200, b"slow")(stream)
 
     members = [Peer(*[slow] * 60) for _ in range(40)]
-    async with h2stage(*members, SecondCopies=False) as on:
+    async with running_h2_node(*members, SecondCopies=False) as on:
         clients = [await client(on) for _ in range(10)]
         fields = {"Quota_Info": "units=1,spread=2,first=1"}
         asked = [(c, await c.ask(head(**fields))) for c in clients for _ in range(10)]
@@ -324,7 +324,7 @@
         await answer(200, b"slow")(stream)
 
     member = Peer(slow)
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         asking = await client(on)
         number = await asking.ask(head())
         await member.wait_until(lambda peer: len(peer.seen) == 1)
@@ -420,11 +420,11 @@
 async def test_abuse_ends_its_own_connection_with_a_reason_and_others_go_on(name: str) -> None:
     data, codes = ABUSES[name]
     member = Peer()
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         other = await client(on)
         assert (await other.answer(await other.ask(head())))[0] == 200
         bad = await client(on)
-        await bad.hear()
+        await bad.receive()
         with anyio.move_on_after(TEST_TIMEOUT_S):
             with suppress(anyio.BrokenResourceError):
                 await bad.stream.send(data)
@@ -458,7 +458,7 @@
 
 
 async def test_without_the_preface_a_connection_is_ended_at_once() -> None:
-    async with h2stage(Peer()) as on:
+    async with running_h2_node(Peer()) as on:
         server = front(on).server
         assert server is not None and server.address is not None
         async with await anyio.connect_tcp(server.address.host, server.address.port) as stream:
@@ -482,7 +482,7 @@
 )
 async def test_what_would_read_otherwise_at_a_member_is_not_passed_on(fields: list[tuple[str, str]]) -> None:
     member = Peer()
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         asking = await client(on, strict=False)
         number = await asking.ask(fields)
         await asking.until(lambda c: number in c.ended or c.goaways)
@@ -506,7 +506,7 @@
 )
 async def test_a_malformed_request_reaches_nobody(fields: list[tuple[str, str]]) -> None:
     member = Peer()
-    async with h2stage(member) as on:
+    async with running_h2_node(member) as on:
         asking = await client(on, strict=False)
         await asking.ask(fields)
         await asking.until(lambda c: c.goaways or c.resets or 1 in c.ended)
@@ -516,7 +516,7 @@
 
 async def test_streams_opened_and_left_are_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millfront.node.clients.REQUEST_READ_TIMEOUT_US", 100_000)
-    async with h2stage(Peer()) as on:
+    async with running_h2_node(Peer()) as on:
         asking = await client(on)
         number = await asking.ask(head("code-redeem"), end=False)
         assert (await asking.answer(number))[0] == 408
@@ -528,29 +528,29 @@
 
 
 def test_turns_are_fair_and_urgent_ones_first() -> None:
-    turns = Turns()
+    scheduler = StreamScheduler()
     for stream, urgency in ((1, 3), (3, 3), (5, 1), (7, 3)):
-        turns.add(stream, urgency)
-    assert [turns.next() for _ in range(3)] == [5, 5, 5]
-    turns.drop(5)
-    assert [turns.next() for _ in range(6)] == [1, 3, 7, 1, 3, 7]
-    turns.move(7, 0)
-    assert turns.next() == 7 and len(turns) == 3
-    turns.drop(99)
-    assert [urgency_of(text) for text in (b"u=0", b"i, u=5", b"u=9", b"", b"u=")] == [0, 5, 3, 3, 3]
+        scheduler.add(stream, urgency)
+    assert [scheduler.next() for _ in range(3)] == [5, 5, 5]
+    scheduler.remove(5)
+    assert [scheduler.next() for _ in range(6)] == [1, 3, 7, 1, 3, 7]
+    scheduler.set_urgency(7, 0)
+    assert scheduler.next() == 7 and len(scheduler) == 3
+    scheduler.remove(99)
+    assert [parse_urgency(text) for text in (b"u=0", b"i, u=5", b"u=9", b"", b"u=")] == [0, 5, 3, 3, 3]
 
 
 @settings(max_examples=20, deadline=None)
-@given(st.sampled_from(sorted(ALLOWED)), st.floats(0.1, 5.0))
+@given(st.sampled_from(sorted(LIMITS)), st.floats(0.1, 5.0))
 def test_conduct_bears_its_rate_and_no_more(kind: str, seconds: float) -> None:
-    allowance = ALLOWED[kind]
-    conduct, now, borne = Conduct(0), 0, 0
+    allowance = LIMITS[kind]
+    limits, now, borne = RateLimits(0), 0, 0
     for step in range(int(4 * (allowance.burst + allowance.rate * seconds))):
-        now = int(step * seconds * SECOND / (4 * (allowance.burst + allowance.rate * seconds)))
-        borne += conduct.bears(kind, now)
+        now = int(step * seconds * SECOND_US / (4 * (allowance.burst + allowance.rate * seconds)))
+        borne += limits.allow(kind, now)
     assert borne <= allowance.burst + allowance.rate * seconds + 1
-    calm = Conduct(0)
-    assert all(calm.bears(kind, int(i * SECOND / allowance.rate)) for i in range(200))
+    calm = RateLimits(0)
+    assert all(calm.allow(kind, int(i * SECOND_US / allowance.rate)) for i in range(200))
 
 
 FRAMES = st.one_of(
@@ -631,7 +631,7 @@
     made = Http2Connection(server, None, 5, sink)  # type: ignore[arg-type]
     made.received(PREFACE + SettingsFrame(0).serialize())
     for data, then in steps:
-        if not made.over:
+        if not made.closed:
             made.received(data)
         for caller in list(server.open)[:1]:
             if then == "serve":
@@ -642,13 +642,13 @@
             elif then == "reject":
                 del server.open[caller]
                 caller.rejected(5)
-        if then == "sweep" and not made.over:
+        if then == "sweep" and not made.closed:
             made.check_timeouts(server.now(), 1)
-        elif then == "drain" and not made.over:
+        elif then == "drain" and not made.closed:
             made.drain()
-        elif then == "rest" and not made.over:
+        elif then == "rest" and not made.closed:
             made.close_if_idle()
-        assert len(made.streams) <= 5 + 1 and made.held >= 0
-    if not made.over:
+        assert len(made.streams) <= 5 + 1 and made.buffered_bytes >= 0
+    if not made.closed:
         made.close()
-    assert not server.open and not made.streams and made.held == 0 and sink.unsent <= HIGH_WATER
+    assert not server.open and not made.streams and made.buffered_bytes == 0 and sink.unsent <= HIGH_WATER
--- a/tests/test_http2_members.py
+++ b/tests/test_http2_members.py
@@ -19,9 +19,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from millfront.http2.fleet import IDLE_US, RETIRE_US, Do, Seen, choose, retire
-from millfront.http2.members import MemberConnection2, MemberStream
-from tests.h2server import Act, H2Peer, Spoken, nothing
+from millfront.http2.connection_choice import (
+    IDLE_TIMEOUT_US,
+    MAX_AGE_US,
+    Action,
+    ConnectionState,
+    choose,
+    find_retirable,
+)
+from millfront.http2.members import Http2MemberConnection, MemberStream
+from tests.h2server import H2Peer, PeerConnection, Step, never_answer
 from tests.peers import TEST_TIMEOUT_S, Peer, RunningNode, request, row, running_node, status
 
 pytestmark = pytest.mark.anyio
@@ -33,50 +40,52 @@
 
 
 @asynccontextmanager
-async def h2members(*members: Peer, streams: int = 32, **told: Any) -> AsyncIterator[RunningNode]:
+async def running_h2_members_node(
+    *members: Peer, streams: int = 32, **told: Any
+) -> AsyncIterator[RunningNode]:
     operators = {"http2": {"members": True, "member_streams": streams}}
     async with running_node(*members, operators=operators, **told) as on:
         yield on
 
 
-def resets(code: ErrorCodes) -> Act:
-    async def act(spoken: Spoken, number: int) -> None:
-        await spoken.reset(number, code)
+def resets(code: ErrorCodes) -> Step:
+    async def act(connection: PeerConnection, number: int) -> None:
+        await connection.reset(number, code)
 
     return act
 
 
-async def breaks(spoken: Spoken, number: int) -> None:
-    await anyio.aclose_forcefully(spoken.stream)
+async def breaks(connection: PeerConnection, number: int) -> None:
+    await anyio.aclose_forcefully(connection.stream)
     raise anyio.ClosedResourceError
 
 
-async def status_500(spoken: Spoken, number: int) -> None:
-    await spoken.answer(number, 500)
+async def status_500(connection: PeerConnection, number: int) -> None:
+    await connection.answer(number, 500)
 
 
-async def not_started(spoken: Spoken, number: int) -> None:
-    await spoken.answer(number, 503, not_started="1")
+async def not_started(connection: PeerConnection, number: int) -> None:
+    await connection.answer(number, 503, not_started="1")
 
 
-async def too_long(spoken: Spoken, number: int) -> None:
-    spoken.h2.send_headers(number, [(":status", "200")])
+async def too_long(connection: PeerConnection, number: int) -> None:
+    connection.h2.send_headers(number, [(":status", "200")])
     for _ in range(5):
-        spoken.h2.send_data(number, b"x" * 13_200)
-    await spoken.flush()
+        connection.h2.send_data(number, b"x" * 13_200)
+    await connection.flush()
 
 
 async def test_several_attempts_share_a_connection_and_what_passes_on_is_what_came() -> None:
     ask: dict[int, Any] = {}
 
-    async def together(spoken: Spoken, number: int) -> None:
-        ask[number] = spoken
+    async def together(connection: PeerConnection, number: int) -> None:
+        ask[number] = connection
         if len(ask) == 4:
             for one in list(ask):
-                await spoken.answer(one, body=b"page %d" % one, billed_units="3")
+                await connection.answer(one, body=b"page %d" % one, billed_units="3")
 
-    member = H2Peer(otherwise=together)
-    async with h2members(member) as on:
+    member = H2Peer(fallback=together)
+    async with running_h2_members_node(member) as on:
         clients = [await on.client() for _ in range(4)]
         answers: list[bytes] = []
 
@@ -88,8 +97,8 @@
                 tasks.start_soon(one, client)
         assert {status(answer) for answer in answers} == {200} and len(set(answers)) == 4
     assert member.connections == 1
-    assert {came["body"] for came in member.came} == {"what is bought"}
-    came = member.came[0]
+    assert {came["body"] for came in member.requests} == {"what is bought"}
+    came = member.requests[0]
     assert came[":path"] == "/code-redeem/more/00000000b4d65521?a=%20b" and came[":authority"] == "origin.svc"
     assert came["content-length"] == "14" and "host" not in came
     assert 2_000_000 < int(came["request-timeout"].removesuffix("u")) <= 3_000_000
@@ -111,23 +120,23 @@
     ],
 )
 async def test_only_what_never_ran_or_may_repeat_goes_out_again(
-    ends: Act, cls: str, attempts: int, final: int
+    ends: Step, cls: str, attempts: int, final: int
 ) -> None:
-    async def once(spoken: Spoken, number: int) -> None:  # whichever member is tried first
-        one.acts.clear()
-        other.acts.clear()
-        await ends(spoken, number)
+    async def once(connection: PeerConnection, number: int) -> None:  # whichever member is tried first
+        one.steps.clear()
+        other.steps.clear()
+        await ends(connection, number)
 
     one, other = H2Peer(once), H2Peer(once)
-    async with h2members(one, other) as on:
+    async with running_h2_members_node(one, other) as on:
         assert status(await on.ask(request(cls))) == final
-        assert len(one.came) + len(other.came) == attempts
+        assert len(one.requests) + len(other.requests) == attempts
         assert status(await on.ask(request())) == 200
 
 
 async def test_streams_above_a_goaways_last_go_out_again_and_those_below_finish() -> None:
-    member = H2Peer(*[nothing] * 4)
-    async with h2members(member) as on:
+    member = H2Peer(*[never_answer] * 4)
+    async with running_h2_members_node(member) as on:
         clients = [await on.client() for _ in range(4)]
         answers: list[int] = []
 
@@ -137,10 +146,10 @@
         async with anyio.create_task_group() as tasks:
             for client in clients:
                 tasks.start_soon(one, client)
-            await member.wait_until(lambda _: len(member.came) == 4)
-            first = member.spoken[0]
+            await member.wait_until(lambda _: len(member.requests) == 4)
+            first = member.peer_connections[0]
             await first.goaway(3)  # 1 and 3 run, 5 and 7 never did
-            await member.wait_until(lambda _: len(member.came) == 6)
+            await member.wait_until(lambda _: len(member.requests) == 6)
             for number in (1, 3):
                 await first.answer(number)
         assert answers == [200] * 4
@@ -148,12 +157,12 @@
         await member.wait_until(
             lambda peer: peer.closed == 1
         )  # it never closes: we do, once its streams have ended
-        assert len({came["request-id"] for came in member.came}) == 4
+        assert len({came["request-id"] for came in member.requests}) == 4
 
 
 async def test_a_connection_that_dies_ends_each_attempt_once_by_its_class() -> None:
-    members = [H2Peer(*[nothing] * 25) for _ in range(4)]
-    async with h2members(*members, SecondCopies=False) as on:
+    members = [H2Peer(*[never_answer] * 25) for _ in range(4)]
+    async with running_h2_members_node(*members, SecondCopies=False) as on:
         answers: dict[str, list[int]] = {"page-fetch": [], "code-redeem": []}
 
         async def one(cls: str) -> None:
@@ -164,29 +173,32 @@
             for cls in ("page-fetch", "code-redeem") * 3:
                 tasks.start_soon(one, cls)
             with anyio.fail_after(TEST_TIMEOUT_S):
-                while sum(len(member.came) for member in members) < 6:
+                while sum(len(member.requests) for member in members) < 6:
                     await anyio.sleep(0.001)
             for member in members:
-                member.acts.clear()
-            struck = [member for member in members if member.came]
+                member.steps.clear()
+            struck = [member for member in members if member.requests]
             for member in struck:
-                for spoken in member.spoken:
-                    await anyio.aclose_forcefully(spoken.stream)
+                for connection in member.peer_connections:
+                    await anyio.aclose_forcefully(connection.stream)
         assert answers["code-redeem"] == [502] * 3
         assert answers["page-fetch"] == [200] * 3
         ran = [
-            came["request-id"] for member in members for came in member.came if "code-redeem" in came[":path"]
+            came["request-id"]
+            for member in members
+            for came in member.requests
+            if "code-redeem" in came[":path"]
         ]
         assert len(ran) == len(set(ran)) == 3
         assert not on.node.host.open and not on.node.host.owed
 
 
 async def test_a_client_that_leaves_resets_its_stream_and_the_connection_goes_on() -> None:
-    member = H2Peer(nothing)
-    async with h2members(member) as on:
+    member = H2Peer(never_answer)
+    async with running_h2_members_node(member) as on:
         client = await on.client()
         await client.send(request("issue-buy"))
-        await member.wait_until(lambda _: len(member.came) == 1)
+        await member.wait_until(lambda _: len(member.requests) == 1)
         await client.aclose()
         await member.wait_until(lambda _: member.resets == [1])
         assert status(await on.ask(request())) == 200
@@ -196,18 +208,18 @@
 async def test_a_silent_connection_is_found_before_the_deadlines_of_what_is_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("millfront.http2.members.PING_US", 100_000)
-    monkeypatch.setattr("millfront.http2.members.PONG_US", 100_000)
-    one, other = H2Peer(nothing), H2Peer(nothing)
-    async with h2members(one, other, SecondCopies=False) as on:
+    monkeypatch.setattr("millfront.http2.members.PING_AFTER_US", 100_000)
+    monkeypatch.setattr("millfront.http2.members.PING_TIMEOUT_US", 100_000)
+    one, other = H2Peer(never_answer), H2Peer(never_answer)
+    async with running_h2_members_node(one, other, SecondCopies=False) as on:
         client = await on.client()
         await client.send(request("page-fetch", Request_Timeout="3000m"))
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while not one.came and not other.came:
+            while not one.requests and not other.requests:
                 await anyio.sleep(0.001)
-        member = one if one.came else other
-        (other if member is one else one).acts.clear()
-        member.mute = True
+        member = one if one.requests else other
+        (other if member is one else one).steps.clear()
+        member.silent = True
         began = anyio.current_time()
         await member.wait_until(lambda peer: peer.closed == 1)
         assert anyio.current_time() - began < 1.5
@@ -216,78 +228,82 @@
 
 
 async def test_one_told_draining_gets_no_new_stream_and_finishes_those_it_has() -> None:
-    member, other = H2Peer(nothing), H2Peer(nothing)
-    async with h2members(member, other) as on:
+    member, other = H2Peer(never_answer), H2Peer(never_answer)
+    async with running_h2_members_node(member, other) as on:
         client = await on.client()
         await client.send(request())
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while not member.came and not other.came:
+            while not member.requests and not other.requests:
                 await anyio.sleep(0.001)
-        drains, stays = (member, other) if member.came else (other, member)
-        stays.acts.clear()
+        drains, stays = (member, other) if member.requests else (other, member)
+        stays.steps.clear()
         name = "s-0" if drains is member else "s-1"
         told = {"seq": 42, "whole": False, "hosts": [row(name, drains.address, "Terminating")]}
         on.node.pool.take(told)
         for _ in range(5):
             assert status(await on.ask(request())) == 200
-        assert len(drains.came) == 1 and len(stays.came) == 5
-        await drains.spoken[0].answer(1)
+        assert len(drains.requests) == 1 and len(stays.requests) == 5
+        await drains.peer_connections[0].answer(1)
         with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await client.receive()) == 200
         await drains.wait_until(lambda peer: peer.closed == 1)
 
 
 async def test_more_attempts_than_streams_open_another_connection() -> None:
-    member = H2Peer(*[nothing] * 3, streams=2)
-    async with h2members(member, streams=2) as on:
+    member = H2Peer(*[never_answer] * 3, streams=2)
+    async with running_h2_members_node(member, streams=2) as on:
         clients = [await on.client() for _ in range(3)]
         for client in clients:
             await client.send(request(Quota_Info="units=1,spread=2,first=1"))
-        await member.wait_until(lambda _: len(member.came) == 3)
+        await member.wait_until(lambda _: len(member.requests) == 3)
         assert member.connections == 2
 
 
 # ---- without sockets
 
 
-def seen(open_: int = 0, allowed: int = 4, draining: bool = False, born: int = 0, used: int = 0) -> Seen:
-    return Seen(open_, allowed, draining, born, used, 0)
+def seen(
+    open_: int = 0, allowed: int = 4, draining: bool = False, born: int = 0, used: int = 0
+) -> ConnectionState:
+    return ConnectionState(open_, allowed, draining, born, used, 0)
 
 
 @pytest.mark.parametrize(
-    ("connections", "dialling", "waiting", "do", "which"),
+    ("connections", "connecting", "waiting", "action", "index"),
     [
-        ([], 0, 0, Do.DIAL, -1),
-        ([], 1, 3, Do.WAIT, -1),
-        ([], 1, 4, Do.DIAL, -1),
-        ([seen(1), seen(3), seen(2)], 0, 0, Do.USE, 1),
-        ([seen(4), seen(1, draining=True)], 0, 0, Do.DIAL, -1),
-        ([seen(4), seen(4)], 0, 0, Do.FULL, -1),
-        ([seen(4, draining=True), seen(4)], 0, 0, Do.DIAL, -1),
+        ([], 0, 0, Action.CONNECT, -1),
+        ([], 1, 3, Action.WAIT, -1),
+        ([], 1, 4, Action.CONNECT, -1),
+        ([seen(1), seen(3), seen(2)], 0, 0, Action.USE, 1),
+        ([seen(4), seen(1, draining=True)], 0, 0, Action.CONNECT, -1),
+        ([seen(4), seen(4)], 0, 0, Action.FULL, -1),
+        ([seen(4, draining=True), seen(4)], 0, 0, Action.CONNECT, -1),
     ],
 )
 def test_the_fullest_with_room_carries_the_next(
-    connections: list[Seen], dialling: int, waiting: int, do: Do, which: int
+    connections: list[ConnectionState], connecting: int, waiting: int, action: Action, index: int
 ) -> None:
-    choice = choose(connections, dialling, waiting, 4, 2)
-    assert (choice.do, choice.which) == (do, which)
+    choice = choose(connections, connecting, waiting, 4, 2)
+    assert (choice.action, choice.index) == (action, index)
 
 
 def test_old_and_unused_connections_retire_and_one_idle_is_kept() -> None:
-    now = RETIRE_US
-    idle = [seen(used=now - IDLE_US - i, born=now) for i in (5, 1, 9)]
-    assert retire([*idle, seen(2, born=now)], now) == [0, 2]
-    assert retire([seen(3, born=-1)], now) == [0]
+    now = MAX_AGE_US
+    idle = [seen(used=now - IDLE_TIMEOUT_US - i, born=now) for i in (5, 1, 9)]
+    assert find_retirable([*idle, seen(2, born=now)], now) == [0, 2]
+    assert find_retirable([seen(3, born=-1)], now) == [0]
 
 
 @given(st.lists(st.builds(seen, st.integers(0, 4), st.just(4), st.booleans()), max_size=6), st.integers(0, 3))
-def test_no_stream_goes_to_a_draining_or_a_full_one(connections: list[Seen], dialling: int) -> None:
-    choice = choose(connections, dialling, 0, 4, 6)
-    if choice.do is Do.USE:
-        chosen = connections[choice.which]
-        assert not chosen.draining and chosen.open < chosen.allowed
-    elif choice.do is Do.DIAL:
-        assert sum(not c.draining for c in connections) + dialling < 6
+def test_no_stream_goes_to_a_draining_or_a_full_one(
+    connections: list[ConnectionState], connecting: int
+) -> None:
+    choice = choose(connections, connecting, 0, 4, 6)
+    if choice.action is Action.USE:
+        chosen = connections[choice.index]
+        assert not chosen.draining and chosen.open_streams < chosen.max_streams
+    elif choice.action is Action.CONNECT:
+        assert sum(not c.draining for c in connections) + connecting < 6
 
 
 class Booked:
@@ -328,7 +344,7 @@
 class Socketless:
     """What a connection asks of its link, its pool and its member."""
 
-    closed, most, streams, ready, host, dial = False, 4, 32, True, "s-0", "127.0.0.1:1"
+    closed, max_connections, max_streams, ready, host, dial = False, 4, 32, True, "s-0", "127.0.0.1:1"
     connections = 1
     unsent = 0
 
@@ -347,8 +363,8 @@
     def close(self) -> None:
         self.closed = True
 
-    def room(self, member: Any) -> None: ...
-    def gone(self, connection: Any) -> None: ...
+    def assign_waiting(self, member: Any) -> None: ...
+    def remove(self, connection: Any) -> None: ...
 
 
 def answer_frames(number: int, end: bool) -> bytes:
@@ -390,7 +406,7 @@
     stub: Any = Socketless()
 
     async def play() -> None:
-        made = MemberConnection2(stub, stub, None, stub)  # type: ignore[arg-type]
+        made = Http2MemberConnection(stub, stub, None, stub)  # type: ignore[arg-type]
         made.received(SettingsFrame(0).serialize())
         flows = []
         for number in range(3):
@@ -401,16 +417,16 @@
             flows.append(flow)
             exchange.request((b"POST", b"/a"), [(b"Host", b"a")], b"x" * 30_000 * number)
         for data, then in steps:
-            if not made.over:
+            if not made.closed:
                 made.received(data)
             if then == "cancel" and flows[1].exchange.flow is not None:
                 flows[1].over()
-            elif then == "look" and not made.over:
-                made.look(stub.now())
-            elif then == "end" and not made.over:
+            elif then == "look" and not made.closed:
+                made.check(stub.now())
+            elif then == "end" and not made.closed:
                 made.ended("")
-        if not made.over:
-            made.dead("the end")
+        if not made.closed:
+            made.fail("the end")
         await anyio.sleep(0)
         assert [flow.ends for flow in flows] == [1, 1, 1]
         assert not made.streams and made.reserved == 0
