--- a/millfront/agreement/interim.py
+++ b/millfront/agreement/interim.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from millfront import interface as api
-from millfront.node.retune import narrower
+from millfront.node.retune import allowed_by_both
 
 STRICTNESS = {api.Repeat.SAFE: 0, api.Repeat.KEYED: 1, api.Repeat.UNSAFE: 2}
 NARROWNESS = {api.Group.ALL: 0, api.Group.ZONE: 1, api.Group.CELL: 2}
@@ -85,6 +85,6 @@
         other,
         classes=tuple(merged_classes),
         plans=tuple(merged_plans),
-        allowed=narrower(one.allowed, other.allowed),
+        allowed=allowed_by_both(one.allowed, other.allowed),
         rules=rules(one.rules, other.rules),
     )
--- a/millfront/agreement/part.py
+++ b/millfront/agreement/part.py
@@ -128,7 +128,7 @@
     def interim(self, settings: api.Settings) -> api.Settings:
         """The settings in force, made safe for every older version of the interim: classes and plans by name,
         through the places the tuning keeps for them."""
-        view, tuning = self.view, self.node.tuning
+        view, tuning = self.view, self.node.active_settings
         if view.mode is Mode.AGREED:
             return settings
         for version in view.merge_of[:-1]:
@@ -145,7 +145,7 @@
         if now != self._said:
             self._said = now
             self._keep(self.view.mine)
-            self.node.retell()
+            self.node.resend_settings()
             log.info(
                 "agreement",
                 mode=self.view.mode.value,
--- a/millfront/cli/commands.py
+++ b/millfront/cli/commands.py
@@ -60,7 +60,7 @@
     from millfront import daemon
 
     if operator is not None:
-        os.environ[daemon.OPERATORS] = operator
+        os.environ[daemon.OPERATORS_VARIABLE] = operator
     if config is not None:
         os.environ["NODE_CONFIG"] = config
     sys.exit(daemon.run(os.environ))
--- a/millfront/daemon.py
+++ b/millfront/daemon.py
@@ -18,7 +18,7 @@
 
 log = logs.Log("millfront")
 
-OPERATORS = "MILLFRONT_OPERATOR"
+OPERATORS_VARIABLE = "MILLFRONT_OPERATOR"
 
 
 async def serve(settings: config.Config, operators: "Operators | None") -> None:
@@ -45,16 +45,16 @@
 def reload(node: Node) -> None:
     """Read whole before anything moves: guards a gatekeeper that serves against a file that can't be used."""
     try:
-        node.retune(config.load_anew(os.environ, node.config))
-    except Exception as wrong:
-        log.error("SIGHUP: the configuration stays as it was", why=wrong)
+        node.apply_config(config.reload(os.environ, node.config))
+    except Exception as error:
+        log.error("SIGHUP: the configuration stays as it was", why=error)
     node.parts.reload()
 
 
-def unusable(wrong: BaseException) -> int:
-    while isinstance(wrong, BaseExceptionGroup):
-        wrong = wrong.exceptions[0]
-    print(f"millfront: {wrong}", file=sys.stderr)
+def report_unusable(error: BaseException) -> int:
+    while isinstance(error, BaseExceptionGroup):
+        error = error.exceptions[0]
+    print(f"millfront: {error}", file=sys.stderr)
     return 2
 
 
@@ -66,19 +66,19 @@
     logs.start()
     operators: Operators | None = None
     try:
-        if environment.get(OPERATORS):
+        if environment.get(OPERATORS_VARIABLE):
             from millfront.operators import document
 
-            operators = document.load(environment[OPERATORS])
-            logs.structured(operators.logs.format, operators.logs.level)
+            operators = document.load(environment[OPERATORS_VARIABLE])
+            logs.use_structlog(operators.logs.format, operators.logs.level)
         settings = config.load(environment)
-    except config.ConfigError as wrong:
-        return unusable(wrong)
+    except config.ConfigError as error:
+        return report_unusable(error)
     gc.collect()
     gc.freeze()  # what the imports made stays: walking it again would stop the loop for 4 ms each time
-    ended = 0
+    exit_code = 0
     try:
         anyio.run(serve, settings, operators, backend_options={"use_uvloop": True})
     except* config.ConfigError as group:  # seen only on starting: an address that can't be listened on
-        ended = unusable(group)
-    return ended
+        exit_code = report_unusable(group)
+    return exit_code
--- a/millfront/dataplane/client_request.py
+++ b/millfront/dataplane/client_request.py
@@ -52,8 +52,8 @@
     came_us: int
     progress: RequestProgress
     caller: Any = None
-    over: bool = False
-    whole: bool = True
+    finished: bool = False
+    body_received: bool = True
     streams: int = -1
     counted: bool = False
     flows: dict[int, ServerSideFlow] = field(default_factory=dict)
--- a/millfront/dataplane/keyed_requests.py
+++ b/millfront/dataplane/keyed_requests.py
@@ -39,7 +39,7 @@
         operation = operation_id(tenant, key.decode("latin-1"))
         at_work_s = request.route.deadline + AT_WORK_MARGIN_S
         pending = self.claims.begin(operation, at_work_s, partial(self._decided, request))
-        if pending is not None and not request.over:
+        if pending is not None and not request.finished:
             request.claim = pending
             loop, wait = asyncio.get_running_loop(), CLAIM_SHARE * request.route.target_time
             loop.call_later(min(WIDEN_S, wait / 2), self.claims.widen, pending)
@@ -50,7 +50,7 @@
             self._granted(request)
             return
         request.claim = None
-        if request.over:
+        if request.finished:
             return
         if outcome is not Outcome.REFUSED:
             self.proxy.not_counted(request)
@@ -65,7 +65,7 @@
             self.proxy.give_up(request)
 
     def _granted(self, request: ClientRequest) -> None:
-        if request.over:  # its client left meanwhile
+        if request.finished:  # its client left meanwhile
             self.withdraw(request)
         else:
             self.proxy.go(request)
--- a/millfront/dataplane/proxy.py
+++ b/millfront/dataplane/proxy.py
@@ -34,7 +34,7 @@
 from millfront.node.members import Members, PoolMember
 from millfront.node.stages import relay
 from millfront.node.stages.send import Send, ServerSideFlow
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 from millfront.quotas.requester import Decision, Outcome
 
 if TYPE_CHECKING:
@@ -73,8 +73,8 @@
         self.send = Send(
             self.clock, self.members, Router(self), self.book, ways, self.begin, self.judge, self.fields
         )
-        self.send.rest_s = 3.0
-        self.send.part_may_run = True  # servers begin work when they like
+        self.send.completion_timeout_s = 3.0
+        self.send.partial_may_run = True  # servers begin work when they like
         self.server = VirtualServer(self.clock, self, self.take_in, self.admit, None, sockets * 2 // 3)
         self.server.buffer_budget = BufferBudget(memory // RESPONSES_MEMORY_DIVISOR)
         self.server.may_send_408 = lambda request: request.progress.promises()
@@ -98,9 +98,9 @@
                 self.gatekeeper.invariants.check(
                     Invariant.SERVER_NOT_REVIVED, known is None or known.ready, detail
                 )
-                self.members.listed(server.ident, server.address, Address.parse(server.address, "address"))
+                self.members.set_ready(server.ident, server.address, Address.parse(server.address, "address"))
         for ident in stopped:
-            self.members.stopped(ident)
+            self.members.set_stopped(ident)
         self.share_cold()
 
     def share_cold(self) -> None:
@@ -138,11 +138,11 @@
     def take_in(self, message: Message, came_us: int) -> ClientRequest:
         """What decisions need of a request.
 
-        :raises NotTaken: it is not allowed, and why
+        :raises RequestRejected: it is not allowed, and why
         """
         configuration = self.gatekeeper.configuration
         if configuration is None:
-            raise NotTaken(503, "no configuration yet", AGAIN_S)
+            raise RequestRejected(503, "no configuration yet", AGAIN_S)
         assert isinstance(message.start, tuple)
         fields = dict(reversed(message.fields))  # of several of a name the first counts
         host = fields.get(b"host", b"").decode("latin-1").lower().partition(":")[0]
@@ -160,7 +160,7 @@
         wait = route.deadline
         if (text := fields.get(DEADLINE)) is not None:
             if not text.isdigit():
-                raise NotTaken(400, "Millfront-Deadline-Ms: not a number")
+                raise RequestRejected(400, "Millfront-Deadline-Ms: not a number")
             wait = min(wait, int(text) / 1e3)
         progress = RequestProgress(route.repeatable, route.max_tries)
         arrival = Arrival(message, max(1000, int(wait * 1e6)))
@@ -176,18 +176,18 @@
             tenant,
             came_us,
             progress,
-            whole=not message.body_incomplete,
+            body_received=not message.body_incomplete,
         )
         if route.kind == KIND:
             request.operation_key = fields.get(KEY, b"")
         return request
 
-    def _denied(self, status: int, why: str) -> NotTaken:
+    def _denied(self, status: int, why: str) -> RequestRejected:
         """What is held here does not allow it. A client tries no more after that: where a newer version may
         have been in force elsewhere for long, it is told to come again instead."""
         if self.gatekeeper.sure(self.now()):
-            return NotTaken(status, why)
-        return NotTaken(503, "out of touch with the registry", AGAIN_S)
+            return RequestRejected(status, why)
+        return RequestRejected(503, "out of touch with the registry", AGAIN_S)
 
     def admit(self, request: ClientRequest, caller: Caller) -> ClientRequest | None:
         """Refused at once, or on its way."""
@@ -209,11 +209,11 @@
             if not self._admitted(request, decision):
                 return None
         self._start(request)
-        return None if request.over else request
+        return None if request.finished else request
 
     def _decided(self, request: ClientRequest, decision: Decision) -> None:
         """Of a request that waited for a token."""
-        if request.over:  # its client left meanwhile
+        if request.finished:  # its client left meanwhile
             if decision.outcome is Outcome.ADMITTED and request.tenant is not None:
                 self.gatekeeper.admission.give_back(request.tenant)
         elif self._admitted(request, decision):
@@ -253,8 +253,8 @@
     def still_allowed(self, request: ClientRequest) -> bool:
         """Whether the configuration in force lets it go to the service it was meant for, with its key."""
         configuration = self.gatekeeper.configuration
-        if configuration is None or request.over:
-            return not request.over
+        if configuration is None or request.finished:
+            return not request.finished
         if request.tenant is not None:
             tenant = configuration.tenants.get(request.key)
             if tenant is None or tenant.name != request.tenant.name:
@@ -267,7 +267,7 @@
 
     def evacuated(self, flow: ServerSideFlow) -> bool:
         """Whether the zone of the server that was chosen is evacuated by now."""
-        seen = flow.opened.seen.get(flow.number)
+        seen = flow.open_request.seen.get(flow.number)
         return seen is not None and seen.server.zone in self.load_balancer.evacuated
 
     # ---- tries ---------------------------------------------------------------------------------------
@@ -291,7 +291,7 @@
         if service is not None:
             size: float = (
                 len(request.arrival.message.body)
-                if request.whole
+                if request.body_received
                 else (request.arrival.message.length or 100_000)
             )
             size += self.sizes.get(route.name, 1000.0)
@@ -307,7 +307,7 @@
         request.seen[number] = seen
         self.load_balancer.sent(now, seen, number)
         self.send(request, number, Sending(seen.server.ident))
-        if request.progress.repeatable and not request.over and request.timer is None:
+        if request.progress.repeatable and not request.finished and request.timer is None:
             work = self.load_balancer.work.get(request.service, 0.3)
             after = max(COPY_SHARE * request.route.target_time, COPY_WORKS * work)
             request.timer = asyncio.get_running_loop().call_later(after, self._copy, request)
@@ -334,14 +334,14 @@
 
     def _again(self, request: ClientRequest) -> None:
         request.timer = None
-        if not request.over:
+        if not request.finished:
             self.go(request)
 
     def _copy(self, request: ClientRequest) -> None:
         """It is silent: a second server, where the retry budget allows a copy."""
         request.timer = None
         if (
-            request.over
+            request.finished
             or request.streams >= 0
             or request.progress.out != 1
             or not request.progress.may_go_on()
@@ -357,7 +357,7 @@
 
     def judge(self, flow: ServerSideFlow, answer: Message) -> Ending:
         """What an answer's head means, before a byte of it goes to the client."""
-        request: ClientRequest = flow.opened
+        request: ClientRequest = flow.open_request
         fields = dict(reversed(answer.fields))
         seen = request.seen.get(flow.number)
         if fields.get(ATTEMPT_ID, b"") != request.attempt:
@@ -385,8 +385,8 @@
 
     def fields(self, flow: ServerSideFlow, member: PoolMember, message: Message) -> Fields:
         """The header of a request as it goes to a server."""
-        request: ClientRequest = flow.opened
-        left_ms = max(1, (flow.ends_us - self.clock.now()) // 1000)
+        request: ClientRequest = flow.open_request
+        left_ms = max(1, (flow.deadline_us - self.clock.now()) // 1000)
         fields = end_to_end_fields(message, *OWN_FIELDS)
         fields.append((b"Millfront-Deadline-Ms", b"%d" % left_ms))
         fields.append((b"Millfront-Target-Instance", str(member.id).encode()))
@@ -396,23 +396,23 @@
 
     def begin(self, flow: ServerSideFlow) -> bool:
         """A long answer begins to go to the client."""
-        request: ClientRequest = flow.opened
-        if request.over or request.streams >= 0:
+        request: ClientRequest = flow.open_request
+        if request.finished or request.streams >= 0:
             return False
         request.streams = flow.number
-        request.caller.begin(flow.answer, flow)
+        request.caller.begin_response(flow.answer, flow)
         return True
 
     def book(self, flow: ServerSideFlow, ending: Ending, answer: Message | None) -> None:
         """A try has ended."""
-        request: ClientRequest = flow.opened
+        request: ClientRequest = flow.open_request
         request.flows.pop(flow.number, None)
         now = self.now()
         seen = request.seen.pop(flow.number, None)
         request.progress.ended(ending)
         if seen is not None:
             self._learn(now, seen, flow.number, ending, request)
-        if request.over:
+        if request.finished:
             self._end_of_left(request, ending, answer)
             return
         if request.streams not in (-1, flow.number):
@@ -423,7 +423,7 @@
         if request.streams == flow.number:
             self.keyed.unknown(request)
             self.finish(request)
-            request.caller.cut()
+            request.caller.abort_response()
             return
         if ending is Ending.ERRORED and (request.progress.repeatable or not promise(answer)):
             request.answer = answer
@@ -443,7 +443,7 @@
         self.keyed.answered(request, answer, lambda: self._deliver(request, answer))
 
     def _deliver(self, request: ClientRequest, answer: Message) -> None:
-        if not request.over:
+        if not request.finished:
             self.finish(request)
             request.caller.served(answer)
 
@@ -464,7 +464,7 @@
     ) -> None:
         took = self.load_balancer.ended(now, seen, number)
         member = self.members.get(seen.server.ident)
-        seen.links = len(member.idle) if member is not None else 0
+        seen.links = len(member.idle_connections) if member is not None else 0
         if ending in (Ending.SERVED, Ending.ERRORED):
             self.load_balancer.answered(now, seen, took, False)
         elif ending is Ending.NOT_STARTED:
@@ -521,11 +521,11 @@
         """
         fields: Fields = [(b"Retry-After", b"%.3f" % after_s)] if after_s > 0 else []
         self.finish(request)
-        request.caller.send_response(relay.own(status, b"", fields))
+        request.caller.send_response(relay.own_response(status, b"", fields))
 
     def finish(self, request: ClientRequest) -> None:
         """Its one answer is about to go out."""
-        request.over = True
+        request.finished = True
         self.open -= 1
         if request.timer is not None:
             request.timer.cancel()
@@ -535,17 +535,17 @@
 
     def body_complete(self, request: ClientRequest) -> None:
         """The body's last byte has come."""
-        request.whole = True
+        request.body_received = True
         for flow in list(request.flows.values()):
-            flow.whole()
+            flow.body_complete()
 
     def client_left(self, request: ClientRequest) -> None:
         """The client went away. What may be repeated is given up; a request with an effect is left to end."""
-        if request.over:
+        if request.finished:
             return
         self.finish(request)
         for flow in list(request.flows.values()):
-            if request.progress.repeatable or not request.whole:
+            if request.progress.repeatable or not request.body_received:
                 flow.cancel()
         held = request.claim is not None and request.claim.decided is None  # granted, and sent to none
         if held and not request.flows and request.progress.promises():
--- a/millfront/dataplane/router.py
+++ b/millfront/dataplane/router.py
@@ -38,7 +38,7 @@
             raise ExchangeError(Ending.NOT_SENT, f"{member.id} is draining or gone")
         if flow is None:
             return
-        if not self.proxy.still_allowed(flow.opened):
+        if not self.proxy.still_allowed(flow.open_request):
             raise ExchangeError(Ending.NOT_SENT, "not allowed any more")
         if self.proxy.evacuated(flow):
             raise ExchangeError(Ending.NOT_SENT, f"the zone of {member.id} is evacuated")
--- a/millfront/gatekeeper/api.py
+++ b/millfront/gatekeeper/api.py
@@ -16,7 +16,7 @@
 from millfront.node.config import Address
 from millfront.node.host import Caller, Clock
 from millfront.node.http import Fields, Message
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 
 VALID_S = 2.0  # of an answer to clients: short, so that they leave soon where a gatekeeper is gone
 JSON: Fields = [(b"Content-Type", b"application/json")]
@@ -46,12 +46,12 @@
     """One call, open until its answer."""
 
     def __init__(self, message: Message, caller: Caller) -> None:
-        self.message, self.caller, self.over = message, caller, False
+        self.message, self.caller, self.finished = message, caller, False
 
     def answer(self, status: int, text: str = "", kind: Fields = JSON) -> None:
         """Give the one answer; later ones are dropped. An error's text is wrapped in ``{"error": ...}``."""
-        if not self.over:
-            self.over = True
+        if not self.finished:
+            self.finished = True
             body = text.encode()
             if status >= 400 and text:
                 body = json.dumps({"error": text}).encode()
@@ -83,12 +83,12 @@
 
     def client_left(self, call: Call) -> None:
         """The caller has closed its connection: an answer that comes later is dropped."""
-        call.over = True
+        call.finished = True
 
     def take(self, message: Message, caller: Caller) -> Call | None:
         """Answer one call, now or when the register has.
 
-        :raises NotTaken: there is no such call
+        :raises RequestRejected: there is no such call
         """
         assert isinstance(message.start, tuple)
         method, target = message.start[0].decode(), message.start[1].decode("latin-1")
@@ -119,11 +119,11 @@
         elif path.startswith(EVACUATION) and "ctl" in self.serves and method in ("POST", "DELETE"):
             zone = path.removeprefix(EVACUATION)
             if zone not in gatekeeper.settings.zones:
-                raise NotTaken(404, f"no zone {zone}")
-            gatekeeper.evacuate(now, zone, method == "POST", call.answer, lambda: not call.over)
+                raise RequestRejected(404, f"no zone {zone}")
+            gatekeeper.evacuate(now, zone, method == "POST", call.answer, lambda: not call.finished)
         else:
-            raise NotTaken(404, "no such call")
-        return None if call.over else call
+            raise RequestRejected(404, "no such call")
+        return None if call.finished else call
 
     def _put(self, call: Call, body: bytes) -> None:
         try:
@@ -145,7 +145,7 @@
             call.answer(503, "no gatekeeper is ready")
 
     def _restore(self, call: Call, body: bytes) -> None:
-        self.gatekeeper.restore(self.now(), body, call.answer, lambda: not call.over)
+        self.gatekeeper.restore(self.now(), body, call.answer, lambda: not call.finished)
 
     @staticmethod
     def _body(message: Message, done: Callable[[bytes], None]) -> None:
--- a/millfront/http2/clients.py
+++ b/millfront/http2/clients.py
@@ -33,7 +33,7 @@
 from millfront.node.http import HOP_BY_HOP, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Fields, Message
 from millfront.node.link import Link
 from millfront.node.stages import relay
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 
 log = Log(__name__)
 
@@ -224,7 +224,7 @@
         why = unfit(stream.start, stream.fields)
         if why:
             self.bears("refused", now)
-            stream.send_response(relay.own(400, why + b"\n"))
+            stream.send_response(relay.own_response(400, why + b"\n"))
 
     def body(self, event: h2.events.DataReceived, now: int) -> None:
         number, data = event.stream_id or 0, event.data or b""
@@ -239,7 +239,7 @@
             self.held += len(data)
             if len(stream.body) > MAX_BUFFERED_BODY_BYTES:
                 self.let_go(stream)
-                stream.send_response(relay.own(413, b"body too long\n"))
+                stream.send_response(relay.own_response(413, b"body too long\n"))
             elif self.held > MOST_HELD:
                 self.let_go(stream)
                 self.leave(stream)
@@ -273,11 +273,11 @@
             return
         try:
             opened = self.server.admit(self.server.take_in(message, stream.begun_us), stream)
-        except NotTaken as wrong:
+        except RequestRejected as wrong:
             self.bears("refused", self.heard_us)
-            stream.send_response(relay.own(wrong.status, f"{wrong}\n".encode()))
+            stream.send_response(relay.own_response(wrong.status, f"{wrong}\n".encode()))
             return
-        if opened is not None and not opened.over:
+        if opened is not None and not opened.finished:
             stream.opened = opened
 
     def reset_by_client(self, number: int | None, now: int) -> None:
@@ -478,7 +478,7 @@
             return
         for stream in list(self.streams.values()):
             if not stream.whole and not stream.answered and stream.begun_us < now_us - read_timeout_us:
-                stream.send_response(relay.own(408, b"request not finished in time\n"))
+                stream.send_response(relay.own_response(408, b"request not finished in time\n"))
             elif stream.pending is not None and stream.since_us < now_us - RESPONSE_STALL_TIMEOUT_US:
                 self.leave(stream)
                 self.reset(stream.id, Codes.CANCEL)  # a window that never opens: guards memory
--- a/millfront/http2/members.py
+++ b/millfront/http2/members.py
@@ -21,7 +21,7 @@
 from millfront.node.endings import Ending, ExchangeError
 from millfront.node.http import HOP_BY_HOP, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Fields, Message
 from millfront.node.link import Link
-from millfront.node.members import Flow, MemberId, Members, PoolMember, Up
+from millfront.node.members import ConnectCallback, MemberId, Members, PoolMember, ResponseHandler
 
 log = Log(__name__)
 
@@ -39,7 +39,7 @@
 
     def __init__(self, connection: "MemberConnection2") -> None:
         self.connection = connection
-        self.flow: Flow | None = None
+        self.flow: ResponseHandler | None = None
         self.id = 0  # not begun
         self.head: tuple[int, Fields] | None = None
         self.body = bytearray()
@@ -63,13 +63,13 @@
     def resume(self) -> None:
         pass
 
-    def rest(self) -> None:
+    def deliver_buffered(self) -> None:
         pass
 
-    def begin(self) -> None:
+    def deliver_partial(self) -> None:
         pass
 
-    def takes(self) -> bool:
+    def request_flushed(self) -> bool:
         return True
 
     def release(self) -> bool:
@@ -80,7 +80,7 @@
         """Given up: the member is told, and the connection goes on."""
         self.connection.give_up(self)
 
-    def fared(self, well: bool) -> None:
+    def record_outcome(self, well: bool) -> None:
         pass  # a connection that breaks is seen as a whole
 
 
@@ -92,7 +92,7 @@
     ) -> None:
         self.pool = pool
         self.member = member
-        self.address = member.dial
+        self.address = member.address
         now = pool.members.clock.now()
         self.born_us = self.used_us = self.heard_us = now
         self.pinged_us = 0
@@ -219,7 +219,7 @@
                     status = next((v for n, v in fields if n == b":status"), b"0")
                     stream.head = (int(status), [f for f in fields if not f[0].startswith(b":")])
                     if stream.flow is not None:
-                        stream.flow.answering()
+                        stream.flow.on_partial_response()
             case h2.events.DataReceived():
                 self.data(event)
             case h2.events.StreamEnded():
@@ -240,7 +240,7 @@
             return
         stream.body += event.data or b""
         if len(stream.body) > MAX_BUFFERED_BODY_BYTES:
-            stream.flow.nonsense(f"an answer of over {MAX_BUFFERED_BODY_BYTES} bytes")
+            stream.flow.on_malformed(f"an answer of over {MAX_BUFFERED_BODY_BYTES} bytes")
 
     def ended_well(self, number: int) -> None:
         stream = self.streams.pop(number, None)
@@ -253,9 +253,9 @@
                 self.h2.reset_stream(number, Codes.NO_ERROR)
         if flow is not None and stream.head is not None:
             status, fields = stream.head
-            flow.answered(Message(status, fields, fields, bytes(stream.body)))
+            flow.on_response(Message(status, fields, fields, bytes(stream.body)))
         elif flow is not None:
-            flow.broken(ExchangeError(Ending.MALFORMED, "no answer's head"))
+            flow.on_broken(ExchangeError(Ending.MALFORMED, "no answer's head"))
         self.rest()
 
     def was_reset(self, number: int, code: int) -> None:
@@ -264,7 +264,7 @@
             return
         stream.over = True
         if stream.flow is not None:
-            stream.flow.broken(ExchangeError(reset_ending(code), f"reset with {code}"))
+            stream.flow.on_broken(ExchangeError(reset_ending(code), f"reset with {code}"))
         self.rest()
 
     def _told_to_go(self, frame: Any) -> tuple[list[Any], list[Any]]:
@@ -275,7 +275,7 @@
             stream = self.streams.pop(number)
             stream.over = True
             if stream.flow is not None:
-                stream.flow.broken(
+                stream.flow.on_broken(
                     ExchangeError(Ending.CONNECT_FAILED, "above the last stream told", retryable=True)
                 )
         asyncio.get_running_loop().call_soon(self.rest)
@@ -293,7 +293,7 @@
         for stream in streams.values():
             stream.over = True
             if stream.flow is not None:
-                stream.flow.broken(ExchangeError(ending, why))
+                stream.flow.on_broken(ExchangeError(ending, why))
 
     def close(self) -> None:
         if not self.over:
@@ -303,7 +303,7 @@
 
     def look(self, now: int) -> None:
         """Some times a second: a silent connection is found before the deadlines of what is out on it."""
-        if not self.member.ready or self.address != self.member.dial:
+        if not self.member.ready or self.address != self.member.address:
             self.draining = True
         if self.draining and not self.streams and not self.reserved:
             self.close()
@@ -333,9 +333,9 @@
         self.most = most
         self.connections: dict[MemberId, list[MemberConnection2]] = {}
         self.dialling: dict[MemberId, int] = {}
-        self.waiting: dict[MemberId, list[Up]] = {}
+        self.waiting: dict[MemberId, list[ConnectCallback]] = {}
 
-    def take(self, member: PoolMember, up: Up) -> "MemberStream | Callable[[], None]":
+    def obtain(self, member: PoolMember, up: ConnectCallback) -> "MemberStream | Callable[[], None]":
         """A stream at once, or what gives the wait for one up.
 
         :raises ExchangeError: NOT_SENT, all connections are full
@@ -382,7 +382,7 @@
             for one in waiting:
                 one(None, ended)
 
-        self.members.set_up(member, up)
+        self.members.connect_socket(member, up)
         self.dialling[member.id] = self.dialling.get(member.id, 0) + 1
 
     def room(self, member: PoolMember) -> None:
@@ -395,7 +395,7 @@
         held = self.connections.get(connection.member.id, [])
         if connection in held:
             held.remove(connection)
-            self.members.connections -= 1
+            self.members.connection_count -= 1
         if not held:
             self.connections.pop(connection.member.id, None)
 
--- a/millfront/http2/part.py
+++ b/millfront/http2/part.py
@@ -50,7 +50,7 @@
             main.clock, main.host, main.take_in, main.admit, main.ready, self.told.connections, self._made
         )
         self.server.listen(Address.parse(self.told.listen, "http2.listen"))
-        self.node.fronts.append(self.server)
+        self.node.servers.append(self.server)
         log.info("HTTP/2 listens", address=self.server.address)
 
     def _made(self, server: VirtualServer, sock: socket.socket) -> Http2Connection:
--- a/millfront/logs.py
+++ b/millfront/logs.py
@@ -8,7 +8,7 @@
 import sys
 from typing import Any
 
-PLAIN = (str, int, float, bool, list, dict, type(None))  # values that stay as they are
+JSON_TYPES = (str, int, float, bool, list, dict, type(None))  # values that stay as they are
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
@@ -16,7 +16,7 @@
     """A logger of one module. No call raises; none is made for each request."""
 
     def __init__(self, name: str) -> None:
-        self._to = logging.getLogger(name)
+        self._logger = logging.getLogger(name)
 
     def info(self, event: str, **fields: object) -> None:
         self._emit(logging.INFO, event, fields)
@@ -32,14 +32,14 @@
         self._emit(logging.ERROR, event, fields, True)
 
     def _emit(self, level: int, event: str, fields: dict[str, object], traceback: bool = False) -> None:
-        if self._to.isEnabledFor(level):
-            self._to.log(level, event.replace("%", "%%"), exc_info=traceback, extra={"fields": fields})
+        if self._logger.isEnabledFor(level):
+            self._logger.log(level, event.replace("%", "%%"), exc_info=traceback, extra={"fields": fields})
 
 
-class Seldom(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """One warning of a kind a second: guards the log against a line a request while a peer misbehaves."""
 
-    EVERY_S = 1.0
+    INTERVAL_S = 1.0
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,13 +47,13 @@
 
     def filter(self, record: logging.LogRecord) -> bool:
         kind = (record.name, str(record.msg))
-        if record.levelno < logging.WARNING or record.created - self._last.get(kind, 0.0) >= self.EVERY_S:
+        if record.levelno < logging.WARNING or record.created - self._last.get(kind, 0.0) >= self.INTERVAL_S:
             self._last[kind] = record.created
             return True
         return False
 
 
-class Plain(logging.Formatter):
+class PlainFormatter(logging.Formatter):
     """A line for people: time, level, module, event, then field=value."""
 
     def __init__(self) -> None:
@@ -68,12 +68,12 @@
 def start() -> None:
     """The log as it is without an operators' file: lines on standard error, from level info."""
     handler = logging.StreamHandler()
-    handler.addFilter(Seldom())
-    handler.setFormatter(Plain())
+    handler.addFilter(RateLimitFilter())
+    handler.setFormatter(PlainFormatter())
     logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
 
 
-def structured(form: str, level: str) -> None:
+def use_structlog(form: str, level: str) -> None:
     """The log on structlog from here on.
 
     :param form: ``json``, an object a line, or ``console``, for people at a terminal
@@ -83,20 +83,22 @@
 
     def fields(_: Any, __: str, event: Any) -> Any:
         for name, value in getattr(event["_record"], "fields", {}).items():
-            event[name] = value if isinstance(value, PLAIN) else str(value)
+            event[name] = value if isinstance(value, JSON_TYPES) else str(value)
         return event
 
-    before: list[Any] = [
+    pre_chain: list[Any] = [
         fields,
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
-    last: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
+    processors: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
     if form == "json":
-        last += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
+        processors += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
     else:
-        last.append(structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty()))
+        processors.append(structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty()))
     (handler,) = logging.getLogger().handlers
-    handler.setFormatter(structlog.stdlib.ProcessorFormatter(foreign_pre_chain=before, processors=last))
+    handler.setFormatter(
+        structlog.stdlib.ProcessorFormatter(foreign_pre_chain=pre_chain, processors=processors)
+    )
     logging.getLogger().setLevel(LEVELS[level])
--- a/millfront/node/clients.py
+++ b/millfront/node/clients.py
@@ -19,7 +19,7 @@
 from millfront.node.http1 import ServerCodec
 from millfront.node.link import RESOURCE_ERRNOS, Link, accept, create_listener
 from millfront.node.stages import relay
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 
 log = Log(__name__)
 
@@ -80,15 +80,15 @@
     """A Caller whose answers are messages, whatever carries them."""
 
     __slots__ = ()
-    streams = False
+    accepts_streaming = False
 
-    def begin(self, response: Any, source: Source) -> None:
+    def begin_response(self, response: Any, source: Source) -> None:
         raise NotImplementedError
 
-    def more(self, data: bytes) -> bool:
+    def send_body(self, data: bytes) -> bool:
         raise NotImplementedError
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         raise NotImplementedError
 
     def send_response(self, response: Message) -> None:
@@ -134,7 +134,7 @@
         "stalled_unsent",
         "upload",
     )
-    streams = True
+    accepts_streaming = True
 
     def __init__(self, server: "VirtualServer", sock: socket.socket) -> None:
         self.server = server
@@ -215,7 +215,7 @@
             return
         try:
             message = self.codec.next_request()
-        except NotTaken as error:
+        except RequestRejected as error:
             self.reject_message(error.status, str(error))
             return
         if message is not None:
@@ -234,10 +234,10 @@
             return
         try:
             opened = self.server.admit(self.server.take_in(message, came_us), self)
-        except NotTaken as error:
-            self.send_response(relay.own(error.status, f"{error}\n".encode(), error.fields))
+        except RequestRejected as error:
+            self.send_response(relay.own_response(error.status, f"{error}\n".encode(), error.fields))
             return
-        if opened is not None and not opened.over:  # it may have been answered by now
+        if opened is not None and not opened.finished:  # it may have been answered by now
             self.open_request = opened
             if self.upload is not None:
                 self.body_progress_us = self.server.clock.now()
@@ -252,7 +252,7 @@
             return
         try:
             data = self.codec.read_body()
-        except NotTaken as error:
+        except RequestRejected as error:
             self.abort_upload(error.status, str(error))
             return
         last = not self.codec.body_pending
@@ -287,7 +287,7 @@
         """A message that can't be read to its end: say so, and take nothing more from this connection."""
         self.input_closed = self.busy = True
         self.ending = Ending.TIMED_OUT if status == HTTPStatus.REQUEST_TIMEOUT else Ending.MALFORMED
-        self.send_response(relay.own(status, f"{why}\n".encode()))
+        self.send_response(relay.own_response(status, f"{why}\n".encode()))
 
     def check_timeouts(self, now_us: int, read_timeout_us: int) -> None:
         begun_us = self.request_started_us if self.had_request or self.in_body else self.idle_since_us
@@ -364,7 +364,7 @@
         if self.closed:
             return
         if self.source is not None:  # another answer has begun: this one can't be told
-            self.cut()
+            self.abort_response()
             return
         self.open_request = None
         data, goes_on = self.codec.encode_response(
@@ -373,7 +373,7 @@
         if self.write(data):
             self.response_sent(goes_on)
 
-    def begin(self, response: Message, source: Source) -> None:
+    def begin_response(self, response: Message, source: Source) -> None:
         """An answer that goes on as it comes."""
         if self.closed:
             return
@@ -391,7 +391,7 @@
             return response
         return replace(response, raw_fields=[*response.raw_fields, (b"Keep-Alive", self.server.keep_alive)])
 
-    def more(self, data: bytes) -> bool:
+    def send_body(self, data: bytes) -> bool:
         if self.closed or not self.write(self.codec.encode_body(data)):
             return False
         self.account_held(self.link.unsent)
@@ -402,7 +402,7 @@
         self.server.buffer_budget.held += held - self.held
         self.held = held
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """Before its end, so that the client can tell: no last chunk, or fewer bytes than were said."""
         self.open_request = self.source = None
         self.end(Ending.BROKEN)
@@ -599,9 +599,9 @@
     def health(self) -> Message:
         """What the front asks before it brings clients."""
         return (
-            relay.own(200, b"ready\n")
+            relay.own_response(200, b"ready\n")
             if self.ready is None or self.ready()
-            else relay.own(503, b"not ready\n")
+            else relay.own_response(503, b"not ready\n")
         )
 
     def connection_closed(self, connection: Connection) -> None:
--- a/millfront/node/config.py
+++ b/millfront/node/config.py
@@ -12,10 +12,13 @@
 
 # Of the limit: standard streams, the loop's own, the pool's, the counter's, the operators' callers, an accept
 # at hand.
-SPARE_SOCKETS = 72
+RESERVED_SOCKETS = 72
 
-LEAST_MEMORY_MB = 32  # where the configuration names no limit
-OWN = ("Me", "MyZone")  # settings that tell one gatekeeper from another, not the rules they act on
+DEFAULT_MEMORY_MB = 32  # where the configuration names no limit
+PER_GATEKEEPER_KEYS = (
+    "Me",
+    "MyZone",
+)  # settings that tell one gatekeeper from another, not the rules they act on
 
 
 class ConfigError(Exception):
@@ -48,7 +51,7 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: dict[str, Any]
+    initial_list: dict[str, Any]
     settings: api.Settings
     node: NodeSettings
     folder: str | None = None  # that processes of one gatekeeper share: $TMPDIR
@@ -56,49 +59,49 @@
     version: str = ""  # of the settings: a hash of their content, the same wherever they are the same
 
     @property
-    def most_clients(self) -> int:
+    def max_clients(self) -> int:
         """Client connections held at once: three fifths of what is not spare."""
-        return max(1, (self.sockets - SPARE_SOCKETS) * 3 // 5)
+        return max(1, (self.sockets - RESERVED_SOCKETS) * 3 // 5)
 
     @property
-    def most_flows(self) -> int:
+    def max_member_connections(self) -> int:
         """Connections to pool members held at once: the rest."""
-        return max(1, self.sockets - SPARE_SOCKETS - self.most_clients)
+        return max(1, self.sockets - RESERVED_SOCKETS - self.max_clients)
 
 
 def load(environment: Mapping[str, str]) -> Config:
     """On starting: NODE_* win over the file."""
-    told = _loaded(environment, "name", "listen", "discovery", "admin_addr")
-    return replace(told, folder=environment.get("TMPDIR") or None)
+    config = _load_file(environment, "name", "listen", "discovery", "admin_addr")
+    return replace(config, folder=environment.get("TMPDIR") or None)
 
 
-def load_anew(environment: Mapping[str, str], before: Config) -> Config:
+def reload(environment: Mapping[str, str], before: Config) -> Config:
     """On SIGHUP: the environment is still that of the start, so where discovery is now stands in the file.
 
     :raises ConfigError: also where a key is missing that stood in the file before: it was cut or mistyped
     """
-    told = _loaded(environment, "name", "listen", "admin_addr")
-    if missing := sorted(before.keys - told.keys):
+    config = _load_file(environment, "name", "listen", "admin_addr")
+    if missing := sorted(before.keys - config.keys):
         raise ConfigError(f"{missing[0]}: is missing, and was there before")
-    return replace(told, folder=before.folder)
+    return replace(config, folder=before.folder)
 
 
-def _loaded(environment: Mapping[str, str], *over_file: str) -> Config:
+def _load_file(environment: Mapping[str, str], *over_file: str) -> Config:
     path = environment.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG: is not set")
     try:
         data = json.loads(Path(path).read_bytes())
-    except OSError as wrong:
-        raise ConfigError(f"NODE_CONFIG: {path}: {wrong.strerror}") from None
-    except ValueError as wrong:
-        raise ConfigError(f"NODE_CONFIG: {path} is not JSON: {wrong}") from None
+    except OSError as error:
+        raise ConfigError(f"NODE_CONFIG: {path}: {error.strerror}") from None
+    except ValueError as error:
+        raise ConfigError(f"NODE_CONFIG: {path} is not JSON: {error}") from None
     if not isinstance(data, dict):
         raise ConfigError(f"NODE_CONFIG: {path} holds no object")
     for field in ("name", "listen", "discovery", "admin_addr"):
-        told = environment.get(f"NODE_{field.upper()}")
-        if told and (field in over_file or data.get(field) is None):
-            data[field] = told
+        value = environment.get(f"NODE_{field.upper()}")
+        if value and (field in over_file or data.get(field) is None):
+            data[field] = value
     return from_json(data)
 
 
@@ -111,11 +114,11 @@
         raise ConfigError("known: is not an object")
     try:
         module, node = settings_from(json.dumps(settings).encode()), node_settings_from(settings)
-    except SettingsError as wrong:
-        raise ConfigError(f"settings: {wrong}") from None
+    except SettingsError as error:
+        raise ConfigError(f"settings: {error}") from None
     sockets = limits.get("sockets")
-    if not isinstance(sockets, int) or sockets <= SPARE_SOCKETS + 2:
-        raise ConfigError(f"limits.sockets: {sockets!r} is no whole number above {SPARE_SOCKETS + 2}")
+    if not isinstance(sockets, int) or sockets <= RESERVED_SOCKETS + 2:
+        raise ConfigError(f"limits.sockets: {sockets!r} is no whole number above {RESERVED_SOCKETS + 2}")
     counter = None
     if data.get("counter") is not None:
         counter = Address.parse(data["counter"], "counter")
@@ -129,12 +132,12 @@
         admin=Address.parse(data["admin_addr"], "admin_addr") if data.get("admin_addr") is not None else None,
         seed=_seed(data.get("seed")),
         sockets=sockets,
-        memory_mb=limits["memory_mb"] if isinstance(limits.get("memory_mb"), int) else LEAST_MEMORY_MB,
-        known=known,
+        memory_mb=limits["memory_mb"] if isinstance(limits.get("memory_mb"), int) else DEFAULT_MEMORY_MB,
+        initial_list=known,
         settings=module,
         node=node,
         keys=frozenset(_keys({key: value for key, value in data.items() if key != "known"})),
-        version=version_of({key: value for key, value in settings.items() if key not in OWN}),
+        version=version_of({key: value for key, value in settings.items() if key not in PER_GATEKEEPER_KEYS}),
     )
 
 
--- a/millfront/node/counter.py
+++ b/millfront/node/counter.py
@@ -17,10 +17,12 @@
 
 log = Log(__name__)
 
-MOST_LINE = 256
+MAX_LINE_BYTES = 256
 TOTAL = re.compile(rb"[-+]?[0-9]+(?:\.[0-9]*)?(?:[eE][-+]?[0-9]+)?")  # float() alone would read 1_0 and nan
-LOST_US = 250_000  # an answer so late after its call ended: this connection may be cut off, a new one not
-IDLE_US = (
+CONNECTION_LOST_US = (
+    250_000  # an answer so late after its call ended: this connection may be cut off, a new one not
+)
+IDLE_TIMEOUT_US = (
     3_000_000  # the counter closes after some seconds: a call that crossed the close might be added or not
 )
 
@@ -29,50 +31,50 @@
 class Call:
     name: int
     line: bytes
-    made_us: int
+    created_us: int
     written: bool = False
     ended: bool = False
 
 
-class Counter:
-    def __init__(self, host: Host, address: Address, wait_us: int, connect_us: int) -> None:
+class CounterClient:
+    def __init__(self, host: Host, address: Address, timeout_us: int, connect_timeout_us: int) -> None:
         self.host = host
         self.address = address
-        self.wait_us = wait_us
-        self.connect_us = connect_us
+        self.timeout_us = timeout_us
+        self.connect_timeout_us = connect_timeout_us
         self._queued: deque[Call] = deque()  # not written yet
         self._written: deque[Call] = deque()  # in the order of their answers, also those that ended before
-        self._more = anyio.Event()
-        self._used_us = 0
+        self._wakeup = anyio.Event()
+        self._last_write_us = 0
         self._retired = False
 
     def call(self, count: api.Count) -> None:
         ttl_ms = max(1, -(-count.ttl_us // 1000))
         line = f"add {count.name:x} {count.amount:.10g} {ttl_ms}\r\n".encode()
         call = Call(count.name, line, self.host.clock.now())
-        self._queue(call)
-        self.host.timers.after(self.wait_us, lambda: self._late(call))
+        self._enqueue(call)
+        self.host.timers.after(self.timeout_us, lambda: self._on_timeout(call))
 
-    def retire(self, successor: "Counter") -> None:
+    def retire(self, successor: "CounterClient") -> None:
         """The counter has moved: what is not written yet is the successor's, what is written gets its answer
         here, and run() ends with the last one."""
         self._retired = True
         while self._queued:
-            successor._queue(self._queued.popleft())
-        self._more.set()
+            successor._enqueue(self._queued.popleft())
+        self._wakeup.set()
 
-    def _queue(self, call: Call) -> None:
+    def _enqueue(self, call: Call) -> None:
         self._queued.append(call)
-        self._more.set()
+        self._wakeup.set()
 
-    def _late(self, call: Call) -> None:
+    def _on_timeout(self, call: Call) -> None:
         """Past its time. Written, it may have been added, and its answer is still to be consumed."""
         self._end(call, Ending.TIMED_OUT if call.written else Ending.CONNECT_FAILED)
 
     def _end(self, call: Call, ending: Ending, total: float = 0.0) -> None:
         if not call.ended:
             call.ended = True
-            self.host.counted(api.CounterAnswered(call.name, COUNT_OUTCOMES[ending], total))
+            self.host.counter_answered(api.CounterAnswered(call.name, COUNT_OUTCOMES[ending], total))
 
     async def run(self) -> None:
         """Connect when there are calls, until retired."""
@@ -81,7 +83,7 @@
             if not self._queued:
                 continue
             try:
-                stream = await dial(self.address, self.connect_us)
+                stream = await dial(self.address, self.connect_timeout_us)
             except ExchangeError:
                 while self._queued:
                     self._end(self._queued.popleft(), Ending.CONNECT_FAILED)
@@ -103,23 +105,23 @@
                 self._queued.popleft()
             if self._queued or self._retired:
                 return
-            self._more = anyio.Event()
-            await self._more.wait()
+            self._wakeup = anyio.Event()
+            await self._wakeup.wait()
 
     async def _write(self, stream: SocketStream) -> None:
-        self._used_us = self.host.clock.now()
+        self._last_write_us = self.host.clock.now()
         while True:
-            with anyio.move_on_after(IDLE_US / 1e6):
+            with anyio.move_on_after(IDLE_TIMEOUT_US / 1e6):
                 await self._wait_for_calls()
             now = self.host.clock.now()
             if self._retired:
                 await anyio.sleep(
-                    self.wait_us / 1e6
+                    self.timeout_us / 1e6
                 )  # by then each call has its answer, or has ended without
                 return
-            if not self._queued and not self._written and now - self._used_us >= IDLE_US:
+            if not self._queued and not self._written and now - self._last_write_us >= IDLE_TIMEOUT_US:
                 return  # idle: closed from this side, before the counter does
-            if self._written and now - self._written[0].made_us > self.wait_us + LOST_US:
+            if self._written and now - self._written[0].created_us > self.timeout_us + CONNECTION_LOST_US:
                 return
             calls = [call for call in self._queued if not call.ended]
             self._queued.clear()
@@ -128,7 +130,7 @@
             self._written.extend(calls)
             if not calls:
                 continue
-            self._used_us = now
+            self._last_write_us = now
             try:
                 await stream.send(b"".join(call.line for call in calls))
             except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -137,31 +139,31 @@
                 return
 
     async def _read(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
-        rest = b""
+        remainder = b""
         try:
             while True:
-                *lines, rest = (rest + await stream.receive()).split(b"\n")
+                *lines, remainder = (remainder + await stream.receive()).split(b"\n")
                 for line in lines:
-                    self._answer(line.strip())
-                if len(rest) > MOST_LINE:
+                    self._handle_answer(line.strip())
+                if len(remainder) > MAX_LINE_BYTES:
                     raise ExchangeError(Ending.MALFORMED, "a line too long")
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             pass
-        except ExchangeError as ended:
-            log.warning("the counter answered nonsense", why=ended)
+        except ExchangeError as error:
+            log.warning("the counter answered nonsense", why=error)
         scope.cancel()
 
-    def _answer(self, line: bytes) -> None:
+    def _handle_answer(self, line: bytes) -> None:
         if not self._written:
             raise ExchangeError(Ending.MALFORMED, f"an answer to no call: {line[:40]!r}")
-        word, _, total = line.partition(b" ")
+        status, _, total = line.partition(b" ")
         ending, value = Ending.NOT_STARTED, 0.0
-        if word == b"ok":
+        if status == b"ok":
             if not TOTAL.fullmatch(total) or not math.isfinite(value := float(total)):
                 raise ExchangeError(Ending.MALFORMED, f"no total: {line[:40]!r}")
             ending = Ending.SERVED
-        elif word == b"error":
+        elif status == b"error":
             ending = Ending.ERRORED
-        elif word != b"busy":
+        elif status != b"busy":
             raise ExchangeError(Ending.MALFORMED, f"no answer: {line[:40]!r}")
         self._end(self._written.popleft(), ending, value)
--- a/millfront/node/handover.py
+++ b/millfront/node/handover.py
@@ -15,10 +15,10 @@
 
 log = Log(__name__)
 
-ASK = b"millfront 1\n"
-MOST_TOLD = 16 * 1024 * 1024
-WAIT_S = 1.5  # for the whole answer: a plain start is better than a late one
-MOST_PATH = 100  # bytes that the system takes as such a socket's name
+REQUEST_LINE = b"millfront 1\n"
+MAX_STATE_BYTES = 16 * 1024 * 1024
+TIMEOUT_S = 1.5  # for the whole answer: a plain start is better than a late one
+MAX_PATH_BYTES = 100  # bytes that the system takes as such a socket's name
 
 
 class Handover:
@@ -28,60 +28,60 @@
         self,
         folder: str,
         name: str,
-        tell: Callable[[], bytes],
-        alone: Callable[[], None],
+        dump_state: Callable[[], bytes],
+        on_peer_exit: Callable[[], None],
     ) -> None:
         """:param tell: divides what this process holds, and words the other half
         :param alone: told when the other process has ended
         """
-        plain = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:40]
-        self.path = Path(folder) / f"millfront-{plain}.sock"
-        self.tell = tell
-        self.alone = alone
-        self._before: SocketStream | None = None
-        self._running = anyio.CancelScope()
-
-    def leave(self) -> None:
+        safe_name = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:40]
+        self.path = Path(folder) / f"millfront-{safe_name}.sock"
+        self.dump_state = dump_state
+        self.on_peer_exit = on_peer_exit
+        self._predecessor: SocketStream | None = None
+        self._scope = anyio.CancelScope()
+
+    def stop(self) -> None:
         """This process takes no more: the other one is alone from now on."""
-        self._running.cancel()
+        self._scope.cancel()
 
-    async def ask(self) -> bytes | None:
+    async def fetch_state(self) -> bytes | None:
         """What a predecessor tells; None: there is none that can be understood."""
-        if len(str(self.path).encode()) > MOST_PATH or not self.path.exists():
+        if len(str(self.path).encode()) > MAX_PATH_BYTES or not self.path.exists():
             return None
         try:
-            with anyio.fail_after(WAIT_S):
+            with anyio.fail_after(TIMEOUT_S):
                 stream = await anyio.connect_unix(self.path)
                 try:
-                    await stream.send(ASK)
-                    text = await _line(stream)
+                    await stream.send(REQUEST_LINE)
+                    text = await _read_line(stream)
                 except BaseException:
                     await anyio.aclose_forcefully(stream)
                     raise
-        except (OSError, TimeoutError, anyio.BrokenResourceError, anyio.EndOfStream) as wrong:
-            log.info("no predecessor answers", why=repr(wrong))
+        except (OSError, TimeoutError, anyio.BrokenResourceError, anyio.EndOfStream) as error:
+            log.info("no predecessor answers", why=repr(error))
             return None
-        self._before = stream
+        self._predecessor = stream
         return text
 
     async def run(self) -> None:
         """Until left: wait for the predecessor's end, then for successors, one at a time."""
-        with self._running:
+        with self._scope:
             await self._run()
 
     async def _run(self) -> None:
-        if (before := self._before) is not None:
-            await _its_end(before)
-            self._before = None
+        if (predecessor := self._predecessor) is not None:
+            await _wait_closed(predecessor)
+            self._predecessor = None
             log.info("the predecessor has ended")
-            self.alone()
-        if len(str(self.path).encode()) > MOST_PATH:
+            self.on_peer_exit()
+        if len(str(self.path).encode()) > MAX_PATH_BYTES:
             return
         try:
             self.path.unlink(missing_ok=True)
             listener = await anyio.create_unix_listener(self.path, mode=0o600, backlog=1)
-        except OSError as wrong:
-            log.info("no successor can be told anything", why=wrong.strerror)
+        except OSError as error:
+            log.info("no successor can be told anything", why=error.strerror)
             return
         async with listener:
             while True:
@@ -91,29 +91,29 @@
                 await anyio.aclose_forcefully(stream)
 
     async def _hand_over(self, stream: SocketStream) -> None:
-        with anyio.fail_after(WAIT_S):
-            if await _line(stream) != ASK.strip():
+        with anyio.fail_after(TIMEOUT_S):
+            if await _read_line(stream) != REQUEST_LINE.strip():
                 return  # another version: it starts as after a restart
         log.info("a successor has come up")
         try:
-            with anyio.fail_after(WAIT_S):
-                await stream.send(self.tell() + b"\n")
-            await _its_end(stream)
+            with anyio.fail_after(TIMEOUT_S):
+                await stream.send(self.dump_state() + b"\n")
+            await _wait_closed(stream)
         finally:
             log.info("the successor has ended")
-            self.alone()
+            self.on_peer_exit()
 
 
-async def _line(stream: SocketStream) -> bytes:
+async def _read_line(stream: SocketStream) -> bytes:
     data = bytearray()
     while not data.endswith(b"\n"):
         data += await stream.receive()
-        if len(data) > MOST_TOLD:
+        if len(data) > MAX_STATE_BYTES:
             raise TimeoutError("too long")
     return bytes(data[:-1])
 
 
-async def _its_end(stream: SocketStream) -> None:
+async def _wait_closed(stream: SocketStream) -> None:
     with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
         while True:
             await stream.receive()
--- a/millfront/node/host.py
+++ b/millfront/node/host.py
@@ -23,15 +23,15 @@
 
 log = Log(__name__)
 
-GUARD_US = 10_000  # between two looks for requests that are over their deadline
-AGAIN_US = 20_000  # a timer's event that failed comes once more after so long
-MOST_SLEEP_US = 1_000_000
-OVERDUE_US = (
+DEADLINE_CHECK_US = 10_000  # between two looks for requests that are over their deadline
+TIMER_RETRY_US = 20_000  # a timer's event that failed comes once more after so long
+MAX_SLEEP_US = 1_000_000
+DEADLINE_GRACE_US = (
     15_000  # past its deadline: the module had its time-out by then, and the rule's slack is still ahead
 )
 
 
-NEVER_US = 3_600_000_000  # for a body under way: it ends by its own guards
+NO_DEADLINE_US = 3_600_000_000  # for a body under way: it ends by its own guards
 
 
 class Clock:
@@ -68,7 +68,7 @@
                     call()
                 except Exception:  # one bad callback must not stop the beat of all others
                     log.exception("a timer's callback failed")
-            wait_us = self._heap[0][0] - self.clock.now() if self._heap else MOST_SLEEP_US
+            wait_us = self._heap[0][0] - self.clock.now() if self._heap else MAX_SLEEP_US
             # In whole ms, rounded up, and without a deadline: uvloop's timers come up to 1 ms early, and a
             # scope's deadline (or a sleep of what is left) would spin until it is really past.
             with anyio.CancelScope() as self._sleep:
@@ -79,16 +79,16 @@
     """Whoever brought a request in; is told its final answer once. One that begin() told of is ended by
     served() or cut()."""
 
-    streams: bool  # takes answers as they come
+    accepts_streaming: bool  # takes answers as they come
 
-    def begin(self, answer: Any, source: Source) -> None:
+    def begin_response(self, answer: Any, source: Source) -> None:
         """The head of a served answer, and a part of its body."""
 
-    def more(self, data: bytes) -> bool:
+    def send_body(self, data: bytes) -> bool:
         """What came next of it; False: bring no more until the source is resumed."""
         ...
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """The rest of it does not come: the client must be able to tell."""
 
     def served(self, answer: Any) -> None: ...
@@ -96,27 +96,27 @@
     def failed(self) -> None: ...
 
 
-class Reserving(Protocol):
+class UnitLeaser(Protocol):
     """Live plans with reservations: leases units where a customer's plan runs short."""
 
-    def short(self, short: api.Short) -> None: ...
-    def answered(self, answer: api.CounterAnswered) -> bool:
+    def on_short(self, short: api.Short) -> None: ...
+    def handle_answer(self, answer: api.CounterAnswered) -> bool:
         """Whether that call was its own."""
         ...
 
 
-class Tally(Protocol):
+class UsageRecorder(Protocol):
     """Is told of each try once as it is first sent on, and once when nothing of it is out any more."""
 
-    def sending(self, opened: "OpenRequest", standing: api.Standing) -> None: ...
-    def settled(self, opened: "OpenRequest") -> None: ...
+    def request_sent(self, opened: "OpenRequest", standing: api.Standing) -> None: ...
+    def request_settled(self, opened: "OpenRequest") -> None: ...
 
 
 class Flow(Protocol):
     """One attempt under way."""
 
     def cancel(self) -> None: ...
-    def whole(self) -> None:
+    def body_complete(self) -> None:
         """The request's last byte has come."""
 
 
@@ -130,9 +130,9 @@
     units: float
     spread: int
     first: int
-    came_us: int
+    arrived_us: int
     timeout_us: int
-    name: bytes = b""  # as its caller calls it; no two open ones share one
+    request_id: bytes = b""  # as its caller calls it; no two open ones share one
     message: Any = None
     plan_name: str = ""
     plan_version: int = 0  # of the plan book; 0: the settings'
@@ -145,21 +145,25 @@
     id: int
     arrival: Arrival
     caller: Caller
-    over: bool = False
-    sends: int = 0
-    ran: bool = False  # an attempt may have run
-    units: float = 0.0  # the true ones, where a good answer told them
-    tallied: Any = None  # the tally's own mark
-    most_sends: int = 0
-    whole: bool = True  # else its body is under way, and its time has not begun
-    streams: int = -1  # the attempt whose answer has begun to reach the client
-    came_us: int = 0
+    finished: bool = False
+    attempts: int = 0
+    may_have_run: bool = False  # an attempt may have run
+    true_units: float = 0.0  # the true ones, where a good answer told them
+    usage_mark: Any = None  # the tally's own mark
+    max_attempts: int = 0
+    body_received: bool = True  # else its body is under way, and its time has not begun
+    streaming_flow: int = -1  # the attempt whose answer has begun to reach the client
+    arrived_us: int = 0
     flows: dict[int, Flow] = field(default_factory=dict)
 
     @property
     def deadline_us(self) -> int:
         """Without an end while the request's body is under way."""
-        return self.came_us + self.arrival.timeout_us if self.whole else self.came_us + NEVER_US
+        return (
+            self.arrived_us + self.arrival.timeout_us
+            if self.body_received
+            else self.arrived_us + NO_DEADLINE_US
+        )
 
 
 class Host:
@@ -167,47 +171,49 @@
         self.settings = settings
         self.clock = clock
         self.timers = Timers(clock)
-        self.open: dict[int, OpenRequest] = {}
-        self._names: set[bytes] = set()  # of the open ones: entered and left together with them
-        self._due: dict[int, list[int]] = {}  # by GUARD_US: requests that are over by then
-        self.owed = 0  # requests without their final answer
+        self.open_requests: dict[int, OpenRequest] = {}
+        self._open_request_ids: set[bytes] = set()  # of the open ones: entered and left together with them
+        self._deadline_checks: dict[
+            int, list[int]
+        ] = {}  # by DEADLINE_CHECK_US: requests that are over by then
+        self.unanswered = 0  # requests without their final answer
         self.start_flow: Callable[[OpenRequest, int, api.Send], None]
         self.start_count: Callable[[api.Count], None]
         self.close_idle: Callable[[int], None]
-        self.reserving: Reserving | None = None
-        self.tally: Tally | None = None
+        self.unit_leaser: UnitLeaser | None = None
+        self.usage_recorder: UsageRecorder | None = None
         self._gateway = Gateway(settings, seed)
         self._ids = itertools.count(1)
         self._events: deque[api.Event] = deque()
-        self._telling = False
+        self._processing = False
 
-    def tell(self, event: api.Event) -> None:
+    def post_event(self, event: api.Event) -> None:
         """One event at a time: what comes up while actions are carried out waits its turn."""
         self._events.append(event)
-        if self._telling:
+        if self._processing:
             return
-        self._telling = True
+        self._processing = True
         try:
             while self._events:
-                self._handle(self._events.popleft())
+                self._process_event(self._events.popleft())
         finally:
-            self._telling = False
+            self._processing = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _process_event(self, event: api.Event) -> None:
         try:
             actions = self._gateway.handle(self.clock.now(), event)
         except Exception:  # a fault on one event must not take the program and all other requests down
             log.exception("the module failed", on=type(event).__name__)
             if isinstance(event, api.TimerFired):  # a beat lost once would be lost for good
-                self._carry_out(api.SetTimer(AGAIN_US, event.token))
+                self._execute(api.SetTimer(TIMER_RETRY_US, event.token))
             return
         for action in actions:
             try:
-                self._carry_out(action)
+                self._execute(action)
             except Exception:
                 log.exception("an action could not be carried out", action=type(action).__name__)
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(action)
@@ -218,17 +224,17 @@
                 if opened := self._finish(request):
                     opened.caller.failed()
             case api.Cancel(request, attempt):
-                if (opened := self.open.get(request)) and attempt in opened.flows:
-                    if opened.streams == attempt and not opened.over:
+                if (opened := self.open_requests.get(request)) and attempt in opened.flows:
+                    if opened.streaming_flow == attempt and not opened.finished:
                         return  # its answer is the client's
                     opened.flows[attempt].cancel()
             case api.SetTimer(delay_us, token):
-                self.timers.after(delay_us, lambda: self.tell(api.TimerFired(token)))
+                self.timers.after(delay_us, lambda: self.post_event(api.TimerFired(token)))
             case api.Count():
                 self.start_count(action)
             case api.Short():
-                if self.reserving is not None:
-                    self.reserving.short(action)
+                if self.unit_leaser is not None:
+                    self.unit_leaser.on_short(action)
             case api.CloseIdle(backend):
                 self.close_idle(backend)
             case api.Log(text):
@@ -238,14 +244,16 @@
             case api.Probe() | api.Tell():
                 log.warning("not possible on this platform", action=type(action).__name__)
 
-    def counted(self, answer: api.CounterAnswered) -> None:
+    def counter_answered(self, answer: api.CounterAnswered) -> None:
         """A counter call's one answer, to whoever made the call."""
-        if self.reserving is None or not self.reserving.answered(answer):
-            self.tell(answer)
+        if self.unit_leaser is None or not self.unit_leaser.handle_answer(answer):
+            self.post_event(answer)
 
-    def live_plans(self, reserving: Reserving, carry: Callable[[int, Customer, api.Plan], None]) -> None:
+    def enable_live_plans(
+        self, unit_leaser: UnitLeaser, on_plan_change: Callable[[int, Customer, api.Plan], None]
+    ) -> None:
         """Switch live plans on: what leases units, and what becomes of an allowance on a change."""
-        self.reserving, self._gateway.on_plan_change = reserving, carry
+        self.unit_leaser, self._gateway.on_plan_change = unit_leaser, on_plan_change
 
     @property
     def gateway(self) -> Gateway:
@@ -255,23 +263,25 @@
     # ---- requests ----------------------------------------------------------------------------
 
     def start(self) -> None:
-        self.tell(api.Started())
+        self.post_event(api.Started())
 
-    def retune(self, retuned: api.Retuned) -> None:
+    def apply_settings(self, retuned: api.Retuned) -> None:
         """New settings, for the module as for what is held to them here."""
         self.settings = retuned.settings
-        self.tell(retuned)
-
-    def arrive(self, arrival: Arrival, caller: Caller, whole: bool = True) -> OpenRequest:
-        opened = OpenRequest(next(self._ids), arrival, caller, whole=whole, came_us=arrival.came_us)
-        opened.most_sends = self.settings.allowed.max_attempts
-        self.open[opened.id] = opened
-        self._names.add(arrival.name)
-        self.owed += 1
+        self.post_event(retuned)
+
+    def add_request(self, arrival: Arrival, caller: Caller, body_received: bool = True) -> OpenRequest:
+        opened = OpenRequest(
+            next(self._ids), arrival, caller, body_received=body_received, arrived_us=arrival.arrived_us
+        )
+        opened.max_attempts = self.settings.allowed.max_attempts
+        self.open_requests[opened.id] = opened
+        self._open_request_ids.add(arrival.request_id)
+        self.unanswered += 1
         left_us = opened.deadline_us - self.clock.now()
-        if whole:
-            self._guard(opened.id, left_us + OVERDUE_US)
-        self.tell(
+        if body_received:
+            self._schedule_overdue_check(opened.id, left_us + DEADLINE_GRACE_US)
+        self.post_event(
             api.RequestArrived(
                 opened.id,
                 arrival.cls,
@@ -283,93 +293,95 @@
                 arrival.first,
                 arrival.terms,
                 arrival.reserves,
-                whole,
+                body_received,
             )
         )
         return opened
 
     def body_complete(self, opened: OpenRequest) -> None:
         """Its last byte has come: its time begins."""
-        opened.whole, opened.came_us = True, self.clock.now()
-        if opened.over:
+        opened.body_received, opened.arrived_us = True, self.clock.now()
+        if opened.finished:
             return
-        self._guard(opened.id, opened.arrival.timeout_us + OVERDUE_US)
+        self._schedule_overdue_check(opened.id, opened.arrival.timeout_us + DEADLINE_GRACE_US)
         for flow in list(opened.flows.values()):
-            flow.whole()
-        self.tell(api.RequestWhole(opened.id, opened.arrival.timeout_us))
+            flow.body_complete()
+        self.post_event(api.RequestWhole(opened.id, opened.arrival.timeout_us))
 
-    def begin(self, opened: OpenRequest, number: int, answer: Any, source: Source) -> bool:
+    def begin_stream(self, opened: OpenRequest, number: int, answer: Any, source: Source) -> bool:
         """An attempt's answer begins to go to the client; False: no answer is owed any more."""
-        if opened.over or opened.streams >= 0:
+        if opened.finished or opened.streaming_flow >= 0:
             return False
-        opened.streams = number
-        self.tell(api.StreamStarted(opened.id, number))
-        opened.caller.begin(answer, source)
+        opened.streaming_flow = number
+        self.post_event(api.StreamStarted(opened.id, number))
+        opened.caller.begin_response(answer, source)
         return True
 
-    def _guard(self, request: int, after_us: int) -> None:
-        """Look at the request once after so long. All of one GUARD_US share a timer, and only the number is
-        kept: the message must not stay until then."""
+    def _schedule_overdue_check(self, request: int, after_us: int) -> None:
+        """Check the request once after this time. All checks of one DEADLINE_CHECK_US share a timer. Only the
+        request's number is kept, so that its message can be freed before then."""
         now = self.clock.now()
-        tick = (now + after_us) // GUARD_US + 1
-        if tick in self._due:
-            self._due[tick].append(request)
+        tick = (now + after_us) // DEADLINE_CHECK_US + 1
+        if tick in self._deadline_checks:
+            self._deadline_checks[tick].append(request)
         else:
-            self._due[tick] = [request]
-            self.timers.after(tick * GUARD_US - now, lambda: self._look(tick))
+            self._deadline_checks[tick] = [request]
+            self.timers.after(tick * DEADLINE_CHECK_US - now, lambda: self._check_deadlines(tick))
 
-    def _look(self, tick: int) -> None:
-        for request in self._due.pop(tick):
-            self._overdue(request)
+    def _check_deadlines(self, tick: int) -> None:
+        for request in self._deadline_checks.pop(tick):
+            self._fail_overdue(request)
 
-    def is_open(self, name: bytes) -> bool:
-        return name in self._names
+    def is_open(self, request_id: bytes) -> bool:
+        return request_id in self._open_request_ids
 
     def client_left(self, opened: OpenRequest) -> None:
         """The client went away: no answer is owed any more."""
         if self._finish(opened.id):
-            self.tell(api.RequestGone(opened.id))
+            self.post_event(api.RequestGone(opened.id))
 
-    def _overdue(self, request: int) -> None:
+    def _fail_overdue(self, request: int) -> None:
         """Guards the one final answer against a module that forgot the request."""
-        opened = self.open.get(request)
-        if opened is not None and opened.streams >= 0:
+        opened = self.open_requests.get(request)
+        if opened is not None and opened.streaming_flow >= 0:
             return  # the client's own since its answer has begun
         if opened := self._finish(request):
             log.error("request unanswered at its deadline")
             opened.caller.failed()
-            self.tell(api.RequestGone(opened.id))
+            self.post_event(api.RequestGone(opened.id))
 
     def _finish(self, request: int) -> OpenRequest | None:
         """The request, if its final answer was still owed."""
-        opened = self.open.get(request)
-        if opened is None or opened.over:
+        opened = self.open_requests.get(request)
+        if opened is None or opened.finished:
             return None
-        opened.over = True
-        self.owed -= 1
-        self._forget(opened)
+        opened.finished = True
+        self.unanswered -= 1
+        self._remove_if_done(opened)
         return opened
 
-    def _forget(self, opened: OpenRequest) -> None:
-        if opened.over and not opened.flows and opened.id in self.open:
-            del self.open[opened.id]
-            self._names.discard(opened.arrival.name)
-            if opened.tallied is not None and self.tally is not None:
-                self.tally.settled(opened)
+    def _remove_if_done(self, opened: OpenRequest) -> None:
+        if opened.finished and not opened.flows and opened.id in self.open_requests:
+            del self.open_requests[opened.id]
+            self._open_request_ids.discard(opened.arrival.request_id)
+            if opened.usage_mark is not None and self.usage_recorder is not None:
+                self.usage_recorder.request_settled(opened)
 
     # ---- attempts ----------------------------------------------------------------------------
 
     def _send(self, send: api.Send) -> None:
-        opened = self.open.get(send.request)
-        number = opened.sends if opened else 0
+        opened = self.open_requests.get(send.request)
+        number = opened.attempts if opened else 0
         if opened:
-            opened.sends += 1
-        late = opened is None or opened.over or self.clock.now() >= opened.deadline_us
-        if opened is None or late or number >= opened.most_sends:
-            self._ended(send.request, number, send.backend, api.Outcome.MOOT, opened is None or opened.over)
+            opened.attempts += 1
+        late = opened is None or opened.finished or self.clock.now() >= opened.deadline_us
+        if opened is None or late or number >= opened.max_attempts:
+            self._report_attempt_ended(
+                send.request, number, send.backend, api.Outcome.MOOT, opened is None or opened.finished
+            )
             return
-        if self.tally is not None and opened.tallied is None:
-            self.tally.sending(opened, send.standing)
+        if self.usage_recorder is not None and opened.usage_mark is None:
+            self.usage_recorder.request_sent(opened, send.standing)
         self.start_flow(opened, number, send)
 
     def flow_ended(
@@ -384,16 +396,18 @@
     ) -> None:
         """The one event of an attempt; a first good answer is the request's final one."""
         opened.flows.pop(number, None)
-        opened.ran = opened.ran or outcome not in NEVER_RAN
-        opened.units = opened.units or units
-        if outcome is api.Outcome.OK and opened.streams in (-1, number) and self._finish(opened.id):
+        opened.may_have_run = opened.may_have_run or outcome not in NEVER_RAN
+        opened.true_units = opened.true_units or units
+        if outcome is api.Outcome.OK and opened.streaming_flow in (-1, number) and self._finish(opened.id):
             opened.caller.served(answer)
-        elif opened.streams == number and self._finish(opened.id):
-            opened.caller.cut()
-        self._forget(opened)
-        self._ended(opened.id, number, send.backend, outcome, opened.over, latency_us, units)
+        elif opened.streaming_flow == number and self._finish(opened.id):
+            opened.caller.abort_response()
+        self._remove_if_done(opened)
+        self._report_attempt_ended(
+            opened.id, number, send.backend, outcome, opened.finished, latency_us, units
+        )
 
-    def _ended(
+    def _report_attempt_ended(
         self,
         request: int,
         number: int,
@@ -403,4 +417,4 @@
         latency_us: int = 0,
         units: float = 0.0,
     ) -> None:
-        self.tell(api.AttemptEnded(request, number, backend, outcome, closed, latency_us, units))
+        self.post_event(api.AttemptEnded(request, number, backend, outcome, closed, latency_us, units))
--- a/millfront/node/http1.py
+++ b/millfront/node/http1.py
@@ -21,7 +21,7 @@
     Fields,
     Message,
 )
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 
 FIELDS = rb"((?:[A-Za-z0-9-]+: [!-~](?:[ -~]*[!-~])?\r\n)*)\r\n"
 REQUEST = re.compile(rb"(GET|POST) (/[!-~]*) HTTP/1\.1\r\n" + FIELDS)
@@ -133,7 +133,7 @@
     def next_request(self) -> Message | None:
         """A request that is whole, or none yet.
 
-        :raises NotTaken: it can't be read to its end; nothing more can be taken from this connection
+        :raises RequestRejected: it can't be read to its end; nothing more can be taken from this connection
         """
         if self._h11 is None:
             if (found := self._parse_fast()) is not None:
@@ -143,7 +143,7 @@
         try:
             return self._parse_with_h11(self._h11)
         except h11.RemoteProtocolError as error:
-            raise NotTaken(error.error_status_hint, str(error)) from None
+            raise RequestRejected(error.error_status_hint, str(error)) from None
 
     def _parse_fast(self) -> Message | None:
         buffer = self._buffer
@@ -184,7 +184,7 @@
     def read_body(self) -> bytes:
         """What has come of the body under way.
 
-        :raises NotTaken: the rest of it can't be read
+        :raises RequestRejected: the rest of it can't be read
         """
         if self._h11 is None:
             data, self._buffer = self._buffer[: self._remaining], self._buffer[self._remaining :]
@@ -201,7 +201,7 @@
                 else:
                     break
         except h11.RemoteProtocolError as error:
-            raise NotTaken(error.error_status_hint, str(error)) from None
+            raise RequestRejected(error.error_status_hint, str(error)) from None
         data, self._body = bytes(self._body), bytearray()
         return data
 
@@ -220,10 +220,10 @@
             framing = {name: value for name, value in event.headers if name in FRAMING}
             # Passed on, the one could hide a second request in the body that the other shows
             if len(framing) > 1 or (b"transfer-encoding" in framing and event.http_version < b"1.1"):
-                raise NotTaken(400, "Content-Length or HTTP/1.0 with Transfer-Encoding")
+                raise RequestRejected(400, "Content-Length or HTTP/1.0 with Transfer-Encoding")
             length = int(framing.get(b"content-length", b"0"))
             if length > self._max_body:
-                raise NotTaken(413, "body too long")
+                raise RequestRejected(413, "body too long")
             self._body_received = 0
             if length > MAX_BUFFERED_BODY_BYTES:
                 return self._begin_streaming(event, length)
@@ -231,7 +231,7 @@
             self._body += event.data
             self._body_received += len(event.data)
             if self._body_received > self._max_body:
-                raise NotTaken(413, "body too long")
+                raise RequestRejected(413, "body too long")
             if (
                 not self.body_pending
                 and self._body_received > MAX_BUFFERED_BODY_BYTES
--- a/millfront/node/members.py
+++ b/millfront/node/members.py
@@ -16,11 +16,11 @@
 from millfront.node.link import ConnectAttempt, Link
 
 IDLE_SHARE = 0.5  # of KeepaliveUs: a request written after the member closed would count as a reset
-WORN_SHARE = 0.15  # of the requests on connections idle for so long that broke
-LEAST_BROKEN = 3.0  # before that share says anything
+MAX_BROKEN_SHARE = 0.15  # of the requests on connections idle for so long that broke
+MIN_BROKEN = 3.0  # before that share says anything
 BUCKETS = 32  # up to half an hour
-FADE = 0.99  # of what was seen, each sweep: after a minute or so the same idle time is tried again
-SWEEP_S = 0.5
+DECAY = 0.99  # of what was seen, each sweep: after a minute or so the same idle time is tried again
+SWEEP_INTERVAL_S = 0.5
 
 
 MemberId = int | str  # a number of the list's, or the name of one life of a server
@@ -30,36 +30,36 @@
 class PoolMember:
     id: MemberId
     host: str
-    dial: Address
+    address: Address
     ready: bool = True  # not told draining or gone
     stopped_us: int = 0
-    idle: "list[MemberConnection]" = field(default_factory=list)  # the last used at the end
+    idle_connections: "list[MemberConnection]" = field(default_factory=list)  # the last used at the end
 
 
-class Flow(Protocol):
+class ResponseHandler(Protocol):
     """Whoever waits for an answer on a connection."""
 
-    streams: bool  # an answer has begun to go on
+    streaming: bool  # an answer has begun to go on
 
-    def answering(self) -> None: ...
-    def begun(self, answer: Message) -> None:
+    def on_partial_response(self) -> None: ...
+    def on_response_head(self, answer: Message) -> None:
         """An answer too long to be gathered: its head, and what came of its body."""
 
-    def piece(self, data: bytes, last: bool) -> None:
+    def on_body(self, data: bytes, last: bool) -> None:
         """What came next of it."""
 
-    def passed_on(self) -> None:
+    def on_body_progress(self) -> None:
         """The request's body goes on, or is whole with the kernel."""
 
-    def answered(self, answer: Message) -> None: ...
-    def nonsense(self, why: str) -> None: ...
-    def broken(self, ended: ExchangeError) -> None: ...
+    def on_response(self, answer: Message) -> None: ...
+    def on_malformed(self, why: str) -> None: ...
+    def on_broken(self, error: ExchangeError) -> None: ...
 
 
 class Exchange(Protocol):
     """What carries one request to a member and its answer back: a connection, or a stream of one."""
 
-    flow: Flow | None
+    flow: ResponseHandler | None
 
     def request(
         self, start: tuple[bytes, bytes], fields: Fields, body: bytes, upload: Upload | None = None
@@ -71,13 +71,13 @@
 
     def resume(self) -> None: ...
 
-    def rest(self) -> None:
+    def deliver_buffered(self) -> None:
         """Tell what came with an answer's beginning, or while paused."""
 
-    def begin(self) -> None:
+    def deliver_partial(self) -> None:
         """Tell the beginning of an answer without a length, whatever there is of it."""
 
-    def takes(self) -> bool:
+    def request_flushed(self) -> bool:
         """Nothing of the request waits for the member."""
         ...
 
@@ -88,17 +88,17 @@
     def drop(self) -> None:
         """Given up: the member is told."""
 
-    def fared(self, well: bool) -> None:
+    def record_outcome(self, ok: bool) -> None:
         """How it did with the request that was written on it."""
 
 
-Up = Callable[[Exchange | None, ExchangeError | None], None]
+ConnectCallback = Callable[[Exchange | None, ExchangeError | None], None]
 
 
-class Shared(Protocol):
+class SharedConnections(Protocol):
     """Exchanges on connections that carry several at once."""
 
-    def take(self, member: PoolMember, up: Up) -> Exchange | Callable[[], None]: ...
+    def obtain(self, member: PoolMember, on_connected: ConnectCallback) -> Exchange | Callable[[], None]: ...
 
 
 class MemberConnection:
@@ -106,26 +106,26 @@
 
     __slots__ = (
         "address",
-        "answers",
         "flow",
         "idle_since_us",
         "idle_us",
         "link",
         "member",
         "members",
-        "owed",
+        "parser",
+        "request_bytes",
+        "request_written",
         "upload",
-        "written",
     )
 
     def __init__(self, members: "Members", member: PoolMember, sock: socket.socket) -> None:
         self.members = members
         self.member = member
-        self.address = member.dial
-        self.answers = ResponseParser()
-        self.flow: Flow | None = None
-        self.written = False  # the request's last byte is with the kernel
-        self.owed = 0  # bytes of the request that were given to the link
+        self.address = member.address
+        self.parser = ResponseParser()
+        self.flow: ResponseHandler | None = None
+        self.request_written = False  # the request's last byte is with the kernel
+        self.request_bytes = 0  # bytes of the request that were given to the link
         self.upload: Upload | None = None  # the rest of its body
         self.idle_since_us = 0
         self.idle_us = 0  # how long it lay idle before it was taken up; 0: it is new
@@ -144,16 +144,16 @@
         elif body or start[0] == b"POST":
             fields = [*fields, (b"Content-Length", b"%d" % len(body))]
         request = request_bytes(start, fields, body)
-        self.answers.expect(start[0])
-        self.written, self.upload, self.owed = False, upload, len(request)
+        self.parser.expect(start[0])
+        self.request_written, self.upload, self.request_bytes = False, upload, len(request)
         try:
             self.link.write(request)
-        except OSError as wrong:
-            raise ExchangeError(Ending.CONNECT_FAILED, repr(wrong), retryable=True) from None
+        except OSError as error:
+            raise ExchangeError(Ending.CONNECT_FAILED, repr(error), retryable=True) from None
         if upload is not None:
             upload.attach(self)
         else:
-            self.written = not self.link.unsent
+            self.request_written = not self.link.unsent
 
     def write_body(self, data: bytes, last: bool) -> bool:
         """More of the request's body. A break is told by the link's reading side."""
@@ -164,16 +164,16 @@
             data = encode_chunk(data) + (LAST_CHUNK if last else b"")
         try:
             if data:
-                self.owed += len(data)
+                self.request_bytes += len(data)
                 self.link.write(data)
-        except OSError as wrong:
-            self.ended(repr(wrong))
+        except OSError as error:
+            self.ended(repr(error))
             return True
         if not self.link.unsent:
             self.drained()
         return not self.link.unsent
 
-    def takes(self) -> bool:
+    def request_flushed(self) -> bool:
         return not self.link.unsent
 
     def pause(self) -> None:
@@ -188,89 +188,91 @@
     def drop(self) -> None:
         self.members.drop(self)
 
-    def fared(self, well: bool) -> None:
+    def record_outcome(self, ok: bool) -> None:
         if self.idle_us:
-            self.members.wear.note(self.idle_us, well)
+            self.members.idle_reuse.record(self.idle_us, ok)
 
     def drained(self) -> None:
         upload, flow = self.upload, self.flow
         if upload is None:
-            self.written = True
+            self.request_written = True
             return
-        self.written = upload.ended
+        self.request_written = upload.ended
         if flow is not None:
-            flow.passed_on()
+            flow.on_body_progress()
         upload.drained(self)
 
     def received(self, data: bytes) -> None:
         flow = self.flow
         if flow is None:  # nothing was asked: the next answer on it could not be trusted
-            self.members.spoilt(self)
+            self.members.connection_lost(self)
             return
         try:
-            if self.answers.body_pending:
-                piece = self.answers.read_body(data)
-                flow.piece(piece, not self.answers.body_pending)
+            if self.parser.body_pending:
+                piece = self.parser.read_body(data)
+                flow.on_body(piece, not self.parser.body_pending)
                 return
-            answer = self.answers.feed(data)
-        except ExchangeError as ended:
-            self._fail(flow, ended)
+            answer = self.parser.feed(data)
+        except ExchangeError as error:
+            self._fail(flow, error)
             return
         if answer is None:
-            flow.answering()
+            flow.on_partial_response()
         elif answer.body_incomplete:
-            flow.begun(answer)
+            flow.on_response_head(answer)
         else:
-            flow.answered(answer)
+            flow.on_response(answer)
 
-    def rest(self) -> None:
+    def deliver_buffered(self) -> None:
         """What came with an answer's beginning, once that is passed on."""
-        if self.flow is not None and self.answers.body_pending and not self.link.closed:
+        if self.flow is not None and self.parser.body_pending and not self.link.closed:
             try:
-                piece = self.answers.read_body(b"")
-            except ExchangeError as ended:
-                self._fail(self.flow, ended)
+                data = self.parser.read_body(b"")
+            except ExchangeError as error:
+                self._fail(self.flow, error)
                 return
-            self.flow.piece(piece, not self.answers.body_pending)
+            self.flow.on_body(data, not self.parser.body_pending)
 
-    def begin(self) -> None:
+    def deliver_partial(self) -> None:
         """An answer without a length has waited long enough: what there is of it goes on."""
-        if self.flow is not None and (answer := self.answers.partial_response()) is not None:
-            self.flow.begun(answer)
+        if self.flow is not None and (answer := self.parser.partial_response()) is not None:
+            self.flow.on_response_head(answer)
 
     def ended(self, why: str) -> None:
         flow = self.flow
         if flow is None:
-            self.members.spoilt(self)
+            self.members.connection_lost(self)
             return
-        if not self.written:
-            part = self.link.unsent < self.owed
-            flow.broken(
-                ExchangeError(Ending.CONNECT_FAILED, why or "ended", retryable=True, partially_sent=part)
+        if not self.request_written:
+            partially_sent = self.link.unsent < self.request_bytes
+            flow.on_broken(
+                ExchangeError(
+                    Ending.CONNECT_FAILED, why or "ended", retryable=True, partially_sent=partially_sent
+                )
             )
             return
         if why:
-            flow.broken(ExchangeError(Ending.BROKEN, why))
+            flow.on_broken(ExchangeError(Ending.BROKEN, why))
             return
         try:
-            answer = self.answers.end_of_stream()
-        except ExchangeError as ended:
-            self._fail(flow, ended)
+            answer = self.parser.end_of_stream()
+        except ExchangeError as error:
+            self._fail(flow, error)
             return
         assert answer is not None
-        if flow.streams:
-            flow.piece(answer.body, True)
+        if flow.streaming:
+            flow.on_body(answer.body, True)
         else:
-            flow.answered(answer)
+            flow.on_response(answer)
 
-    def _fail(self, flow: Flow, ended: ExchangeError) -> None:
-        if ended.ending is Ending.MALFORMED:
-            flow.nonsense(str(ended))
+    def _fail(self, flow: ResponseHandler, error: ExchangeError) -> None:
+        if error.ending is Ending.MALFORMED:
+            flow.on_malformed(str(error))
         else:
-            flow.broken(ended)
+            flow.on_broken(error)
 
 
-class Wear:
+class IdleReuseStats:
     """How requests fared on kept connections, by how long these had lain idle, in powers of two. Guards
     against members, or what lies between, that drop an idle connection without a word and sooner than the
     settings say: the next request on it breaks, and may have run."""
@@ -282,58 +284,60 @@
     def bucket(idle_us: int) -> int:
         return min(idle_us.bit_length(), BUCKETS - 1)
 
-    def note(self, idle_us: int, well: bool) -> None:
+    def record(self, idle_us: int, ok: bool) -> None:
         self._all[self.bucket(idle_us)] += 1.0
-        self._broken[self.bucket(idle_us)] += not well
+        self._broken[self.bucket(idle_us)] += not ok
 
-    def worn(self, idle_us: int) -> bool:
+    def is_unreliable(self, idle_us: int) -> bool:
         broken, seen = self._broken[self.bucket(idle_us)], self._all[self.bucket(idle_us)]
-        return broken >= LEAST_BROKEN and broken > WORN_SHARE * seen
+        return broken >= MIN_BROKEN and broken > MAX_BROKEN_SHARE * seen
 
-    def fade(self) -> None:
-        self._broken = [count * FADE for count in self._broken]
-        self._all = [count * FADE for count in self._all]
+    def decay(self) -> None:
+        self._broken = [count * DECAY for count in self._broken]
+        self._all = [count * DECAY for count in self._all]
 
 
 class Members:
-    def __init__(self, clock: Clock, connect_timeout_us: int, keepalive_us: int, most: int) -> None:
+    def __init__(
+        self, clock: Clock, connect_timeout_us: int, keepalive_us: int, max_connections: int
+    ) -> None:
         self.clock = clock
-        self.retune(connect_timeout_us, keepalive_us)
-        self.most = most
-        self.wear = Wear()
-        self.connections = 0
-        self.shared: Shared | None = None  # members speak a protocol of several streams
+        self.set_timeouts(connect_timeout_us, keepalive_us)
+        self.max_connections = max_connections
+        self.idle_reuse = IdleReuseStats()
+        self.connection_count = 0
+        self.shared: SharedConnections | None = None  # members speak a protocol of several streams
         self._by_id: dict[MemberId, PoolMember] = {}
         self._idle: OrderedDict[MemberConnection, None] = (
             OrderedDict()
         )  # of all members, the longest idle first
 
-    def retune(self, connect_timeout_us: int, keepalive_us: int) -> None:
+    def set_timeouts(self, connect_timeout_us: int, keepalive_us: int) -> None:
         self.connect_timeout_us = connect_timeout_us
-        self.idle_us = int(keepalive_us * IDLE_SHARE)
+        self.max_idle_us = int(keepalive_us * IDLE_SHARE)
 
     # ---- the pool tells ----------------------------------------------------------------------
 
     def get(self, member: MemberId) -> PoolMember | None:
         return self._by_id.get(member)
 
-    def listed(self, member: MemberId, host: str, address: Address) -> None:
-        known = self._by_id.get(member)
-        if known is None:
+    def set_ready(self, member: MemberId, host: str, address: Address) -> None:
+        entry = self._by_id.get(member)
+        if entry is None:
             self._by_id[member] = PoolMember(member, host, address)
             return
-        known.ready = True
-        known.dial = address  # connections to the old address are not taken up again
+        entry.ready = True
+        entry.address = address  # connections to the old address are not taken up again
 
-    def stopped(self, member: MemberId) -> None:
-        known = self._by_id.get(member)
-        if known is not None and known.ready:
-            known.ready, known.stopped_us = False, self.clock.now()
+    def set_stopped(self, member: MemberId) -> None:
+        entry = self._by_id.get(member)
+        if entry is not None and entry.ready:
+            entry.ready, entry.stopped_us = False, self.clock.now()
 
     def forget(self, before_us: int) -> None:
         """Drop those that stopped before that time; flows still out keep theirs."""
         for member in list(self._by_id.values()):
-            if not member.ready and member.stopped_us < before_us and not member.idle:
+            if not member.ready and member.stopped_us < before_us and not member.idle_connections:
                 del self._by_id[member.id]
 
     def any_ready(self) -> bool:
@@ -341,91 +345,93 @@
 
     # ---- connections -------------------------------------------------------------------------
 
-    def obtain(self, member: PoolMember, up: Up) -> Exchange | Callable[[], None]:
+    def obtain(self, member: PoolMember, on_connected: ConnectCallback) -> Exchange | Callable[[], None]:
         """An exchange at once; or one is set up and told to `up`, and this returns what gives that up.
 
         :raises ExchangeError: there is none to be had
         """
         if self.shared is not None:
-            return self.shared.take(member, up)
-        return self.idle(member) or self.dial(member, up)
+            return self.shared.obtain(member, on_connected)
+        return self.take_idle(member) or self.connect(member, on_connected)
 
-    def idle(self, member: PoolMember) -> MemberConnection | None:
+    def take_idle(self, member: PoolMember) -> MemberConnection | None:
         """The idle one used last that can be trusted, or none."""
-        while member.idle:
-            found = member.idle.pop()
+        while member.idle_connections:
+            found = member.idle_connections.pop()
             del self._idle[found]
             # Nothing may lie unread on it: a second answer or noise would be taken for the next one's. The
             # caller writes without a pause, so nothing can come in between.
             found.idle_us = self.clock.now() - found.idle_since_us
             if (
-                found.address == member.dial
+                found.address == member.address
                 and found.link.nothing_to_read()
-                and not self.wear.worn(found.idle_us)
+                and not self.idle_reuse.is_unreliable(found.idle_us)
             ):
                 return found
             self.drop(found)
         return None
 
-    def dial(self, member: PoolMember, up: Up) -> Callable[[], None]:
+    def connect(self, member: PoolMember, on_connected: ConnectCallback) -> Callable[[], None]:
         """Set up a new one for one request at a time; returns what gives it up."""
 
-        def made(sock: socket.socket | None, ended: ExchangeError | None) -> None:
-            up(MemberConnection(self, member, sock) if sock is not None else None, ended)
+        def on_socket(sock: socket.socket | None, error: ExchangeError | None) -> None:
+            on_connected(MemberConnection(self, member, sock) if sock is not None else None, error)
 
-        return self.set_up(member, made)
+        return self.connect_socket(member, on_socket)
 
-    def set_up(
-        self, member: PoolMember, done: Callable[[socket.socket | None, ExchangeError | None], None]
+    def connect_socket(
+        self, member: PoolMember, on_done: Callable[[socket.socket | None, ExchangeError | None], None]
     ) -> Callable[[], None]:
         """A socket to the member; returns what gives it up. `done` is told once, unless it is given up.
 
         :raises ExchangeError: NOT_SENT where descriptors are wanting, CONNECT_FAILED where it failed at once
         """
-        while self.connections >= self.most and self._idle:
+        while self.connection_count >= self.max_connections and self._idle:
             # descriptors are bounded: the longest idle gives way
             self._drop_idle(next(iter(self._idle)))
-        if self.connections >= self.most:
+        if self.connection_count >= self.max_connections:
             raise ExchangeError(Ending.NOT_SENT, "all connections are in use")
-        address = member.dial
+        address = member.address
 
-        def up(sock: socket.socket | None, wrong: OSError | None) -> None:
+        def on_connected(sock: socket.socket | None, error: OSError | None) -> None:
             if sock is None:
-                assert wrong is not None
-                self.connections -= 1
-                done(None, connect_error(address, wrong))
+                assert error is not None
+                self.connection_count -= 1
+                on_done(None, connect_error(address, error))
                 return
-            done(sock, None)
+            on_done(sock, None)
 
         def give_up() -> None:
-            self.connections -= 1
-            dialling.cancel()
+            self.connection_count -= 1
+            attempt.cancel()
 
         timeout_s = self.connect_timeout_us / 1e6
         try:
-            dialling = ConnectAttempt(address.host, address.port, timeout_s, asyncio.get_running_loop(), up)
-        except OSError as wrong:
-            raise connect_error(address, wrong) from None
-        self.connections += 1
+            attempt = ConnectAttempt(
+                address.host, address.port, timeout_s, asyncio.get_running_loop(), on_connected
+            )
+        except OSError as error:
+            raise connect_error(address, error) from None
+        self.connection_count += 1
         return give_up
 
     def release(self, connection: MemberConnection) -> bool:
         """Back to the idle ones; False if it can't carry another request."""
         member = connection.member
-        if not member.ready or connection.address != member.dial:
+        if not member.ready or connection.address != member.address:
             return False
-        if not connection.answers.reusable or not connection.written:
+        if not connection.parser.reusable or not connection.request_written:
             return False  # also one that was answered before its body's end
         connection.idle_since_us = self.clock.now()
-        member.idle.append(connection)
+        member.idle_connections.append(connection)
         self._idle[connection] = None
         return True
 
     def drop(self, connection: MemberConnection) -> None:
-        self.connections -= 1
+        self.connection_count -= 1
         connection.link.close()
 
-    def spoilt(self, connection: MemberConnection) -> None:
+    def connection_lost(self, connection: MemberConnection) -> None:
         """Something came on an idle one, or its member has ended it."""
         if connection in self._idle:
             self._drop_idle(connection)
@@ -434,23 +440,23 @@
 
     def _drop_idle(self, connection: MemberConnection) -> None:
         del self._idle[connection]
-        connection.member.idle.remove(connection)
+        connection.member.idle_connections.remove(connection)
         self.drop(connection)
 
     def close_idle(self, member: PoolMember) -> None:
-        for connection in list(member.idle):
+        for connection in list(member.idle_connections):
             self._drop_idle(connection)
 
     async def run(self) -> None:
         """Close what has been idle for long, what a member has ended, and what leads to one that stopped."""
         while True:
-            await asyncio.sleep(SWEEP_S)
-            self.wear.fade()
-            too_long = self.clock.now() - self.idle_us
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            self.idle_reuse.decay()
+            idle_before = self.clock.now() - self.max_idle_us
             for connection in list(self._idle):
-                gone = not connection.member.ready or connection.address != connection.member.dial
-                worn = self.wear.worn(self.clock.now() - connection.idle_since_us)
-                if gone or worn or connection.idle_since_us < too_long:
+                gone = not connection.member.ready or connection.address != connection.member.address
+                unreliable = self.idle_reuse.is_unreliable(self.clock.now() - connection.idle_since_us)
+                if gone or unreliable or connection.idle_since_us < idle_before:
                     self._drop_idle(connection)
             for member in [m for m in self._by_id.values() if not m.ready]:
                 self.close_idle(member)
--- a/millfront/node/parts.py
+++ b/millfront/node/parts.py
@@ -35,15 +35,15 @@
     def add(self, part: Part) -> None:
         self._parts.append(part)
 
-    async def start(self, keep_up: Callable[[Callable[[], Awaitable[None]]], object]) -> None:
+    async def start(self, supervise: Callable[[Callable[[], Awaitable[None]]], object]) -> None:
         """In the order in which they were added: each may use those before it."""
         for part in self._parts:
             try:
                 await part.start()
-            except OSError as wrong:
-                raise ConfigError(f"{part.name}: {wrong.filename or ''} {wrong.strerror or wrong}") from None
+            except OSError as error:
+                raise ConfigError(f"{part.name}: {error.filename or ''} {error.strerror or error}") from None
             self._started.append(part)
-            keep_up(part.run)
+            supervise(part.run)
             log.info("part started", part=part.name)
 
     async def stop(self) -> None:
--- a/millfront/node/pool.py
+++ b/millfront/node/pool.py
@@ -23,11 +23,13 @@
     "Terminating": api.BackendState.DRAINING,
     "Gone": api.BackendState.GONE,
 }
-FIRST_WAIT_S, MOST_WAIT_S = 0.05, 1.0
-SILENT_S = 5.0  # a watch brings a line every 2 s: silent for longer, it may be cut off without a word
-FORGET_US = 60_000_000  # after a member stopped: successors come under new names, and the table must not grow
-MOST_LINE = 4 * 1024 * 1024
-CONNECT_US = 1_000_000
+MIN_RETRY_S, MAX_RETRY_S = 0.05, 1.0
+WATCH_TIMEOUT_S = 5.0  # a watch brings a line every 2 s: silent for longer, it may be cut off without a word
+STOPPED_RETENTION_US = (
+    60_000_000  # after a member stopped: successors come under new names, and the table must not grow
+)
+MAX_LINE_BYTES = 4 * 1024 * 1024
+CONNECT_TIMEOUT_US = 1_000_000
 
 
 class Pool:
@@ -35,37 +37,39 @@
         self.host = host
         self.members = members
         self.discovery = discovery
-        self._anew = False  # the list held is another discovery's: its version means nothing to this one
-        self._following = anyio.CancelScope()
-        self.connect_us = node.connect_timeout_us or CONNECT_US
+        self._needs_full_list = (
+            False  # the list held is another discovery's: its version means nothing to this one
+        )
+        self._follow_scope = anyio.CancelScope()
+        self.connect_timeout_us = node.connect_timeout_us or CONNECT_TIMEOUT_US
         self.seq = 0
-        self._numbers = itertools.count(1)
+        self._next_id = itertools.count(1)
         self._ids: dict[str, int] = {}  # hosts are names, the module's backends numbers
         self._zones = dict(node.zones)
         self._kinds = dict(node.kinds)
 
-    def take(self, told: Any, cached: bool = False) -> None:
+    def apply_list(self, message: Any, cached: bool = False) -> None:
         """One object of discovery, whole or changes: to the members first, which guard the drain rule."""
         try:
-            whole, seq = bool(told["whole"]), int(told["seq"])
-            entries = [(self._entry(row), row["host"], self._dial(row)) for row in told["hosts"]]
-        except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as wrong:
-            raise ExchangeError(Ending.MALFORMED, f"a list that can't be read: {wrong!r}") from None
-        if whole:
+            full, seq = bool(message["whole"]), int(message["seq"])
+            entries = [(self._entry(row), row["host"], self._address_of(row)) for row in message["hosts"]]
+        except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
+            raise ExchangeError(Ending.MALFORMED, f"a list that can't be read: {error!r}") from None
+        if full:
             listed = {entry.backend for entry, _, _ in entries}
             for backend in self._ids.values():
                 if backend not in listed:
-                    self.members.stopped(backend)
+                    self.members.set_stopped(backend)
         for entry, name, address in entries:
             if entry.state is api.BackendState.READY:
-                self.members.listed(entry.backend, name, address)
+                self.members.set_ready(entry.backend, name, address)
             else:
-                self.members.stopped(entry.backend)
+                self.members.set_stopped(entry.backend)
         self.seq = seq
-        self.members.forget(self.host.clock.now() - FORGET_US)
+        self.members.forget(self.host.clock.now() - STOPPED_RETENTION_US)
         self._ids = {name: backend for name, backend in self._ids.items() if self.members.get(backend)}
-        kind = api.ListKind.CACHED if cached else api.ListKind.FULL if whole else api.ListKind.DELTA
-        self.host.tell(api.BackendList(kind, tuple(entry for entry, _, _ in entries)))
+        kind = api.ListKind.CACHED if cached else api.ListKind.FULL if full else api.ListKind.DELTA
+        self.host.post_event(api.BackendList(kind, tuple(entry for entry, _, _ in entries)))
 
     def _entry(self, row: dict[str, Any]) -> api.BackendEntry:
         return api.BackendEntry(
@@ -78,106 +82,106 @@
             started_us=int(row.get("born_ms", 0)) * 1000,
         )
 
-    def names(self) -> dict[str, int]:
+    def backend_ids(self) -> dict[str, int]:
         """The module's number of each member's name."""
         return dict(self._ids)
 
     def _id_of(self, name: str) -> int:
         if name not in self._ids:
-            self._ids[name] = next(self._numbers)
+            self._ids[name] = next(self._next_id)
         return self._ids[name]
 
-    def _dial(self, row: dict[str, Any]) -> Address:
+    def _address_of(self, row: dict[str, Any]) -> Address:
         if row["health"] == "Gone":
             return Address("", 0)  # nothing is sent there any more
         return Address.parse(row["dial"], "dial")
 
-    def move(self, discovery: Address) -> None:
+    def set_discovery(self, discovery: Address) -> None:
         """Discovery is elsewhere from now on: nothing that the old one still says is believed."""
-        self.discovery, self._anew = discovery, True
-        self._following.cancel()
+        self.discovery, self._needs_full_list = discovery, True
+        self._follow_scope.cancel()
 
     async def watch(self) -> None:
         """Follow the changes for ever."""
         while True:
-            with anyio.CancelScope() as self._following:
+            with anyio.CancelScope() as self._follow_scope:
                 await self._follow(self.discovery)
 
     async def _follow(self, discovery: Address) -> None:
         """A watch that ends is asked for anew, later each time in vain."""
-        wait_s, said = FIRST_WAIT_S, ""
+        wait_s, last_error = MIN_RETRY_S, ""
         while True:
             before = self.seq
             try:
-                if self._anew:
-                    await self._whole_list(discovery)
+                if self._needs_full_list:
+                    await self._fetch_list(discovery)
                 await self._watch_once(discovery)
-            except ExchangeError as ended:
-                if str(ended) != said:  # a discovery that is down for hours is said once
-                    log.warning("discovery ended", why=ended)
-                said = str(ended)
-            wait_s = FIRST_WAIT_S if self.seq != before else min(wait_s * 2, MOST_WAIT_S)
+            except ExchangeError as error:
+                if str(error) != last_error:  # a discovery that is down for hours is said once
+                    log.warning("discovery ended", why=error)
+                last_error = str(error)
+            wait_s = MIN_RETRY_S if self.seq != before else min(wait_s * 2, MAX_RETRY_S)
             await anyio.sleep(wait_s)
 
-    async def _whole_list(self, discovery: Address) -> None:
-        wire = await self._asked(discovery, "/v1/servers")
+    async def _fetch_list(self, discovery: Address) -> None:
+        connection = await self._send_request(discovery, "/v1/servers")
         try:
-            with anyio.fail_after(SILENT_S):
-                answer = await wire.read_response()
+            with anyio.fail_after(WATCH_TIMEOUT_S):
+                answer = await connection.read_response()
         except TimeoutError:
             raise ExchangeError(Ending.TIMED_OUT) from None
         finally:
-            await wire.close()
+            await connection.close()
         if answer.start != 200:
             raise ExchangeError(Ending.ERRORED, f"status {answer.start}")
         if discovery == self.discovery:
-            self._told(answer.body)
-            self._anew = False
+            self._apply_json(answer.body)
+            self._needs_full_list = False
 
-    async def _asked(self, discovery: Address, target: str) -> HttpConnection:
-        wire = HttpConnection(await dial(discovery, self.connect_us), h11.CLIENT)
+    async def _send_request(self, discovery: Address, target: str) -> HttpConnection:
+        connection = HttpConnection(await dial(discovery, self.connect_timeout_us), h11.CLIENT)
         try:
             request = h11.Request(method="GET", target=target, headers=[("Host", str(discovery))])
-            await wire.write(request, h11.EndOfMessage())
+            await connection.write(request, h11.EndOfMessage())
         except BaseException:
-            await wire.close()
+            await connection.close()
             raise
-        return wire
+        return connection
 
     async def _watch_once(self, discovery: Address) -> None:
-        wire = await self._asked(discovery, f"/v1/servers?watch=1&after={self.seq}")
+        connection = await self._send_request(discovery, f"/v1/servers?watch=1&after={self.seq}")
         try:
-            line = bytearray()
+            buffer = bytearray()
             while True:
-                with anyio.move_on_after(SILENT_S):
-                    event = await wire.next_event()
+                with anyio.move_on_after(WATCH_TIMEOUT_S):
+                    event = await connection.next_event()
                     if discovery != self.discovery:
                         return  # a line can cross the move
-                    self._event(event, line)
+                    self._handle_event(event, buffer)
                     if isinstance(event, h11.EndOfMessage):
                         return
                     continue
                 raise ExchangeError(Ending.TIMED_OUT)
         finally:
-            await wire.close()
+            await connection.close()
 
-    def _event(self, event: h11.Event, line: bytearray) -> None:
+    def _handle_event(self, event: h11.Event, buffer: bytearray) -> None:
         if isinstance(event, h11.Response) and event.status_code != 200:
             raise ExchangeError(Ending.ERRORED, f"status {event.status_code}")
         if not isinstance(event, h11.Data):
             return
-        line += event.data
-        if len(line) > MOST_LINE:
-            raise ExchangeError(Ending.MALFORMED, f"a line of over {MOST_LINE} bytes")
-        *whole, rest = bytes(line).split(b"\n")
-        line[:] = rest
-        for text in whole:
+        buffer += event.data
+        if len(buffer) > MAX_LINE_BYTES:
+            raise ExchangeError(Ending.MALFORMED, f"a line of over {MAX_LINE_BYTES} bytes")
+        *lines, rest = bytes(buffer).split(b"\n")
+        buffer[:] = rest
+        for text in lines:
             if text.strip():
-                self._told(text)
+                self._apply_json(text)
 
-    def _told(self, text: bytes) -> None:
+    def _apply_json(self, text: bytes) -> None:
         try:
-            told = json.loads(text)
-        except ValueError as wrong:
-            raise ExchangeError(Ending.MALFORMED, str(wrong)) from None
-        self.take(told)
+            message = json.loads(text)
+        except ValueError as error:
+            raise ExchangeError(Ending.MALFORMED, str(error)) from None
+        self.apply_list(message)
--- a/millfront/node/retune.py
+++ b/millfront/node/retune.py
@@ -17,71 +17,71 @@
 Entry = TypeVar("Entry")
 
 
-def placed(
-    table: Sequence[tuple[str, Entry]], told: Mapping[str, Entry]
+def merge_table(
+    table: Sequence[tuple[str, Entry]], new: Mapping[str, Entry]
 ) -> tuple[list[tuple[str, Entry]], dict[str, int]]:
     """The table with what is told, and where each name stands in it now."""
-    grown, places = list(table), {}
-    for pair in told.items():
-        if pair not in grown:
-            grown.append(pair)
-        places[pair[0]] = grown.index(pair)
-    return grown, places
+    entries, places = list(table), {}
+    for pair in new.items():
+        if pair not in entries:
+            entries.append(pair)
+        places[pair[0]] = entries.index(pair)
+    return entries, places
 
 
-def narrower(one: api.Allowed, other: api.Allowed) -> api.Allowed:
+def allowed_by_both(one: api.Allowed, other: api.Allowed) -> api.Allowed:
     """What both allow: numbers and yes or no alike."""
     return replace(one, **{f.name: min(getattr(one, f.name), getattr(other, f.name)) for f in fields(one)})
 
 
-class Tuning:
+class ActiveSettings:
     """The settings in force, as the module has them, and the names that clients may use."""
 
     def __init__(self, settings: api.Settings, names: NodeSettings) -> None:
         self.settings = settings
         self.classes, self.plans = dict(names.classes), dict(names.plans)
-        self._allowed = settings.allowed  # what holds once the overlap is over
+        self._next_allowed = settings.allowed  # what holds once the overlap is over
         self._class_table = list(zip(names.classes, settings.classes, strict=True))
         self._plan_table = list(zip(names.plans, settings.plans, strict=True))
         self.class_names, self.plan_names = list(names.classes), list(names.plans)  # by place
-        self._before: list[tuple[int, str, int]] = []  # until when, a class's name, its place
-        self._until_us = 0
+        self._old_names: list[tuple[int, str, int]] = []  # until when, a class's name, its place
+        self._overlap_ends_us = 0
 
-    def take(self, told: api.Settings, names: NodeSettings, now_us: int) -> api.Retuned:
+    def update(self, new: api.Settings, names: NodeSettings, now_us: int) -> api.Retuned:
         """New settings, already checked as a whole."""
         old_classes, old_plans = self.classes, self.plans
-        classes = dict(zip(names.classes, told.classes, strict=True))
-        self._class_table, self.classes = placed(self._class_table, classes)
-        plans = dict(zip(names.plans, told.plans, strict=True))
-        self._plan_table, self.plans = placed(self._plan_table, plans)
+        classes = dict(zip(names.classes, new.classes, strict=True))
+        self._class_table, self.classes = merge_table(self._class_table, classes)
+        plans = dict(zip(names.plans, new.plans, strict=True))
+        self._plan_table, self.plans = merge_table(self._plan_table, plans)
         self.class_names = [name for name, _ in self._class_table]
         self.plan_names = [name for name, _ in self._plan_table]
-        self._until_us = now_us + OVERLAP_US
-        self._before += [
-            (self._until_us, name, place)
+        self._overlap_ends_us = now_us + OVERLAP_US
+        self._old_names += [
+            (self._overlap_ends_us, name, place)
             for name, place in old_classes.items()
             if self.classes.get(name) != place
         ]
         self.settings = replace(
-            told,
+            new,
             classes=tuple(entry for _, entry in self._class_table),
             plans=tuple(entry for _, entry in self._plan_table),
-            allowed=narrower(self.settings.allowed, told.allowed),
+            allowed=allowed_by_both(self.settings.allowed, new.allowed),
         )
-        self._allowed = told.allowed
+        self._next_allowed = new.allowed
         moved = tuple((old, self.plans[name]) for name, old in old_plans.items() if name in self.plans)
         return api.Retuned(self.settings, tuple(pair for pair in moved if pair[0] != pair[1]))
 
-    def settle(self, now_us: int) -> api.Retuned:
+    def end_overlap(self, now_us: int) -> api.Retuned:
         """An overlap is over; after the last one, what the last settings allow holds."""
-        self._before = [entry for entry in self._before if entry[0] > now_us]
-        if now_us >= self._until_us:
-            self.settings = replace(self.settings, allowed=self._allowed)
+        self._old_names = [entry for entry in self._old_names if entry[0] > now_us]
+        if now_us >= self._overlap_ends_us:
+            self.settings = replace(self.settings, allowed=self._next_allowed)
         return api.Retuned(self.settings)
 
-    def forms(self) -> dict[str, tuple[int, ...]]:
+    def accepted_classes(self) -> dict[str, tuple[int, ...]]:
         """Each name that clients may use for a class, and its places: the one in force first."""
         forms: dict[str, tuple[int, ...]] = {name: (place,) for name, place in self.classes.items()}
-        for _, name, place in reversed(self._before):
+        for _, name, place in reversed(self._old_names):
             forms[name] = (*forms.get(name, ()), place)
         return forms
--- a/millfront/node/service.py
+++ b/millfront/node/service.py
@@ -18,27 +18,27 @@
 )
 from millfront.node.clients import VirtualServer
 from millfront.node.config import Address, Config, ConfigError
-from millfront.node.counter import Counter
+from millfront.node.counter import CounterClient
 from millfront.node.drain import Drain, Reason
 from millfront.node.endings import ExchangeError
 from millfront.node.handover import Handover
 from millfront.node.host import Clock, Host
 from millfront.node.members import Members
-from millfront.node.operators_line import OperatorsLine, Refused
+from millfront.node.operators_line import CommandRefused, OperatorsLine
 from millfront.node.parts import Parts
 from millfront.node.pool import Pool
-from millfront.node.retune import OVERLAP_US, Tuning
+from millfront.node.retune import OVERLAP_US, ActiveSettings
 from millfront.node.stages.admit import Admit
-from millfront.node.stages.book import Book
+from millfront.node.stages.book import OutcomeRecorder
 from millfront.node.stages.route import Route
 from millfront.node.stages.send import Send, ServerSideFlow
-from millfront.node.stages.take_in import TakeIn
+from millfront.node.stages.take_in import RequestParser
 
 log = Log(__name__)
 
-LAST_READ_S = 0.5
-AGAIN_S = 0.1  # before a task that failed is started anew
-LOOK_S = 0.02  # between two looks at who is still to be sent away
+FINAL_READ_TIMEOUT_S = 0.5
+TASK_RESTART_DELAY_S = 0.1  # before a task that failed is started anew
+DRAIN_CHECK_INTERVAL_S = 0.02  # between two looks at who is still to be sent away
 
 
 class Node:
@@ -47,22 +47,31 @@
         settings, node = config.settings, config.node
         self.clock = Clock()
         self.host = Host(settings, config.seed, self.clock)
-        self.members = Members(self.clock, node.connect_timeout_us, node.keepalive_us, config.most_flows)
+        self.members = Members(
+            self.clock, node.connect_timeout_us, node.keepalive_us, config.max_member_connections
+        )
         self.pool = Pool(self.host, self.members, node, config.discovery)
-        self.counter: Counter | None = None
-        self.tuning = Tuning(settings, node)
-        self.book = Book(self.host, node.max_units)
-        self.ways = BodySlots(
+        self.counter: CounterClient | None = None
+        self.active_settings = ActiveSettings(settings, node)
+        self.outcome_recorder = OutcomeRecorder(self.host, node.max_units)
+        self.body_slots = BodySlots(
             max(1, config.memory_mb * 1024 * 1024 // BODIES_MEMORY_DIVISOR // BODY_BUFFER_BYTES)
         )
-        self.send = Send(self.clock, self.members, Route(self.members), self.book, self.ways, self._begin)
-        self.admit = Admit(self.host, min(node.max_open, config.most_clients))
-        self.take_in = TakeIn(self.tuning, node.max_units)
+        self.send = Send(
+            self.clock,
+            self.members,
+            Route(self.members),
+            self.outcome_recorder,
+            self.body_slots,
+            self._begin_stream,
+        )
+        self.admit = Admit(self.host, min(node.max_open, config.max_clients))
+        self.request_parser = RequestParser(self.active_settings, node.max_units)
         self.server = VirtualServer(
-            self.clock, self.host, self.take_in, self.admit, self.ready, config.most_clients
+            self.clock, self.host, self.request_parser, self.admit, self.ready, config.max_clients
         )
         self.server.buffer_budget = BufferBudget(config.memory_mb * 1024 * 1024 // RESPONSES_MEMORY_DIVISOR)
-        self.fronts = [self.server]  # and what is switched on beside it
+        self.servers = [self.server]  # and what is switched on beside it
         self.parts = Parts()
         self.drain = Drain()
         self.operators_line = OperatorsLine(
@@ -72,7 +81,7 @@
         # What the settings in force are made into before the module has them: agreement's interim, where on.
         self.interim: Callable[[api.Settings], api.Settings] | None = None
         self._tasks: TaskGroup
-        self._sending_away = anyio.Event()
+        self._drain_started = anyio.Event()
 
     def ready(self) -> bool:
         """What the front is told: this gatekeeper is able to serve, and clients are wanted here."""
@@ -82,32 +91,32 @@
 
     def stop(self) -> None:
         """Send clients away and end. For good."""
-        self._send_away_for(Reason.END)
+        self._start_drain(Reason.END)
 
     def check(self) -> str:
         if self.drain.ending:
-            raise Refused("ends")
+            raise CommandRefused("ends")
         if self.server.address is None or not self.members.any_ready():
-            raise Refused("no pool member is known yet")
+            raise CommandRefused("no pool member is known yet")
         return "serves" if self.drain.accepts_clients else "serves; clients are sent away"
 
     def drain_on(self) -> str:
-        self._send_away_for(Reason.OPERATORS)
+        self._start_drain(Reason.OPERATORS)
         return "clients are sent away"
 
     def drain_off(self) -> str:
         if self.drain.ending:
-            raise Refused("ends")
+            raise CommandRefused("ends")
         if not self.drain.accepts_clients:
             self.drain.remove_reason(Reason.OPERATORS)
             log.info("drain off")
         return "clients are taken"
 
-    def _send_away_for(self, reason: Reason) -> None:
+    def _start_drain(self, reason: Reason) -> None:
         if reason not in self.drain.reasons:
             self.drain.add_reason(reason, self.clock.now())
             log.info("clients are sent away", why=reason.name)
-        self._sending_away.set()
+        self._drain_started.set()
 
     async def run(self, *, task_status: TaskStatus[Address] = anyio.TASK_STATUS_IGNORED) -> None:
         """Serve until stop() and everything taken is answered."""
@@ -116,168 +125,173 @@
             self._tasks = tasks
             self.host.start_flow = self.send
             self.host.close_idle = self._close_idle
-            self.host.start_count = self._no_counter
+            self.host.start_count = self._fail_count
             if config.counter is not None:
-                self._count_at(config.counter)
-            tasks.start_soon(self._kept_up, self.host.timers.run)
-            tasks.start_soon(self._kept_up, self.members.run)
+                self._use_counter(config.counter)
+            tasks.start_soon(self._supervise, self.host.timers.run)
+            tasks.start_soon(self._supervise, self.members.run)
             self.host.start()
             try:
-                self.pool.take(config.known, cached=True)
-            except ExchangeError as ended:
-                log.warning("the known list can't be used", why=ended)
+                self.pool.apply_list(config.initial_list, cached=True)
+            except ExchangeError as error:
+                log.warning("the known list can't be used", why=error)
             if (folder := config.folder) is not None:
-                self.handover = Handover(folder, config.name, self._told, self._alone)
-                self._succeed(await self.handover.ask())
-                tasks.start_soon(self._kept_up, self.handover.run)
-            tasks.start_soon(self._kept_up, self.pool.watch)
+                self.handover = Handover(folder, config.name, self._dump_state, self._on_peer_exit)
+                self._load_state(await self.handover.fetch_state())
+                tasks.start_soon(self._supervise, self.handover.run)
+            tasks.start_soon(self._supervise, self.pool.watch)
             if config.admin is not None:
-                self._open_line(config.admin)
-            await self.parts.start(lambda run: tasks.start_soon(self._kept_up, run))
+                self._open_operators_line(config.admin)
+            await self.parts.start(lambda run: tasks.start_soon(self._supervise, run))
             try:
                 address = await tasks.start(self.server.run, config.listen)
-            except OSError as wrong:
-                raise ConfigError(f"listen: {config.listen}: {wrong.strerror}") from None
+            except OSError as error:
+                raise ConfigError(f"listen: {config.listen}: {error.strerror}") from None
             log.info("serves", name=config.name, settings=config.version, address=address)
             task_status.started(address)
             try:
-                await self._send_away()
+                await self._run_drain()
                 await self._wind_down()
                 await self.parts.stop()
             finally:
                 self.operators_line.close()
             tasks.cancel_scope.cancel()
 
-    def _succeed(self, text: bytes | None) -> None:
+    def _load_state(self, text: bytes | None) -> None:
         """Begin with what a predecessor told, if that can be used."""
         if text is None:
             return
-        gateway, names = self.host.gateway, self.pool.names()
+        gateway, names = self.host.gateway, self.pool.backend_ids()
         try:
-            known = takeover.begin(gateway, text, self.tuning.plans, names, self.clock.now())
-        except takeover.Unusable as wrong:
-            log.warning("what the predecessor told can't be used: a plain start", why=wrong)
-            takeover.divide(gateway)  # it runs beside this one all the same
+            known = takeover.load_state(gateway, text, self.active_settings.plans, names, self.clock.now())
+        except takeover.InvalidState as error:
+            log.warning("what the predecessor told can't be used: a plain start", why=error)
+            takeover.halve_shares(gateway)  # it runs beside this one all the same
             return
         log.info("takes over", customers=known)
 
-    def _told(self) -> bytes:
+    def _dump_state(self) -> bytes:
         gateway = self.host.gateway
-        takeover.divide(gateway)
-        members = {number: name for name, number in self.pool.names().items()}
-        return takeover.told(gateway, self.tuning.plan_names, members)
+        takeover.halve_shares(gateway)
+        members = {number: name for name, number in self.pool.backend_ids().items()}
+        return takeover.dump_state(gateway, self.active_settings.plan_names, members)
 
-    def _alone(self) -> None:
+    def _on_peer_exit(self) -> None:
         if not self.drain.ending:  # an ending process leaves its half to the other
-            takeover.reunite(self.host.gateway)
+            takeover.restore_shares(self.host.gateway)
 
-    def _open_line(self, address: Address) -> None:
+    def _open_operators_line(self, address: Address) -> None:
         try:
             log.info("operators are answered", address=self.operators_line.listen(address))
-        except OSError as wrong:
-            raise ConfigError(f"admin_addr: {address}: {wrong.strerror}") from None
+        except OSError as error:
+            raise ConfigError(f"admin_addr: {address}: {error.strerror}") from None
 
-    def retune(self, told: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """A new configuration, checked as a whole: go over to it, and serve on meanwhile. Addresses to listen
         at and limits take effect at the next start."""
-        before, self.config = self.config, told
-        self.move(told.discovery, told.counter)
-        if (told.settings, told.node) == (before.settings, before.node):
+        previous, self.config = self.config, config
+        self.set_addresses(config.discovery, config.counter)
+        if (config.settings, config.node) == (previous.settings, previous.node):
             return
         log.info(
             "settings change",
-            settings=told.version,
-            before=before.version,
-            classes=",".join(told.node.classes),
-            plans=",".join(told.node.plans),
+            settings=config.version,
+            before=previous.version,
+            classes=",".join(config.node.classes),
+            plans=",".join(config.node.plans),
+        )
+        self._apply_settings(self.active_settings.update(config.settings, config.node, self.clock.now()))
+        self.host.timers.after(
+            OVERLAP_US, lambda: self._apply_settings(self.active_settings.end_overlap(self.clock.now()))
         )
-        self._tell(self.tuning.take(told.settings, told.node, self.clock.now()))
-        self.host.timers.after(OVERLAP_US, lambda: self._tell(self.tuning.settle(self.clock.now())))
 
-    def retell(self) -> None:
+    def resend_settings(self) -> None:
         """The settings in force told to the module again: what makes them into the interim has changed."""
-        self._tell(api.Retuned(self.tuning.settings))
+        self._apply_settings(api.Retuned(self.active_settings.settings))
 
-    def _tell(self, retuned: api.Retuned) -> None:
+    def _apply_settings(self, retuned: api.Retuned) -> None:
         """By the configuration in force: an overlap may end after another one has come."""
         if self.interim is not None:
             retuned = replace(retuned, settings=self.interim(retuned.settings))
-        told, node = self.config, self.config.node
-        self.take_in.take(self.tuning, node.max_units)
-        self.book.most_units = node.max_units
-        self.admit.most_open = min(node.max_open, told.most_clients)
-        self.members.retune(node.connect_timeout_us, node.keepalive_us)
+        config, node = self.config, self.config.node
+        self.request_parser.update(self.active_settings, node.max_units)
+        self.outcome_recorder.max_units = node.max_units
+        self.admit.max_open = min(node.max_open, config.max_clients)
+        self.members.set_timeouts(node.connect_timeout_us, node.keepalive_us)
         if self.counter is not None:
-            self.counter.wait_us = told.settings.counter_timeout_us
-        self.host.retune(retuned)
+            self.counter.timeout_us = config.settings.counter_timeout_us
+        self.host.apply_settings(retuned)
 
-    def move(self, discovery: Address, counter: Address | None) -> None:
+    def set_addresses(self, discovery: Address, counter: Address | None) -> None:
         if discovery != self.pool.discovery:
             log.info("discovery moves", before=self.pool.discovery, now=discovery)
-            self.pool.move(discovery)
+            self.pool.set_discovery(discovery)
         if self.counter is not None and counter is not None and counter != self.counter.address:
             log.info("the counter moves", before=self.counter.address, now=counter)
-            self._count_at(counter)
+            self._use_counter(counter)
 
-    def _count_at(self, address: Address) -> None:
+    def _use_counter(self, address: Address) -> None:
         wait_us = self.config.settings.counter_timeout_us
-        before, self.counter = (
+        previous, self.counter = (
             self.counter,
-            Counter(self.host, address, wait_us, self.config.node.connect_timeout_us),
+            CounterClient(self.host, address, wait_us, self.config.node.connect_timeout_us),
         )
         self.host.start_count = self.counter.call
-        if before is not None:
-            before.retire(self.counter)
-        self._tasks.start_soon(self._kept_up, self.counter.run)
+        if previous is not None:
+            previous.retire(self.counter)
+        self._tasks.start_soon(self._supervise, self.counter.run)
 
-    async def _kept_up(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
+    async def _supervise(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
         """Guards the task group: one task's fault must not end the others, nor itself for good."""
         while True:
             try:
                 return await task(*args)
             except Exception:
                 log.exception("a task failed and starts anew")
-            await anyio.sleep(AGAIN_S)
+            await anyio.sleep(TASK_RESTART_DELAY_S)
 
-    async def _send_away(self) -> None:
+    async def _run_drain(self) -> None:
         """Do what the drain says, until it ends with the gatekeeper and nobody new is brought."""
         while True:
             now = self.clock.now()
-            for front in self.fronts:
-                front.set_closing(self.drain.closes_after_response(now))
+            for server in self.servers:
+                server.set_closing(self.drain.closes_after_response(now))
                 if self.drain.closes_idle(now):
-                    front.close_idle()
+                    server.close_idle()
             if self.drain.stops_accepting(now):
                 return
             if self.drain.accepts_clients:
-                self._sending_away = anyio.Event()
-                await self._sending_away.wait()
-            await anyio.sleep(LOOK_S)
+                self._drain_started = anyio.Event()
+                await self._drain_started.wait()
+            await anyio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def _wind_down(self) -> None:
-        for front in self.fronts:
-            front.stop_accepting()
+        for server in self.servers:
+            server.stop_accepting()
         if self.handover is not None:
-            self.handover.leave()
-        while any(front.unanswered_count() for front in self.fronts):
-            for front in self.fronts:
-                front.close_idle()
-            await anyio.sleep(LOOK_S)
-        for front in self.fronts:
-            front.close_idle()
-        with anyio.move_on_after(LAST_READ_S):  # clients are still reading their last answers
-            while any(front.connection_count() for front in self.fronts):
+            self.handover.stop()
+        while any(server.unanswered_count() for server in self.servers):
+            for server in self.servers:
+                server.close_idle()
+            await anyio.sleep(DRAIN_CHECK_INTERVAL_S)
+        for server in self.servers:
+            server.close_idle()
+        with anyio.move_on_after(FINAL_READ_TIMEOUT_S):  # clients are still reading their last answers
+            while any(server.connection_count() for server in self.servers):
                 await anyio.sleep(0.02)
-        for what, endings in (("client connections", self.server.endings), ("flows", self.book.endings)):
-            said = ", ".join(f"{count} {ending.value}" for ending, count in endings.items())
-            log.info("endings", of=what, were=said or "none")
+        for what, endings in (
+            ("client connections", self.server.endings),
+            ("flows", self.outcome_recorder.endings),
+        ):
+            counts = ", ".join(f"{count} {ending.value}" for ending, count in endings.items())
+            log.info("endings", of=what, were=counts or "none")
 
-    def _begin(self, flow: ServerSideFlow) -> bool:
-        return self.host.begin(flow.opened, flow.number, flow.answer, flow)
+    def _begin_stream(self, flow: ServerSideFlow) -> bool:
+        return self.host.begin_stream(flow.open_request, flow.number, flow.answer, flow)
 
     def _close_idle(self, backend: int) -> None:
         if member := self.members.get(backend):
             self.members.close_idle(member)
 
-    def _no_counter(self, count: api.Count) -> None:
-        self.host.counted(api.CounterAnswered(count.name, api.Outcome.CONNECT_FAILED, 0.0))
+    def _fail_count(self, count: api.Count) -> None:
+        self.host.counter_answered(api.CounterAnswered(count.name, api.Outcome.CONNECT_FAILED, 0.0))
--- a/millfront/node/stages/book.py
+++ b/millfront/node/stages/book.py
@@ -1,4 +1,4 @@
-"""Book: an ended flow becomes the module's one event for it."""
+"""OutcomeRecorder: an ended flow becomes the module's one event for it."""
 
 from collections import Counter
 
@@ -8,22 +8,24 @@
 from millfront.node.stages.send import ServerSideFlow
 
 
-class Book:
-    def __init__(self, host: Host, most_units: float) -> None:
+class OutcomeRecorder:
+    def __init__(self, host: Host, max_units: float) -> None:
         self.host = host
-        self.most_units = most_units
+        self.max_units = max_units
         self.endings: Counter[Ending] = Counter()
 
     def __call__(self, flow: ServerSideFlow, ending: Ending, answer: Message | None) -> None:
         self.endings[ending] += 1
         # Of an answer that went on as it came, the first bytes are timed
-        latency_us = (flow.first_us if flow.streams else self.host.clock.now()) - flow.started_us
-        units = billed(answer, self.most_units) if answer is not None and ending is Ending.SERVED else 0.0
+        latency_us = (flow.first_byte_us if flow.streaming else self.host.clock.now()) - flow.started_us
+        units = (
+            billed_units(answer, self.max_units) if answer is not None and ending is Ending.SERVED else 0.0
+        )
         outcome = FLOW_OUTCOMES[ending]
         self.host.flow_ended(
-            flow.opened,
+            flow.open_request,
             flow.number,
-            flow.send,  # type: ignore[arg-type]
+            flow.target,  # type: ignore[arg-type]
             outcome,
             latency_us,
             answer,
@@ -31,11 +33,11 @@
         )
 
 
-def billed(answer: Message, most: float) -> float:
+def billed_units(answer: Message, max_units: float) -> float:
     """The true units, where the answer tells them; a figure that makes no sense counts as none: guards the
     customer's bucket, which one such figure could empty for good."""
     try:
         units = float(answer.field(b"billed-units") or 0.0)
     except ValueError:
         return 0.0
-    return units if 0 < units <= most else 0.0
+    return units if 0 < units <= max_units else 0.0
--- a/millfront/node/stages/relay.py
+++ b/millfront/node/stages/relay.py
@@ -11,13 +11,13 @@
 def rejected(retry_after_us: int) -> Message:
     """A reject: trying again is harmless."""
     fields: Fields = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
-    return own(503, b"refused: try again later\n", fields)
+    return own_response(503, b"refused: try again later\n", fields)
 
 
 def failed() -> Message:
-    return own(502, b"failed\n")
+    return own_response(502, b"failed\n")
 
 
-def own(status: int, text: bytes, more: Fields | None = None) -> Message:
+def own_response(status: int, text: bytes, more: Fields | None = None) -> Message:
     fields = [(b"Content-Type", b"text/plain"), *(more or [])]
     return Message(status, fields, fields, text)
--- a/millfront/node/stages/take_in.py
+++ b/millfront/node/stages/take_in.py
@@ -8,10 +8,10 @@
 from millfront import interface as api
 from millfront.node.host import Arrival
 from millfront.node.http import Message
-from millfront.node.retune import Tuning
+from millfront.node.retune import ActiveSettings
 
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-MOST_CUSTOMER = 1 << 33
+CUSTOMER_LIMIT = 1 << 33
 REQUEST_ID = re.compile(rb"[0-9a-fA-F]{1,16}")
 TIMEOUT = re.compile(rb"([0-9]{1,10}(?:\.[0-9]{1,20})?)([mu])")
 QUOTA = re.compile(rb"\s*(?:(units)=([0-9]{1,6}(?:\.[0-9]{1,20})?)|(spread|first)=([0-9]{1,6}))\s*")
@@ -19,7 +19,7 @@
 MICROSECONDS = {b"m": 1000, b"u": 1}
 
 
-class Live(Protocol):
+class LivePlan(Protocol):
     """What a plan book says of a customer."""
 
     @property
@@ -32,67 +32,67 @@
     def reserves(self) -> bool: ...
 
 
-class NotTaken(Exception):
+class RequestRejected(Exception):
     """A reject before any decision: the request is not what the protocol allows."""
 
-    def __init__(self, status: int, why: str, after_s: float = 0.0) -> None:
+    def __init__(self, status: int, why: str, retry_after_s: float = 0.0) -> None:
         """:param after_s: when the client may come again, in seconds; 0: it is told nothing"""
         super().__init__(why)
         self.status = status
-        self.fields = [(b"Retry-After", b"%.3f" % after_s)] if after_s > 0 else []
+        self.fields = [(b"Retry-After", b"%.3f" % retry_after_s)] if retry_after_s > 0 else []
 
 
-class TakeIn:
-    def __init__(self, tuning: Tuning, most_units: float) -> None:
-        self.take(tuning, most_units)
+class RequestParser:
+    def __init__(self, active_settings: ActiveSettings, max_units: float) -> None:
+        self.update(active_settings, max_units)
         # Live plans: (customer, the request's plan, Unix time in µs) to what holds instead; None where silent
-        self.live: Callable[[int, str, int], Live | None] | None = None
+        self.live_plan: Callable[[int, str, int], LivePlan | None] | None = None
 
-    def take(self, tuning: Tuning, most_units: float) -> None:
+    def update(self, active_settings: ActiveSettings, max_units: float) -> None:
         """Go by these from now on. Names are looked up as they come on the wire."""
-        self.settings, self.most_units = tuning.settings, most_units
-        self.classes = {name.encode(): places for name, places in tuning.forms().items()}
-        self.plans = {name.encode(): place for name, place in tuning.plans.items()}
+        self.settings, self.max_units = active_settings.settings, max_units
+        self.classes = {name.encode(): places for name, places in active_settings.accepted_classes().items()}
+        self.plans = {name.encode(): place for name, place in active_settings.plans.items()}
 
-    def __call__(self, message: Message, came_us: int) -> Arrival:
+    def __call__(self, message: Message, arrived_us: int) -> Arrival:
         assert isinstance(message.start, tuple)
         method, target = message.start
         parts = target.partition(b"?")[0].split(b"/")
         if len(parts) < 3 or parts[0] or parts[1] not in self.classes:
-            raise NotTaken(404, "no such class")
-        if not CUSTOMER.fullmatch(parts[-1]) or (customer := int(parts[-1], 16)) >= MOST_CUSTOMER:
-            raise NotTaken(404, "no such customer")
+            raise RequestRejected(404, "no such class")
+        if not CUSTOMER.fullmatch(parts[-1]) or (customer := int(parts[-1], 16)) >= CUSTOMER_LIMIT:
+            raise RequestRejected(404, "no such customer")
         fields = dict(reversed(message.fields))  # of several of a name the first counts
         cls = self._class_of(self.classes[parts[1]], method, fields)
-        named = fields.get(b"plan", b"")
-        plan, live = self.plans.get(named), None
-        if self.live is not None:
-            live = self.live(customer, named.decode("latin-1"), came_us)
-        terms = live.plan if live is not None else None
+        plan_name = fields.get(b"plan", b"")
+        plan, live_plan = self.plans.get(plan_name), None
+        if self.live_plan is not None:
+            live_plan = self.live_plan(customer, plan_name.decode("latin-1"), arrived_us)
+        terms = live_plan.plan if live_plan is not None else None
         if plan is None:
             if terms is None:
-                raise NotTaken(400, "Plan: unknown")
+                raise RequestRejected(400, "Plan: unknown")
             plan = 0  # the book wins over whatever the request says
-        name = fields.get(b"request-id", b"")
-        if not REQUEST_ID.fullmatch(name):
-            raise NotTaken(400, "Request-Id: not 64 bits in hex")
+        request_id = fields.get(b"request-id", b"")
+        if not REQUEST_ID.fullmatch(request_id):
+            raise RequestRejected(400, "Request-Id: not 64 bits in hex")
         timeout = TIMEOUT.fullmatch(fields.get(b"request-timeout", b""))
         if timeout is None:
-            raise NotTaken(400, "Request-Timeout: not a number and m or u")
+            raise RequestRejected(400, "Request-Timeout: not a number and m or u")
         if not float(timeout[1]) > 0:
-            raise NotTaken(400, "Request-Timeout: no time at all")
+            raise RequestRejected(400, "Request-Timeout: no time at all")
         units, spread, first = self._quota(fields.get(b"quota-info", b""))
         timeout_us = min(
             int(float(timeout[1]) * MICROSECONDS[timeout[2]]), self.settings.classes[cls].deadline_us
         )
         arrival = Arrival(
-            cls, plan, customer, units, spread, first, came_us, timeout_us, name.lower(), message
+            cls, plan, customer, units, spread, first, arrived_us, timeout_us, request_id.lower(), message
         )
-        if live is None:
+        if live_plan is None:
             return arrival
-        version = live.version if terms is not None else 0
+        version = live_plan.version if terms is not None else 0
         return replace(
-            arrival, plan_name=live.name, plan_version=version, terms=terms, reserves=live.reserves
+            arrival, plan_name=live_plan.name, plan_version=version, terms=terms, reserves=live_plan.reserves
         )
 
     def _class_of(self, places: tuple[int, ...], method: bytes, fields: dict[bytes, bytes]) -> int:
@@ -105,10 +105,10 @@
         cls = places[0]
         repeat = self.settings.classes[cls].repeat
         if method != METHODS[repeat]:
-            raise NotTaken(405, "not this class's method")
+            raise RequestRejected(405, "not this class's method")
         if repeat is api.Repeat.KEYED and not keyed:
             # sent on without its key, a repeat of it would run twice
-            raise NotTaken(400, "Idempotency-Key: missing")
+            raise RequestRejected(400, "Idempotency-Key: missing")
         return cls
 
     def _quota(self, text: bytes) -> tuple[float, int, int]:
@@ -118,11 +118,11 @@
             if pair := QUOTA.fullmatch(part):
                 values[pair[1] or pair[3]] = pair[2] or pair[4]
         if len(parts) != 3 or len(values) != 3:
-            raise NotTaken(400, "Quota-Info: needs units, spread and first")
+            raise RequestRejected(400, "Quota-Info: needs units, spread and first")
         units, spread, first = float(values[b"units"]), int(values[b"spread"]), int(values[b"first"])
         # Out of range, one request would spend what the customer's others are owed
-        if not 0 < units <= self.most_units:
-            raise NotTaken(400, "Quota-Info: units out of range")
+        if not 0 < units <= self.max_units:
+            raise RequestRejected(400, "Quota-Info: units out of range")
         if not 1 <= spread <= self.settings.peers or first >= self.settings.peers:
-            raise NotTaken(400, "Quota-Info: no such set of gatekeepers")
+            raise RequestRejected(400, "Quota-Info: no such set of gatekeepers")
         return units, spread, first
--- a/millfront/operators/admin.py
+++ b/millfront/operators/admin.py
@@ -148,7 +148,7 @@
             return said(500, {"error": "it failed; the log says why"})
 
     async def _status(self, call: Message) -> Reply:
-        told: dict[str, object] = {"name": self.node.config.name, "open": len(self.node.host.open)}
+        told: dict[str, object] = {"name": self.node.config.name, "open": len(self.node.host.open_requests)}
         return said(200, told | {part: status() for part, status in self._says.items()})
 
 
--- a/millfront/plans/part.py
+++ b/millfront/plans/part.py
@@ -42,15 +42,15 @@
 
     @property
     def settings_plans(self) -> dict[str, api.Plan]:
-        tuning = self.node.tuning
+        tuning = self.node.active_settings
         return {name: tuning.settings.plans[place] for name, place in tuning.plans.items()}
 
     # ---- as a part ---------------------------------------------------------------------------
 
     async def start(self) -> None:
         """A book that can't be used does not keep a gatekeeper from starting: the last sound one holds."""
-        self.node.take_in.live = self._terms
-        self.node.host.live_plans(self, carry)
+        self.node.request_parser.live_plan = self._terms
+        self.node.host.enable_live_plans(self, carry)
         await self._follow()
         if self.compiled is None and (last := self.store.last_good()) is not None:
             log.warning("the last sound plan book holds", version=last.version)
@@ -144,12 +144,12 @@
 
     # ---- reservations ------------------------------------------------------------------------
 
-    def short(self, short: api.Short) -> None:
+    def on_short(self, short: api.Short) -> None:
         now = self.node.clock.now()
         asks = self.leases.short(now, short.customer, short.units, short.held, short.gateways)
         self._carry_out(asks)
 
-    def answered(self, answer: api.CounterAnswered) -> bool:
+    def handle_answer(self, answer: api.CounterAnswered) -> bool:
         now = self.node.clock.now()
         asks = self.leases.answered(now, answer.name, answer.outcome, answer.total)
         self._carry_out(asks or [])
@@ -163,7 +163,7 @@
     def _carry_out(self, asks: list[Ask]) -> None:
         for ask in asks:
             if isinstance(ask, Leased):
-                self.node.host.tell(api.UnitsLeased(ask.customer, ask.units))
+                self.node.host.post_event(api.UnitsLeased(ask.customer, ask.units))
             else:
                 self.node.host.start_count(ask)
 
--- a/millfront/takeover.py
+++ b/millfront/takeover.py
@@ -16,11 +16,11 @@
 from millfront.interface import stable_hash
 
 VERSION = 1
-MOST_CUSTOMERS = 20_000  # the last seen: bounds the text to some 5 MB
+MAX_CUSTOMERS = 20_000  # the last seen: bounds the text to some 5 MB
 HALVED = ("bucket", "ceiling", "share", "mean_open")
-KEPT = ("refill_rate", "global_bucket", "global_ceiling", "price", "others_rate")
-TOLD = ("epoch", "sent_total", "demand_total")  # of the counter's totals
-LEARNED = (
+COPIED = ("refill_rate", "global_bucket", "global_ceiling", "price", "others_rate")
+COUNTER_TOTALS = ("epoch", "sent_total", "demand_total")  # of the counter's totals
+BACKEND_FIELDS = (
     "slowness",
     "error_rate",
     "ejected_until_us",
@@ -31,11 +31,11 @@
 )
 
 
-class Unusable(Exception):
+class InvalidState(Exception):
     """What was told can't be begun with; nothing of it is taken."""
 
 
-def divide(gateway: Gateway) -> None:
+def halve_shares(gateway: Gateway) -> None:
     """Another process of this gatekeeper has come up."""
     gateway.processes = 2
     for customer in gateway.customers.values():
@@ -45,7 +45,7 @@
         customer.refill_rate /= 2
 
 
-def reunite(gateway: Gateway) -> None:
+def restore_shares(gateway: Gateway) -> None:
     """It has ended."""
     if gateway.processes == 1:
         return
@@ -55,23 +55,23 @@
         customer.share = min(1.0, customer.share * 2)
 
 
-def told(gateway: Gateway, plans: list[str], members: Mapping[int, str]) -> bytes:
+def dump_state(gateway: Gateway, plans: list[str], members: Mapping[int, str]) -> bytes:
     """What a successor begins with, after divide().
 
     :param plans: names by place
     :param members: names by the module's number
     """
-    known = [c for c in gateway.customers.values() if c.live_plan_state is None]
-    known.sort(key=lambda c: -c.active_us)
+    recent = [c for c in gateway.customers.values() if c.live_plan_state is None]
+    recent.sort(key=lambda c: -c.active_us)
     places = {id(plan): place for place, plan in enumerate(gateway.settings.plans)}
     customers = [
         [c.key, plans[places[id(c.plan)]], c.gateways, c.refilled_us, c.active_us, c.total_read_us]
-        + [getattr(c, name) for name in (*HALVED, *KEPT, *TOLD)]
-        for c in known[:MOST_CUSTOMERS]
+        + [getattr(c, name) for name in (*HALVED, *COPIED, *COUNTER_TOTALS)]
+        for c in recent[:MAX_CUSTOMERS]
         if id(c.plan) in places
     ]
     backends = {
-        members[b.id]: [getattr(b, name) for name in LEARNED]
+        members[b.id]: [getattr(b, name) for name in BACKEND_FIELDS]
         for b in gateway.backends.values()
         if b.id in members
     }
@@ -79,36 +79,47 @@
     return json.dumps(state | {"window": gateway.window}).encode()
 
 
-def begin(
+def load_state(
     gateway: Gateway, text: bytes, plans: Mapping[str, int], members: Mapping[str, int], now: int
 ) -> int:
     """Begin with what a predecessor told; returns the number of customers.
 
-    :raises Unusable: it is cut, of another version, or holds what can't be: a plain start is owed
+    :raises InvalidState: it is cut, of another version, or holds what can't be: a plain start is owed
     """
     try:
         state = json.loads(text)
         if state["version"] != VERSION:
-            raise Unusable(f"version {state['version']!r}")
-        found = [_customer(gateway, row, plans, now) for row in state["customers"][:MOST_CUSTOMERS]]
-        learned = {
-            members[name]: _numbers(row, LEARNED) for name, row in state["members"].items() if name in members
+            raise InvalidState(f"version {state['version']!r}")
+        customers = [_load_customer(gateway, row, plans, now) for row in state["customers"][:MAX_CUSTOMERS]]
+        backend_values = {
+            members[name]: _check_numbers(row, BACKEND_FIELDS)
+            for name, row in state["members"].items()
+            if name in members
         }
-        window, rate = (_numbers([state[name]], (name,))[name] for name in ("window", "call_rate"))
-    except (ValueError, KeyError, TypeError, AttributeError, IndexError) as wrong:
-        raise Unusable(repr(wrong)) from None
+        window, rate = (_check_numbers([state[name]], (name,))[name] for name in ("window", "call_rate"))
+    except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
+        raise InvalidState(repr(error)) from None
     gateway.processes = 2
-    gateway.customers = {customer.key: customer for customer in found if customer is not None}
+    gateway.customers = {customer.key: customer for customer in customers if customer is not None}
     gateway.window, gateway.call_rate = window, rate
-    for number, values in learned.items():
+    for number, values in backend_values.items():
         if (backend := gateway.backends.get(number)) is not None:
-            _learn(backend, values)
+            _update_backend(backend, values)
     return len(gateway.customers)
 
 
-def _customer(gateway: Gateway, row: list[Any], plans: Mapping[str, int], now: int) -> Customer | None:
-    names = ("key", "gateways", "refilled_us", "active_us", "total_read_us", *HALVED, *KEPT, *TOLD)
-    values = _numbers([row[0], *row[2:]], names)
+def _load_customer(gateway: Gateway, row: list[Any], plans: Mapping[str, int], now: int) -> Customer | None:
+    names = (
+        "key",
+        "gateways",
+        "refilled_us",
+        "active_us",
+        "total_read_us",
+        *HALVED,
+        *COPIED,
+        *COUNTER_TOTALS,
+    )
+    values = _check_numbers([row[0], *row[2:]], names)
     if row[1] not in plans:
         return None
     for name in ("refilled_us", "active_us", "total_read_us"):
@@ -117,7 +128,7 @@
     return Customer(plan=gateway.settings.plans[plans[row[1]]], next_call_us=next_call_us, **values)
 
 
-def _learn(backend: Backend, values: dict[str, Any]) -> None:
+def _update_backend(backend: Backend, values: dict[str, Any]) -> None:
     if values["started_us"] < backend.started_us:
         return  # it has started anew since
     for name, value in values.items():
@@ -125,9 +136,9 @@
     backend.credit = 0.0  # what may go to a cold member now is the other's
 
 
-def _numbers(row: list[Any], names: tuple[str, ...]) -> dict[str, Any]:
+def _check_numbers(row: list[Any], names: tuple[str, ...]) -> dict[str, Any]:
     values = dict(zip(names, row, strict=True))
     for name, value in values.items():
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-            raise Unusable(f"{name}: {value!r}")
+            raise InvalidState(f"{name}: {value!r}")
     return values
--- a/millfront/usage/part.py
+++ b/millfront/usage/part.py
@@ -56,7 +56,7 @@
 
     async def start(self) -> None:
         """A ledger that can't be opened keeps no gatekeeper from serving: its tries are counted meanwhile."""
-        self.node.host.tally = self
+        self.node.host.usage_recorder = self
         self._open()
 
     def _open(self) -> None:
@@ -128,31 +128,31 @@
 
     # ---- what the host tells -----------------------------------------------------------------
 
-    def sending(self, opened: OpenRequest, standing: api.Standing) -> None:
+    def request_sent(self, opened: OpenRequest, standing: api.Standing) -> None:
         """Written down before the try goes out: a fault here must never reach the request."""
         try:
             arrival = opened.arrival
             entry = Opened(
                 self.node.clock.now(),
-                arrival.name.decode("latin-1"),
+                arrival.request_id.decode("latin-1"),
                 arrival.customer,
-                arrival.plan_name or self.node.tuning.plan_names[arrival.plan],
+                arrival.plan_name or self.node.active_settings.plan_names[arrival.plan],
                 arrival.plan_version,
-                self.node.tuning.class_names[arrival.cls],
+                self.node.active_settings.class_names[arrival.cls],
                 STANDINGS[standing],
                 arrival.units,
             )
-            opened.tallied = Mark(self.ledger.opened(entry), entry)
+            opened.usage_mark = Mark(self.ledger.opened(entry), entry)
         except Exception:
             log.exception("a try could not be recorded")
 
-    def settled(self, opened: OpenRequest) -> None:
-        mark: Mark = opened.tallied
+    def request_settled(self, opened: OpenRequest) -> None:
+        mark: Mark = opened.usage_mark
         try:
-            if not opened.ran:
+            if not opened.may_have_run:
                 self.ledger.settled(mark.seq, mark.entry, Result.NEVER, 0.0)
-            elif opened.units > 0.0:
-                self.ledger.settled(mark.seq, mark.entry, Result.TOLD, opened.units)
+            elif opened.true_units > 0.0:
+                self.ledger.settled(mark.seq, mark.entry, Result.TOLD, opened.true_units)
             else:
                 self.ledger.settled(mark.seq, mark.entry, Result.GUESSED, mark.entry.guess)
         except Exception:
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -13,7 +13,7 @@
 from millfront.agreement.part import Agreeing
 from millfront.agreement.register import Agreement, Heard, Mode, bucket_of, names
 from millfront.node.config import from_json
-from millfront.node.retune import Tuning
+from millfront.node.retune import ActiveSettings
 from millfront.operators import document
 from tests.peers import configuration
 from tests.peers import settings as peer_settings
@@ -144,20 +144,20 @@
 
 
 class Node:
-    """What the agreement part sees of a node: its configuration, its tuning, and the module told again."""
+    """What the agreement part sees of a node: configuration, active settings, and the module told again."""
 
     def __init__(self, told: dict[str, Any]) -> None:
         self.config = from_json(configuration([], "127.0.0.1:1", told))
-        self.tuning = Tuning(self.config.settings, self.config.node)
+        self.active_settings = ActiveSettings(self.config.settings, self.config.node)
         self.interim: Any = None
         self.told: list[api.Settings] = []
 
-    def retell(self) -> None:
-        self.told.append(self.interim(self.tuning.settings))
+    def resend_settings(self) -> None:
+        self.told.append(self.interim(self.active_settings.settings))
 
     def sighup(self, told: dict[str, Any], part: Agreeing) -> None:
         self.config = from_json(configuration([], "127.0.0.1:1", told))
-        self.tuning.take(self.config.settings, self.config.node, 0)
+        self.active_settings.update(self.config.settings, self.config.node, 0)
         part.reload()
 
 
@@ -173,13 +173,16 @@
     after["Packages"] = [plan | {"Refill": plan["Refill"] * 2} for plan in after["Packages"]]
     node = Node(before)
     part = Agreeing(node, document.Agreement())  # type: ignore[arg-type]
-    assert node.interim is not None and node.interim(node.tuning.settings) is node.tuning.settings
+    assert (
+        node.interim is not None
+        and node.interim(node.active_settings.settings) is node.active_settings.settings
+    )
     node.sighup(after, part)
     told = node.told[-1]
-    fetch, save = node.tuning.classes["page-fetch"], node.tuning.classes["page-save"]
+    fetch, save = node.active_settings.classes["page-fetch"], node.active_settings.classes["page-save"]
     assert told.classes[fetch].repeat is api.Repeat.UNSAFE and told.classes[save].repeat is api.Repeat.SAFE
     assert told.allowed.max_attempts == 2
-    casual = node.tuning.plans["casual"]
+    casual = node.active_settings.plans["casual"]
     assert told.plans[casual].rate == node.config.settings.plans[0].rate / 2  # the old, tighter one
     part.view.mode = Mode.AGREED
     part._say()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -74,7 +74,7 @@
                 got = (await read_chunked(client))[1]
         assert got == LONG
         assert status(await on.ask(request(), client)) == 200
-        assert on.node.ways.in_use == 0 and not on.node.host.open
+        assert on.node.body_slots.in_use == 0 and not on.node.host.open_requests
     assert member.connections == (2 if form == 2 else 1)
 
 
@@ -104,7 +104,7 @@
         slow.extra(SocketAttribute.raw_socket).setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 262_144)
         await slow.send(request())
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while not on.node.ways.in_use:
+            while not on.node.body_slots.in_use:
                 await anyio.sleep(0.01)
             before = -1
             while before != sent:  # it stands still: the kernel's buffers are full
@@ -123,7 +123,7 @@
             assert status(await on.ask(request())) == 200
         await slow.aclose()
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while on.node.ways.in_use or on.node.host.open:
+            while on.node.body_slots.in_use or on.node.host.open_requests:
                 await anyio.sleep(0.01)
         assert on.node.server.buffer_budget.held == 0
 
@@ -137,7 +137,7 @@
         await slow.send(request())
         with anyio.fail_after(TEST_TIMEOUT_S):
             await member.wait_until(lambda peer: len(peer.seen) == 1)
-            while on.node.host.open or not on.node.members._idle:
+            while on.node.host.open_requests or not on.node.members._idle:
                 await anyio.sleep(0.01)
             on.node.stop()
             got = await slow.receive()
@@ -162,7 +162,7 @@
                     got += await client.receive()
         assert status(got) == 200 and len(got) < 200_000
         assert len(one.seen) + len(other.seen) == 1
-        assert on.node.ways.in_use == 0 and not on.node.host.open
+        assert on.node.body_slots.in_use == 0 and not on.node.host.open_requests
 
 
 async def test_an_answer_without_a_length_is_not_held_back() -> None:
@@ -243,7 +243,7 @@
         with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await read_message(client)) == 408
             await member.wait_until(lambda peer: peer.closed == 1)
-        assert not on.node.host.open
+        assert not on.node.host.open_requests
         assert status(await on.ask(request())) == 200
 
 
@@ -304,8 +304,8 @@
     flow = ServerSideFlow(send_stage, opened, 0, api.Send(1, 1, 0), 0)
     flow.connection = broken
     under_way.attach(broken)
-    flow.broken(ExchangeError(Ending.CONNECT_FAILED, retryable=True))
-    send_stage.attempt.assert_called_once_with(flow)
+    flow.on_broken(ExchangeError(Ending.CONNECT_FAILED, retryable=True))
+    send_stage.start_attempt.assert_called_once_with(flow)
     assert under_way.put(b"more", False) is False  # held, and its client not read on
     under_way.attach(again)
     again.write_body.assert_called_once_with(b"more", False)
@@ -315,11 +315,11 @@
 async def test_an_answer_under_way_is_not_ended_by_another_attempt_s() -> None:
     """Where attempts may not be withdrawn, a second one ends well while the first one's answer goes on."""
     host, send = MagicMock(), api.Send(1, 1, 0)
-    opened = MagicMock(streams=0, units=0.0)
+    opened = MagicMock(streaming_flow=0, true_units=0.0)
     for number, served in ((1, False), (0, True)):
         Host.flow_ended(host, opened, number, send, api.Outcome.OK, 1, MagicMock())
         assert opened.caller.served.called is served
-    opened.caller.cut.assert_not_called()
+    opened.caller.abort_response.assert_not_called()
 
 
 async def test_ways_are_taken_in_turn_and_given_back() -> None:
--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -26,7 +26,7 @@
 from millfront.node.endings import Ending
 from millfront.node.http import Message
 from millfront.node.link import Link
-from millfront.node.members import MemberConnection, Wear
+from millfront.node.members import IdleReuseStats, MemberConnection
 from millfront.node.stages import send
 from millfront.register import reconfiguration
 from tests import test_gatekeeper_calls as calls
@@ -286,9 +286,9 @@
     for name in ("BOOTSTRAP_MIN_S", "BOOTSTRAP_SETTLE_S"):
         monkeypatch.setattr(reconfiguration, name, 0.0)
     monkeypatch.setattr(load_balancer, "REST_S", 0.0)
-    monkeypatch.setattr(send, "LOOK_S", 0.05)
-    monkeypatch.setattr(send, "STALL_US", 100_000)
-    monkeypatch.setattr(send, "BEGIN_S", 0.01)
+    monkeypatch.setattr(send, "STALL_CHECK_INTERVAL_S", 0.05)
+    monkeypatch.setattr(send, "BODY_STALL_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(send, "PARTIAL_DELIVERY_S", 0.01)
 
 
 class Pays:
@@ -301,7 +301,7 @@
 
 def prepared(made: History, monkeypatch: pytest.MonkeyPatch) -> Proxy:
     proxy = made.service.proxy
-    proxy.send.rest_s, proxy.server.request_read_timeout_us = 0.1, 100_000
+    proxy.send.completion_timeout_s, proxy.server.request_read_timeout_us = 0.1, 100_000
     monkeypatch.setattr(proxy, "retry_budget", lambda _: Pays())
     for word in ("failed", "misdirected"):  # servers stay in, whatever they do
         monkeypatch.setattr(proxy.load_balancer, word, lambda *_: None)
@@ -344,7 +344,7 @@
 def rested(proxy: Proxy) -> None:
     """Servers that are well thought of again."""
     proxy.load_balancer.work["shop"] = 0.004
-    proxy.members.wear = Wear()
+    proxy.members.idle_reuse = IdleReuseStats()
     for seen in proxy.load_balancer.seen.values():
         seen.fails, seen.state, seen.rests_until, seen.slowness, seen.slots = 0, State.SOUND, 0.0, 1.0, 50
         seen.server.cold_until = 0.0
@@ -417,13 +417,13 @@
 
 def sent_again(patch: pytest.MonkeyPatch) -> None:
     """Another connection is tried though bytes of the request were with the kernel."""
-    whole = send.ServerSideFlow.broken
+    whole = send.ServerSideFlow.on_broken
 
     def broken(self: send.ServerSideFlow, ended: Any) -> None:
         ended.partially_sent = False
         whole(self, ended)
 
-    patch.setattr(send.ServerSideFlow, "broken", broken)
+    patch.setattr(send.ServerSideFlow, "on_broken", broken)
 
 
 def run_again(patch: pytest.MonkeyPatch) -> None:
@@ -435,7 +435,7 @@
     whole = Proxy.judge
 
     def judge(self: Proxy, flow: Any, answer: Message) -> Ending:
-        fields = [(b"millfront-attempt-id", flow.opened.attempt)]
+        fields = [(b"millfront-attempt-id", flow.open_request.attempt)]
         fields += [(name, value) for name, value in answer.fields if name != b"millfront-attempt-id"]
         return whole(self, flow, Message(answer.start, fields, answer.raw_fields, answer.body))
 
@@ -454,7 +454,7 @@
     whole = Proxy._copy
 
     def copy(self: Proxy, request: ClientRequest) -> None:
-        if request.arrival.message.upload is not None and not request.over and request.progress.out == 1:
+        if request.arrival.message.upload is not None and not request.finished and request.progress.out == 1:
             request.timer = None
             self.go(request)
         else:
@@ -468,8 +468,8 @@
     whole = Proxy.book
 
     def book(self: Proxy, flow: Any, ending: Ending, answer: Message | None) -> None:
-        if ending is Ending.SERVED and flow.opened.streams >= 0:
-            flow.opened.streams = flow.number
+        if ending is Ending.SERVED and flow.open_request.streams >= 0:
+            flow.open_request.streams = flow.number
         whole(self, flow, ending, answer)
 
     patch.setattr(Proxy, "book", book)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from millfront.logs import Seldom
+from millfront.logs import RateLimitFilter
 from millfront.node.config import from_json
 from tests.peers import configuration, row, settings
 
@@ -78,7 +78,7 @@
         record.created = at
         return seldom.filter(record)
 
-    seldom = Seldom()
+    seldom = RateLimitFilter()
     seen = [passes("cut: %s", logging.WARNING, at) for at in (10.0, 10.5, 10.9, 11.0, 11.5)]
     assert seen == [True, False, False, True, False]
     assert passes("other: %s", logging.WARNING, 11.5) and passes("cut: %s", logging.INFO, 11.5)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -11,7 +11,7 @@
 from millfront import interface as api
 from millfront.interface import Outcome
 from millfront.node.config import Address
-from millfront.node.counter import Counter
+from millfront.node.counter import CounterClient
 from millfront.node.host import Clock, Timers
 from tests.peers import TEST_TIMEOUT_S, CounterPeer, Step, breaks, listening, says, silent
 
@@ -33,7 +33,7 @@
         self.answers: list[tuple[int, Outcome, float]] = []
         self.changed = anyio.Event()
 
-    def counted(self, event: api.CounterAnswered) -> None:
+    def counter_answered(self, event: api.CounterAnswered) -> None:
         self.answers.append((event.name, event.outcome, event.total))
         self.changed.set()
         self.changed = anyio.Event()
@@ -45,10 +45,10 @@
 
 
 @asynccontextmanager
-async def calling(desk: CounterPeer, address: str = "") -> AsyncIterator[tuple[Heard, Counter]]:
+async def calling(desk: CounterPeer, address: str = "") -> AsyncIterator[tuple[Heard, CounterClient]]:
     async with listening(desk):
         heard = Heard()
-        counter = Counter(heard, Address.parse(address or desk.address, "counter"), WAIT_US, 250_000)  # type: ignore[arg-type]
+        counter = CounterClient(heard, Address.parse(address or desk.address, "counter"), WAIT_US, 250_000)  # type: ignore[arg-type]
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(heard.timers.run)
             tasks.start_soon(counter.run)
--- a/tests/test_gatekeeper_calls.py
+++ b/tests/test_gatekeeper_calls.py
@@ -420,7 +420,7 @@
             one = made.instances.pop("i-1")
             await made.until(lambda: made.service.gatekeeper.server_list.servers["i-1"].phase.name == "GONE")
             assert (await made.ask("POST", "/p/a1", b"x", more=KEY))[0] == 200
-            assert made.service.proxy.members.get("i-0").idle  # type: ignore[union-attr]
+            assert made.service.proxy.members.get("i-0").idle_connections  # type: ignore[union-attr]
             made.instances |= {"i-9": made.instances.pop("i-0") | {"target": "lab"}, "i-2": one}
             await made.until(lambda: "i-9" in made.service.gatekeeper.server_list.servers)
             assert (await made.ask("POST", "/p/a2", b"x", more=KEY))[0] == 200
@@ -546,8 +546,8 @@
             obtain = proxy.members.obtain
             dialled: list[Callable[[], object]] = []
 
-            def later(member: Any, up: Any) -> Callable[[], None]:
-                dialled.append(lambda: obtain(member, up))
+            def later(member: Any, on_connected: Any) -> Callable[[], None]:
+                dialled.append(lambda: obtain(member, on_connected))
                 return lambda: None
 
             proxy.members.obtain = later  # type: ignore[method-assign]
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -11,7 +11,7 @@
 from millfront.node.endings import ExchangeError
 from millfront.node.http import MAX_HEAD_BYTES, Message
 from millfront.node.http1 import ResponseParser, ServerCodec, response_bytes
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 
 TOKENS = [
     b"GET / HTTP/1.1\r\n",
@@ -74,7 +74,7 @@
         while True:
             try:
                 message = codec.next_request()
-            except NotTaken as wrong:
+            except RequestRejected as wrong:
                 return [*found, wrong.status]
             if message is None:
                 break
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -171,7 +171,7 @@
         with anyio.fail_after(TEST_TIMEOUT_S):
             while member.closed + other.closed == 0:
                 await anyio.sleep(0.001)
-        assert not on.node.host.open and not on.node.host.owed
+        assert not on.node.host.open_requests and not on.node.host.unanswered
         member.script.clear()
         other.script.clear()
         again = await asking.ask(head(cls), b"what is bought")  # a new id is a new request
@@ -192,7 +192,7 @@
                 await asking.flush()
         number = await asking.ask(head())
         assert (await asking.answer(number))[0] == 200 and not asking.goaways
-        assert not on.node.host.open
+        assert not on.node.host.open_requests
 
 
 async def test_a_connection_that_breaks_leaves_all_its_streams() -> None:
@@ -204,7 +204,7 @@
         await member.wait_until(lambda peer: len(peer.seen) == 5)
         await anyio.aclose_forcefully(asking.stream)
         await member.wait_until(lambda peer: peer.closed == 5)
-        assert not on.node.host.open and not on.node.host.owed
+        assert not on.node.host.open_requests and not on.node.host.unanswered
         assert (await on.ask(request()))[:4] == b"HTTP"
 
 
@@ -438,7 +438,7 @@
         assert told in {int(code) for code in codes}, (name, told)
         assert (await other.answer(await other.ask(head())))[0] == 200
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while len(on.node.host.open) > 0:
+            while len(on.node.host.open_requests) > 0:
                 await anyio.sleep(0.001)
 
 
@@ -591,7 +591,7 @@
 )
 def test_no_sequence_of_frames_crashes_leaks_or_answers_twice(steps: list[tuple[bytes, str]]) -> None:
     class Opened:
-        over = False
+        finished = False
 
     class Server:
         closing = False
--- a/tests/test_http2_members.py
+++ b/tests/test_http2_members.py
@@ -178,7 +178,7 @@
             came["request-id"] for member in members for came in member.came if "code-redeem" in came[":path"]
         ]
         assert len(ran) == len(set(ran)) == 3
-        assert not on.node.host.open and not on.node.host.owed
+        assert not on.node.host.open_requests and not on.node.host.unanswered
 
 
 async def test_a_client_that_leaves_resets_its_stream_and_the_connection_goes_on() -> None:
@@ -190,7 +190,7 @@
         await client.aclose()
         await member.wait_until(lambda _: member.resets == [1])
         assert status(await on.ask(request())) == 200
-        assert member.connections == 1 and not on.node.host.owed
+        assert member.connections == 1 and not on.node.host.unanswered
 
 
 async def test_a_silent_connection_is_found_before_the_deadlines_of_what_is_out(
@@ -227,7 +227,7 @@
         stays.acts.clear()
         name = "s-0" if drains is member else "s-1"
         told = {"seq": 42, "whole": False, "hosts": [row(name, drains.address, "Terminating")]}
-        on.node.pool.take(told)
+        on.node.pool.apply_list(told)
         for _ in range(5):
             assert status(await on.ask(request())) == 200
         assert len(drains.came) == 1 and len(stays.came) == 5
@@ -293,29 +293,29 @@
 class Booked:
     """A flow that counts how it ended."""
 
-    streams = False
+    streaming = False
 
     def __init__(self) -> None:
         self.ends = 0
         self.exchange: Any = None
 
-    def answering(self) -> None: ...
+    def on_partial_response(self) -> None: ...
 
-    def passed_on(self) -> None: ...
+    def on_body_progress(self) -> None: ...
 
-    def begun(self, answer: Any) -> None:
+    def on_response_head(self, answer: Any) -> None:
         self.over()
 
-    def piece(self, data: bytes, last: bool) -> None:
+    def on_body(self, data: bytes, last: bool) -> None:
         self.over()
 
-    def answered(self, answer: Any) -> None:
+    def on_response(self, answer: Any) -> None:
         self.over()
 
-    def nonsense(self, why: str) -> None:
+    def on_malformed(self, why: str) -> None:
         self.over()
 
-    def broken(self, ended: Any) -> None:
+    def on_broken(self, ended: Any) -> None:
         self.over()
 
     def over(self) -> None:
@@ -328,8 +328,8 @@
 class Socketless:
     """What a connection asks of its link, its pool and its member."""
 
-    closed, most, streams, ready, host, dial = False, 4, 32, True, "s-0", "127.0.0.1:1"
-    connections = 1
+    closed, most, streams, ready, host, address = False, 4, 32, True, "s-0", "127.0.0.1:1"
+    connection_count = 1
     unsent = 0
 
     def __init__(self) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -263,11 +263,11 @@
         await read_message(stream)
         await breaks(stream)
 
-    monkeypatch.setattr("millfront.node.members.Wear.fade", lambda self: None)
+    monkeypatch.setattr("millfront.node.members.IdleReuseStats.decay", lambda self: None)
     member = Peer(*[breaks_at_the_next] * 4)
     async with running_node(member) as on, await on.client() as client:
         monkeypatch.setattr(
-            "millfront.node.members.Wear.bucket", staticmethod(lambda idle_us: 1)
+            "millfront.node.members.IdleReuseStats.bucket", staticmethod(lambda idle_us: 1)
         )  # all idle alike
         got = [status(await on.ask(request("code-redeem"), client)) for _ in range(9)]
     assert got == [200, 502, 200, 502, 200, 502, 200, 200, 200]
@@ -283,18 +283,18 @@
 
 
 async def test_a_watch_that_falls_silent_is_asked_for_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millfront.node.pool.SILENT_S", 0.1)
+    monkeypatch.setattr("millfront.node.pool.WATCH_TIMEOUT_S", 0.1)
     async with running_node(Peer()) as on:
         await on.discovery.wait_until(lambda peer: on.discovery.watches == 2 and peer.closed == 1)
         assert status(await on.ask(request())) == 200
 
 
 async def test_members_that_are_long_gone_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millfront.node.pool.FORGET_US", 0)
+    monkeypatch.setattr("millfront.node.pool.STOPPED_RETENTION_US", 0)
     async with running_node(Peer(), Peer()) as on:
         pool = on.node.pool
         for seq in (42, 43):
-            pool.take({"seq": seq, "whole": True, "hosts": [row("s-new", "127.0.0.1:1")]})
+            pool.apply_list({"seq": seq, "whole": True, "hosts": [row("s-new", "127.0.0.1:1")]})
             await anyio.sleep(0)
         assert list(pool._ids) == ["s-new"] and not on.node.members.get(1)
 
@@ -325,7 +325,7 @@
         await member.wait_until(lambda peer: len(peer.seen) == 1)
         await client.aclose()
         await member.wait_until(lambda peer: peer.closed == 1)
-        assert not on.node.host.open and not on.node.host.owed
+        assert not on.node.host.open_requests and not on.node.host.unanswered
         assert status(await on.ask(request())) == 200
 
 
@@ -367,7 +367,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     member = Peer()
-    dial, dialling, up = Members.dial, anyio.Event(), []
+    dial, dialling, up = Members.connect, anyio.Event(), []
 
     def slow_dial(members: Members, to: Any, done: Any) -> Any:
         def later(*result: Any) -> None:
@@ -376,7 +376,7 @@
 
         return dial(members, to, later)
 
-    monkeypatch.setattr(Members, "dial", slow_dial)
+    monkeypatch.setattr(Members, "connect", slow_dial)
     async with running_node(member) as on, await on.client() as client:
         await client.send(request("code-redeem", Request_Timeout="500m"))
         with anyio.fail_after(TEST_TIMEOUT_S):
@@ -423,9 +423,9 @@
     answered: list[api.Outcome] = []
     async with running_node(one, desk=desk) as on, listening(other, next_desk, discovery):
         assert on.node.counter is not None
-        on.node.counter.wait_us = 2_000_000
-        tell = on.node.host.tell
-        on.node.host.tell = lambda event: (  # type: ignore[method-assign]
+        on.node.counter.timeout_us = 2_000_000
+        tell = on.node.host.post_event
+        on.node.host.post_event = lambda event: (  # type: ignore[method-assign]
             answered.append(event.outcome) if isinstance(event, api.CounterAnswered) else tell(event)
         )
         assert status(await on.ask(request())) == 200
@@ -434,7 +434,9 @@
         discovery.full_list = json.dumps(
             {"seq": 7, "whole": True, "hosts": [row("s-1", other.address)]}
         ).encode()
-        on.node.move(config.Address.parse(discovery.address, ""), config.Address.parse(next_desk.address, ""))
+        on.node.set_addresses(
+            config.Address.parse(discovery.address, ""), config.Address.parse(next_desk.address, "")
+        )
         on.node.host.start_count(api.Count(2, 1.0, 1000))
         await next_desk.wait_until(lambda peer: len(peer.seen) == 1)
         go_on.set()
@@ -539,7 +541,7 @@
             second.script.clear()
         await first.wait_until(lambda peer: peer.closed == 1)
         assert len(one.seen) + len(other.seen) == sent + 2
-        assert not on.node.host.open and not on.node.host.owed
+        assert not on.node.host.open_requests and not on.node.host.unanswered
 
 
 async def test_the_counter_is_told_what_was_sent() -> None:
@@ -577,7 +579,7 @@
 
         def rejected(self, retry_after_us: int) -> None:
             order.append("reject")
-            host.tell(api.TimerFired(1))
+            host.post_event(api.TimerFired(1))
 
         def served(self, answer: object) -> None: ...
 
@@ -587,10 +589,10 @@
     host = Host(loaded.settings, 1, Clock())
     monkeypatch.setattr(host._gateway, "handle", handle)
     host.start_flow = lambda opened, number, send: host.flow_ended(opened, number, send, api.Outcome.FULL, 1)
-    host.start_count = lambda count: host.tell(api.CounterAnswered(count.name, api.Outcome.FULL, 0.0))
-    host.arrive(Arrival(0, 0, 1, 1.0, 1, 0, host.clock.now(), 1_000_000), Caller())  # type: ignore[arg-type]
+    host.start_count = lambda count: host.post_event(api.CounterAnswered(count.name, api.Outcome.FULL, 0.0))
+    host.add_request(Arrival(0, 0, 1, 1.0, 1, 0, host.clock.now(), 1_000_000), Caller())  # type: ignore[arg-type]
     assert order == ["RequestArrived", "reject", "AttemptEnded", "CounterAnswered", "TimerFired"]
-    assert not host.open and not host.owed
+    assert not host.open_requests and not host.unanswered
 
 
 async def test_timers_do_not_spin_until_they_are_due() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -71,10 +71,10 @@
 
 @pytest.mark.anyio
 async def test_callers_that_say_nothing_hold_nobody_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operators_line, "STAY_S", 0.3)
+    monkeypatch.setattr(operators_line, "CALLER_TIMEOUT_S", 0.3)
     async with running_node(Peer()) as on:
         host, _, port = on.admin_address.rpartition(":")
-        silent = [await anyio.connect_tcp(host, int(port)) for _ in range(2 * operators_line.MOST_CALLERS)]
+        silent = [await anyio.connect_tcp(host, int(port)) for _ in range(2 * operators_line.MAX_CALLERS)]
         await silent[-1].send(b"che")
         assert await on.call_admin(b"check\n") == b"SUCCESS serves\n"
         await silent[-1].send(b"ck\n")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -14,7 +14,7 @@
 
 from millfront import interface as api
 from millfront.node import config
-from millfront.node.retune import OVERLAP_US, Tuning
+from millfront.node.retune import OVERLAP_US, ActiveSettings
 from millfront.settings import NodeSettings, node_settings_from, settings_from
 from tests.peers import (
     TEST_TIMEOUT_S,
@@ -55,29 +55,29 @@
 def test_a_place_means_the_same_for_ever_and_old_names_hold_for_the_overlap(
     steps: list[tuple[dict[str, str], int, int]],
 ) -> None:
-    tuning = Tuning(*read(changed(("page-fetch", "safe"), MostTries=3)))
+    tuning = ActiveSettings(*read(changed(("page-fetch", "safe"), MostTries=3)))
     now, seen, settles, most = 0, dict(enumerate(tuning.settings.classes)), [0], [(0, 3)]
     for classes, tries, later in steps:
         now += later
         for due in [at for at in settles if at <= now]:
             settles.remove(due)
-            tuning.settle(due)
-        before = tuning.forms()
-        tuning.take(*read(changed(*classes.items(), MostTries=tries)), now)
+            tuning.end_overlap(due)
+        before = tuning.accepted_classes()
+        tuning.update(*read(changed(*classes.items(), MostTries=tries)), now)
         settles.append(now + OVERLAP_US)
         most = [(until, was) for until, was in most if until > now] + [(now + OVERLAP_US, most[-1][1])]
         most.append((now + OVERLAP_US, tries))
         for place, entry in enumerate(tuning.settings.classes):
             assert seen.setdefault(place, entry) == entry
         for name, repeat in classes.items():
-            assert tuning.settings.classes[tuning.forms()[name][0]].repeat.value == repeat
+            assert tuning.settings.classes[tuning.accepted_classes()[name][0]].repeat.value == repeat
         for name, places in before.items():
-            assert places[0] in tuning.forms()[name]
+            assert places[0] in tuning.accepted_classes()[name]
         assert tuning.settings.allowed.max_attempts <= min(tries, most[-2][1])
     for due in sorted(settles):
-        tuning.settle(due)
-    assert all(len(places) == 1 for places in tuning.forms().values())
-    assert set(tuning.forms()) == set(tuning.classes)
+        tuning.end_overlap(due)
+    assert all(len(places) == 1 for places in tuning.accepted_classes().values())
+    assert set(tuning.accepted_classes()) == set(tuning.classes)
     assert tuning.settings.allowed.max_attempts == (steps[-1][1] if steps else 3)
 
 
@@ -98,7 +98,7 @@
         node, told = on.node, settings()
 
         def retune(told: dict[str, Any]) -> None:
-            node.retune(config.from_json(configuration([], str(node.config.discovery), told)))
+            node.apply_config(config.from_json(configuration([], str(node.config.discovery), told)))
 
         told["Classes"][0]["Repeat"] = "unsafe"  # what is out was safe when it came
         told["Classes"][1]["Name"] = "print"
@@ -121,19 +121,19 @@
         one.script.clear()
         other.script.clear()
         with anyio.fail_after(TEST_TIMEOUT_S):
-            while "issue-buy" in node.tuning.forms():
+            while "issue-buy" in node.active_settings.accepted_classes():
                 await anyio.sleep(0.01)
         assert status(await on.ask(request("issue-buy"))) == 404
         assert status(await on.ask(request())) == 405
         retune(settings())  # brought back
         assert status(await on.ask(request("issue-buy"))) == 200
-        assert len(node.tuning.settings.classes) == 5
+        assert len(node.active_settings.settings.classes) == 5
         overlaps: list[Callable[[], None]] = []
         monkeypatch.setattr(node.host.timers, "after", lambda _, call: overlaps.append(call))
         retune(settings(MaxOpen=7))  # two in a moment: the first one's overlap ends under the second
         retune(settings(MaxOpen=9))
         overlaps[0]()
-        assert node.admit.most_open == 9
+        assert node.admit.max_open == 9
 
 
 @pytest.mark.anyio
@@ -144,7 +144,7 @@
         told = settings()
         told["Packages"][1]["MostAtOnce"] = 0.2
         node = on.node
-        node.retune(config.from_json(configuration([], str(node.config.discovery), told)))
+        node.apply_config(config.from_json(configuration([], str(node.config.discovery), told)))
         for _ in range(6):
             first.append(
                 status(await on.ask(request(Plan="spent", Quota_Info="units=0.04,spread=1,first=0")))
@@ -202,7 +202,7 @@
     path.write_text(json.dumps(good()))
     environment = {"NODE_CONFIG": str(path)}
     before = config.load(environment)
-    assert config.load_anew(environment, before) == before
+    assert config.reload(environment, before) == before
     path.write_text(fault(copy.deepcopy(good())))
     with pytest.raises(config.ConfigError, match=named):
-        config.load_anew(environment, before)
+        config.reload(environment, before)
