--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -32,15 +32,15 @@
 
 def begun(gateway: Gateway, text: bytes, now: int) -> int:
     numbers = {name: number for number, name in MEMBERS.items()}
-    return takeover.begin(gateway, text, {"casual": 0}, numbers, now)
+    return takeover.load_state(gateway, text, {"casual": 0}, numbers, now)
 
 
 @given(st.integers(0, 30), st.integers(0, 3_000_000))
 def test_both_together_hold_what_one_held(requests: int, later_us: int) -> None:
     bench, old = served(requests)
     before = {c.key: (c.bucket, c.ceiling, c.share, c.gateways) for c in old.customers.values()}
-    takeover.divide(old)
-    text = takeover.told(old, PLANS, MEMBERS)
+    takeover.halve_shares(old)
+    text = takeover.dump_state(old, PLANS, MEMBERS)
     new = Bench().gateway
     assert begun(new, text, bench.now) == len(before)
     later = bench.now + later_us
@@ -52,8 +52,8 @@
         for gateway, customer in zip((old, new), halves, strict=True):
             gateway.refill(later, customer)
         assert sum(c.bucket for c in halves) <= halves[0].plan.burst / gateways + 1e-6
-    takeover.reunite(new)
-    takeover.reunite(new)
+    takeover.restore_shares(new)
+    takeover.restore_shares(new)
     assert [c.gateways for c in new.customers.values()] == [gateways for *_, gateways in before.values()]
     assert new.processes == 1
 
@@ -61,7 +61,7 @@
 @given(st.data())
 def test_whatever_was_told_a_start_follows(data: st.DataObject) -> None:
     bench, old = served(3)
-    text = takeover.told(old, PLANS, MEMBERS)
+    text = takeover.dump_state(old, PLANS, MEMBERS)
     state = json.loads(text)
     new = Bench().gateway
     odd = data.draw(
@@ -77,7 +77,7 @@
     )
     try:
         begun(new, broken, bench.now)
-    except takeover.Unusable:
+    except takeover.InvalidState:
         assert not new.customers and new.processes == 1
 
 
@@ -139,7 +139,7 @@
     deep = tmp_path / ("x" * 100)
     deep.mkdir()
     handover = Handover(str(deep), "n0", lambda: b"", lambda: None)
-    assert await handover.ask() is None
+    assert await handover.fetch_state() is None
     await handover.run()
 
 
