--- a/millfront/quotas/messages.py
+++ b/millfront/quotas/messages.py
@@ -1,6 +1,6 @@
-"""What processes say to one another of tokens. No I/O, no clock.
+"""Messages by which processes request and grant tokens. No I/O, no clock.
 
-A request and its answer are one datagram each, JSON as all messages of the system's own; either may be lost.
+A request and its reply are one JSON datagram each, like all internal messages; either may be lost.
 """
 
 from dataclasses import dataclass
@@ -11,63 +11,63 @@
 
 
 class MessageError(Exception):
-    """A message can't be read."""
+    """A message has missing or invalid fields."""
 
 
 @dataclass(frozen=True, slots=True)
 class TokenRequest:
-    """Asks for up to ``tokens`` of a tenant. ``ref`` comes back with the answer.
+    """Requests up to ``tokens`` of a tenant. The reply repeats ``request_id``.
 
-    >>> TokenRequest.of(TokenRequest(7, "t", 2.0).wire())
-    TokenRequest(ref=7, tenant='t', tokens=2.0)
+    >>> TokenRequest.from_wire(TokenRequest(7, "t", 2.0).to_wire())
+    TokenRequest(request_id=7, tenant='t', tokens=2.0)
     """
 
-    ref: int
+    request_id: int
     tenant: str
     tokens: float
 
-    def wire(self) -> Message:
-        """As it is sent."""
-        return {"t": REQUEST, "r": self.ref, "k": self.tenant, "n": self.tokens}
+    def to_wire(self) -> Message:
+        """The message as sent."""
+        return {"t": REQUEST, "r": self.request_id, "k": self.tenant, "n": self.tokens}
 
     @classmethod
-    def of(cls, message: Message) -> "TokenRequest":
-        """:raises MessageError: it can't be read"""
+    def from_wire(cls, message: Message) -> "TokenRequest":
+        """:raises MessageError: a field is missing or invalid"""
         match message:
-            case {"r": int(ref), "k": str(tenant), "n": int() | float() as tokens} if tokens > 0.0:
-                return cls(ref, tenant, float(tokens))
-        raise MessageError("no request for tokens")
+            case {"r": int(request_id), "k": str(tenant), "n": int() | float() as tokens} if tokens > 0.0:
+                return cls(request_id, tenant, float(tokens))
+        raise MessageError("token request: expected r (int), k (string) and n (number above 0)")
 
 
 @dataclass(frozen=True, slots=True)
 class TokenReply:
-    """Grants ``tokens``; ``after_s``: when more may be had, seconds. ``available``: false where the one that
-    was asked grants nothing at all now (no lease, no share, no such tenant)."""
+    """Grants ``tokens``; ``retry_after_s``: seconds until more may be available. ``available``: false if the
+    granter can't grant anything now (no lease, no share or no such tenant)."""
 
-    ref: int
+    request_id: int
     tokens: float
-    after_s: float
+    retry_after_s: float
     available: bool = True
 
-    def wire(self) -> Message:
-        """As it is sent."""
+    def to_wire(self) -> Message:
+        """The message as sent."""
         return {
             "t": REPLY,
-            "r": self.ref,
+            "r": self.request_id,
             "n": self.tokens,
-            "a": round(self.after_s, 3),
+            "a": round(self.retry_after_s, 3),
             "u": not self.available,
         }
 
     @classmethod
-    def of(cls, message: Message) -> "TokenReply":
-        """:raises MessageError: it can't be read"""
+    def from_wire(cls, message: Message) -> "TokenReply":
+        """:raises MessageError: a field is missing or invalid"""
         match message:
             case {
-                "r": int(ref),
+                "r": int(request_id),
                 "n": int() | float() as tokens,
-                "a": int() | float() as after,
-                "u": bool(no),
+                "a": int() | float() as retry_after_s,
+                "u": bool(unavailable),
             }:
-                return cls(ref, float(tokens), float(after), not no)
-        raise MessageError("no answer to a request for tokens")
+                return cls(request_id, float(tokens), float(retry_after_s), not unavailable)
+        raise MessageError("token reply: expected r (int), n and a (numbers) and u (boolean)")
