--- a/millfront/node/host.py
+++ b/millfront/node/host.py
@@ -1,7 +1,7 @@
-"""What hosts the decisions: the Gateway, its clock, timers and ids. Knows no protocol.
+"""Hosts the decision module: the Gateway, its clock, timers and ids. Knows no protocol.
 
-Requests come in through arrive() and leave through their Caller; attempts and counter calls go out through
-the two ports and come back as events. Nothing else calls Gateway.handle().
+Requests enter through add_request() and leave through their Caller. Attempts and counter calls go out through
+start_flow and start_count and come back as events. Nothing else calls Gateway.handle().
 """
 
 import heapq
@@ -23,20 +23,20 @@
 
 log = Log(__name__)
 
-DEADLINE_CHECK_US = 10_000  # between two looks for requests that are over their deadline
-TIMER_RETRY_US = 20_000  # a timer's event that failed comes once more after so long
+DEADLINE_CHECK_US = 10_000  # between two checks for requests past their deadline
+TIMER_RETRY_US = 20_000  # until a timer event that failed is posted again
 MAX_SLEEP_US = 1_000_000
-DEADLINE_GRACE_US = (
-    15_000  # past its deadline: the module had its time-out by then, and the rule's slack is still ahead
-)
+# After a request's deadline: the decision module has had its timeout, and the slack that the platform's rule
+# allows is not used up yet.
+DEADLINE_GRACE_US = 15_000
 
 
-NO_DEADLINE_US = 3_600_000_000  # for a body under way: it ends by its own guards
+NO_DEADLINE_US = 3_600_000_000  # while a body is in transfer, which has its own timeouts
 
 
 class Clock:
     """Unix time in µs, read once and advanced by the monotonic clock: gatekeepers must agree on the counter's
-    epochs, and a step of the system's clock must not move timers."""
+    epochs, and a step of the system clock must not move timers."""
 
     def __init__(self) -> None:
         self._offset_ns = time.time_ns() - time.monotonic_ns()
@@ -46,7 +46,7 @@
 
 
 class Timers:
-    """Callbacks by due time, run by one task."""
+    """Callbacks ordered by due time, run by one task."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -66,30 +66,30 @@
                 call = heapq.heappop(self._heap)[2]
                 try:
                     call()
-                except Exception:  # one bad callback must not stop the beat of all others
-                    log.exception("a timer's callback failed")
+                except Exception:  # one failing callback must not stop the others
+                    log.exception("timer callback failed")
             wait_us = self._heap[0][0] - self.clock.now() if self._heap else MAX_SLEEP_US
-            # In whole ms, rounded up, and without a deadline: uvloop's timers come up to 1 ms early, and a
-            # scope's deadline (or a sleep of what is left) would spin until it is really past.
+            # In whole ms, rounded up, and without a deadline: uvloop's timers fire up to 1 ms early, and a
+            # scope's deadline (or a sleep for the exact remainder) would spin until it has really passed.
             with anyio.CancelScope() as self._sleep:
                 await anyio.sleep(max(1, -(-wait_us // 1000)) / 1000)
 
 
 class Caller(Protocol):
-    """Whoever brought a request in; is told its final answer once. One that begin() told of is ended by
-    served() or cut()."""
+    """The origin of a request; receives its final response once. A response that begin_response() has started
+    is ended by served() or abort_response()."""
 
-    accepts_streaming: bool  # takes answers as they come
+    accepts_streaming: bool  # can forward a response while it arrives
 
     def begin_response(self, answer: Any, source: Source) -> None:
-        """The head of a served answer, and a part of its body."""
+        """Starts a streamed response: its head and the first part of its body."""
 
     def send_body(self, data: bytes) -> bool:
-        """What came next of it; False: bring no more until the source is resumed."""
+        """Sends the next part of the body; False: send no more until the source is resumed."""
         ...
 
     def abort_response(self) -> None:
-        """The rest of it does not come: the client must be able to tell."""
+        """The rest of the response is lost; the client must be able to tell."""
 
     def served(self, answer: Any) -> None: ...
     def rejected(self, retry_after_us: int) -> None: ...
@@ -97,32 +97,32 @@
 
 
 class UnitLeaser(Protocol):
-    """Live plans with reservations: leases units where a customer's plan runs short."""
+    """Live plans with reservations: leases units when a customer's plan runs short."""
 
     def on_short(self, short: api.Short) -> None: ...
     def handle_answer(self, answer: api.CounterAnswered) -> bool:
-        """Whether that call was its own."""
+        """Handles the answer to a counter call; False if the call was not its own."""
         ...
 
 
 class UsageRecorder(Protocol):
-    """Is told of each try once as it is first sent on, and once when nothing of it is out any more."""
+    """Notified of each request once when it is first sent, and once when it is over with all its attempts."""
 
     def request_sent(self, opened: "OpenRequest", standing: api.Standing) -> None: ...
     def request_settled(self, opened: "OpenRequest") -> None: ...
 
 
 class Flow(Protocol):
-    """One attempt under way."""
+    """One attempt in progress."""
 
     def cancel(self) -> None: ...
     def body_complete(self) -> None:
-        """The request's last byte has come."""
+        """The request's last byte has arrived."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as the decisions need it, and as it came."""
+    """A request as the decisions need it, and its message."""
 
     cls: int
     plan: int
@@ -132,11 +132,11 @@
     first: int
     arrived_us: int
     timeout_us: int
-    request_id: bytes = b""  # as its caller calls it; no two open ones share one
+    request_id: bytes = b""  # the client's; unique among open requests
     message: Any = None
     plan_name: str = ""
-    plan_version: int = 0  # of the plan book; 0: the settings'
-    terms: api.Plan | None = None  # the plan book's, over `plan`
+    plan_version: int = 0  # of the plan book; 0: the plan is from the settings
+    terms: api.Plan | None = None  # from the plan book; overrides `plan`
     reserves: bool = False
 
 
@@ -147,18 +147,18 @@
     caller: Caller
     finished: bool = False
     attempts: int = 0
-    may_have_run: bool = False  # an attempt may have run
-    true_units: float = 0.0  # the true ones, where a good answer told them
-    usage_mark: Any = None  # the tally's own mark
+    may_have_run: bool = False  # some attempt may have run
+    true_units: float = 0.0  # as stated by a successful response
+    usage_mark: Any = None  # of the usage recorder
     max_attempts: int = 0
-    body_received: bool = True  # else its body is under way, and its time has not begun
-    streaming_flow: int = -1  # the attempt whose answer has begun to reach the client
+    body_received: bool = True  # until then the body is in transfer, without a deadline
+    streaming_flow: int = -1  # the attempt whose response is streamed to the client; -1: none
     arrived_us: int = 0
     flows: dict[int, Flow] = field(default_factory=dict)
 
     @property
     def deadline_us(self) -> int:
-        """Without an end while the request's body is under way."""
+        """In µs; effectively none while the request's body is in transfer."""
         return (
             self.arrived_us + self.arrival.timeout_us
             if self.body_received
@@ -172,11 +172,10 @@
         self.clock = clock
         self.timers = Timers(clock)
         self.open_requests: dict[int, OpenRequest] = {}
-        self._open_request_ids: set[bytes] = set()  # of the open ones: entered and left together with them
-        self._deadline_checks: dict[
-            int, list[int]
-        ] = {}  # by DEADLINE_CHECK_US: requests that are over by then
-        self.unanswered = 0  # requests without their final answer
+        self._open_request_ids: set[bytes] = set()  # of open_requests
+        # Requests to check, by time in units of DEADLINE_CHECK_US
+        self._deadline_checks: dict[int, list[int]] = {}
+        self.unanswered = 0  # requests without their final response
         self.start_flow: Callable[[OpenRequest, int, api.Send], None]
         self.start_count: Callable[[api.Count], None]
         self.close_idle: Callable[[int], None]
@@ -188,7 +187,7 @@
         self._processing = False
 
     def post_event(self, event: api.Event) -> None:
-        """One event at a time: what comes up while actions are carried out waits its turn."""
+        """Queues an event. Events are processed one at a time, also those posted while actions are executed."""
         self._events.append(event)
         if self._processing:
             return
@@ -202,16 +201,16 @@
     def _process_event(self, event: api.Event) -> None:
         try:
             actions = self._gateway.handle(self.clock.now(), event)
-        except Exception:  # a fault on one event must not take the program and all other requests down
-            log.exception("the module failed", on=type(event).__name__)
-            if isinstance(event, api.TimerFired):  # a beat lost once would be lost for good
+        except Exception:  # a fault on one event must not end the process and all requests
+            log.exception("decision module failed on an event", on=type(event).__name__)
+            if isinstance(event, api.TimerFired):  # a periodic timer would otherwise be lost for good
                 self._execute(api.SetTimer(TIMER_RETRY_US, event.token))
             return
         for action in actions:
             try:
                 self._execute(action)
             except Exception:
-                log.exception("an action could not be carried out", action=type(action).__name__)
+                log.exception("action failed", action=type(action).__name__)
 
     def _execute(self, action: api.Action) -> None:
         match action:
@@ -226,7 +225,7 @@
             case api.Cancel(request, attempt):
                 if (opened := self.open_requests.get(request)) and attempt in opened.flows:
                     if opened.streaming_flow == attempt and not opened.finished:
-                        return  # its answer is the client's
+                        return  # its response is being sent to the client
                     opened.flows[attempt].cancel()
             case api.SetTimer(delay_us, token):
                 self.timers.after(delay_us, lambda: self.post_event(api.TimerFired(token)))
@@ -240,24 +239,28 @@
             case api.Log(text):
                 log.info(text)
             case api.Watch() | api.FetchList():
-                pass  # the pool is always watched here
+                pass  # this host always watches the pool
             case api.Probe() | api.Tell():
-                log.warning("not possible on this platform", action=type(action).__name__)
+                log.warning("action not supported on this platform", action=type(action).__name__)
 
     def counter_answered(self, answer: api.CounterAnswered) -> None:
-        """A counter call's one answer, to whoever made the call."""
+        """Passes the one answer of a counter call to whoever made the call."""
         if self.unit_leaser is None or not self.unit_leaser.handle_answer(answer):
             self.post_event(answer)
 
     def enable_live_plans(
         self, unit_leaser: UnitLeaser, on_plan_change: Callable[[int, Customer, api.Plan], None]
     ) -> None:
-        """Switch live plans on: what leases units, and what becomes of an allowance on a change."""
+        """Enables live plans.
+
+        :param unit_leaser: leases units when a plan runs short
+        :param on_plan_change: carries a customer's allowance over to a changed plan
+        """
         self.unit_leaser, self._gateway.on_plan_change = unit_leaser, on_plan_change
 
     @property
     def gateway(self) -> Gateway:
-        """For a takeover, which moves what it holds; events go through tell() alone."""
+        """For a takeover, which moves its state; events go through post_event() only."""
         return self._gateway
 
     # ---- requests ----------------------------------------------------------------------------
@@ -266,7 +269,7 @@
         self.post_event(api.Started())
 
     def apply_settings(self, retuned: api.Retuned) -> None:
-        """New settings, for the module as for what is held to them here."""
+        """Applies new settings, here and in the decision module."""
         self.settings = retuned.settings
         self.post_event(retuned)
 
@@ -299,7 +302,7 @@
         return opened
 
     def body_complete(self, opened: OpenRequest) -> None:
-        """Its last byte has come: its time begins."""
+        """The request's last byte has arrived: its time starts now."""
         opened.body_received, opened.arrived_us = True, self.clock.now()
         if opened.finished:
             return
@@ -309,7 +312,7 @@
         self.post_event(api.RequestWhole(opened.id, opened.arrival.timeout_us))
 
     def begin_stream(self, opened: OpenRequest, number: int, answer: Any, source: Source) -> bool:
-        """An attempt's answer begins to go to the client; False: no answer is owed any more."""
+        """Starts streaming an attempt's response to the client; False: no response is owed any more."""
         if opened.finished or opened.streaming_flow >= 0:
             return False
         opened.streaming_flow = number
@@ -318,7 +321,7 @@
         return True
 
     def _schedule_overdue_check(self, request: int, after_us: int) -> None:
-        """Check the request once after this time. All checks of one DEADLINE_CHECK_US share a timer. Only the
+        """Checks the request once, after this time. Checks within one DEADLINE_CHECK_US share a timer. Only the
         request's number is kept, so that its message can be freed before then."""
         now = self.clock.now()
         tick = (now + after_us) // DEADLINE_CHECK_US + 1
@@ -336,22 +339,22 @@
         return request_id in self._open_request_ids
 
     def client_left(self, opened: OpenRequest) -> None:
-        """The client went away: no answer is owed any more."""
+        """The client has disconnected: no response is owed any more."""
         if self._finish(opened.id):
             self.post_event(api.RequestGone(opened.id))
 
     def _fail_overdue(self, request: int) -> None:
-        """Guards the one final answer against a module that forgot the request."""
+        """Ensures the final response if the decision module has forgotten the request."""
         opened = self.open_requests.get(request)
         if opened is not None and opened.streaming_flow >= 0:
-            return  # the client's own since its answer has begun
+            return  # its response is being streamed
         if opened := self._finish(request):
-            log.error("request unanswered at its deadline")
+            log.error("no decision for a request by its deadline; failing it")
             opened.caller.failed()
             self.post_event(api.RequestGone(opened.id))
 
     def _finish(self, request: int) -> OpenRequest | None:
-        """The request, if its final answer was still owed."""
+        """Marks the request as finished; returns it if its final response was still owed."""
         opened = self.open_requests.get(request)
         if opened is None or opened.finished:
             return None
@@ -394,7 +397,7 @@
         answer: Any = None,
         units: float = 0.0,
     ) -> None:
-        """The one event of an attempt; a first good answer is the request's final one."""
+        """Reports the end of an attempt, once. The first success is the request's final response."""
         opened.flows.pop(number, None)
         opened.may_have_run = opened.may_have_run or outcome not in NEVER_RAN
         opened.true_units = opened.true_units or units
--- a/millfront/node/stages/__init__.py
+++ b/millfront/node/stages/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request: take in, admit, route, send, relay, book."""
+"""The stages of a request: parse, admit, route, send, relay, record."""
--- a/millfront/node/stages/admit.py
+++ b/millfront/node/stages/admit.py
@@ -1,4 +1,4 @@
-"""Admit: a request that was taken in goes before the module, as long as there is room for it."""
+"""Admit: passes a parsed request to the decision module, unless too many requests are open."""
 
 from millfront.node.host import Arrival, Caller, Host, OpenRequest
 from millfront.node.stages.take_in import RequestRejected
@@ -10,9 +10,9 @@
         self.max_open = max_open
 
     def __call__(self, arrival: Arrival, caller: Caller) -> OpenRequest | None:
-        """None: too many are open, and the request is rejected unseen."""
+        """Returns None if too many requests are open; the request is then rejected without a decision."""
         if self.host.is_open(arrival.request_id):
-            # Two of one id could not be told apart by a pool member: the one that came first keeps it
+            # A pool member could not tell two requests with one id apart: the first one keeps it
             raise RequestRejected(409, "Request-Id: another request with it is open")
         if len(self.host.open_requests) >= self.max_open:
             caller.rejected(0)
--- a/millfront/node/stages/book.py
+++ b/millfront/node/stages/book.py
@@ -1,4 +1,4 @@
-"""OutcomeRecorder: an ended flow becomes the module's one event for it."""
+"""Reports each finished attempt (flow) to the decision module, as one event."""
 
 from collections import Counter
 
@@ -16,7 +16,7 @@
 
     def __call__(self, flow: ServerSideFlow, ending: Ending, answer: Message | None) -> None:
         self.endings[ending] += 1
-        # Of an answer that went on as it came, the first bytes are timed
+        # The latency of a streamed response is the time to its first bytes
         latency_us = (flow.first_byte_us if flow.streaming else self.host.clock.now()) - flow.started_us
         units = (
             billed_units(answer, self.max_units) if answer is not None and ending is Ending.SERVED else 0.0
@@ -34,8 +34,8 @@
 
 
 def billed_units(answer: Message, max_units: float) -> float:
-    """The true units, where the answer tells them; a figure that makes no sense counts as none: guards the
-    customer's bucket, which one such figure could empty for good."""
+    """The true units, if the answer states them. An invalid number counts as none, because a single one could
+    empty the customer's bucket for good."""
     try:
         units = float(answer.field(b"billed-units") or 0.0)
     except ValueError:
--- a/millfront/node/stages/relay.py
+++ b/millfront/node/stages/relay.py
@@ -1,4 +1,4 @@
-"""Relay: the final answer as the client gets it, a pool member's as it came or one of ours."""
+"""Relay: the final response to the client, a pool member's unchanged or one of the gateway's own."""
 
 from millfront.node.http import Fields, Message, end_to_end_fields
 
@@ -9,7 +9,7 @@
 
 
 def rejected(retry_after_us: int) -> Message:
-    """A reject: trying again is harmless."""
+    """A rejection: the client may safely repeat the request. Without Retry-After if that is 0."""
     fields: Fields = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
     return own_response(503, b"refused: try again later\n", fields)
 
--- a/millfront/node/stages/route.py
+++ b/millfront/node/stages/route.py
@@ -1,4 +1,4 @@
-"""Route: from the module's choice to a pool member that may be sent to."""
+"""Route: finds the pool member that the decision module chose, if requests may go to it."""
 
 from millfront.node.endings import Ending, ExchangeError
 from millfront.node.members import Members, PoolMember
@@ -11,11 +11,14 @@
     def __call__(self, backend: int) -> PoolMember:
         member = self.members.get(backend)
         if member is None:
-            raise ExchangeError(Ending.NOT_SENT, "no such pool member")
+            raise ExchangeError(Ending.NOT_SENT, f"unknown pool member {backend}")
         self.check(member)
         return member
 
     def check(self, member: PoolMember, flow: object = None) -> None:
-        """Guards the drain rule: asked again after a connection was set up, the list may have changed."""
+        """Enforces the drain rule. Called again once a connection is up, because the list may have changed.
+
+        :raises ExchangeError: NOT_SENT
+        """
         if not member.ready:
             raise ExchangeError(Ending.NOT_SENT, f"{member.host} is draining or gone")
--- a/millfront/node/stages/send.py
+++ b/millfront/node/stages/send.py
@@ -1,4 +1,4 @@
-"""Send: one server-side flow, from a connection to an answer or an ending."""
+"""Send: runs one attempt (a server-side flow), from getting a connection to its response or failure."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,19 +13,15 @@
 
 log = Log(__name__)
 
-MAX_RECONNECTS = (
-    2  # connections more: guards a member that is well against being blamed for one that broke at once
-)
-TIMER_SLACK_S = 0.001  # the loop's timers may come so much early
-PARTIAL_DELIVERY_S = 0.2  # an answer without a length is gathered for so long, then what there is goes on
-BODY_STALL_TIMEOUT_US = (
-    10_000_000  # a body under way of which nothing moves for so long, and not for want of its taker
-)
-STALL_CHECK_INTERVAL_S = 1.0  # between two looks at that
+MAX_RECONNECTS = 2  # more connections: a healthy member is not blamed for one that broke at once
+TIMER_SLACK_S = 0.001  # the event loop's timers can fire this early
+PARTIAL_DELIVERY_S = 0.2  # a response without a length is buffered this long, then forwarded
+BODY_STALL_TIMEOUT_US = 10_000_000  # a body without progress; a wait for the client does not count
+STALL_CHECK_INTERVAL_S = 1.0
 
 
 class AttemptTarget(Protocol):
-    """Where an attempt goes, and for how long at most; 0: until the client gives up."""
+    """The member that an attempt goes to, and its timeout; 0: until the request's deadline."""
 
     @property
     def backend(self) -> MemberId: ...
@@ -34,14 +30,14 @@
 
 
 class MemberRouter(Protocol):
-    """From a choice to a member that may be sent to. Both raise ExchangeError."""
+    """Finds the member for a choice and checks that it may be sent to. Both methods raise ExchangeError."""
 
     def __call__(self, backend: Any) -> PoolMember: ...
     def check(self, member: PoolMember, flow: Any) -> None: ...
 
 
 class ServerSideFlow:
-    """One attempt: ends once, however cancel, time-out, answer and break cross."""
+    """One attempt. It ends exactly once, in whatever order cancel, timeout, response and failure arrive."""
 
     __slots__ = (
         "answer",
@@ -68,9 +64,8 @@
         self, stage: "Send", open_request: Any, number: int, target: AttemptTarget, now_us: int
     ) -> None:
         self.stage = stage
-        self.open_request = (
-            open_request  # an OpenRequest, or the like: arrival, caller, flows, whole, deadline_us
-        )
+        # An OpenRequest or similar: arrival, caller, flows, body_received, deadline_us
+        self.open_request = open_request
         self.number = number
         self.target = target
         self.started_us = now_us
@@ -79,21 +74,21 @@
         self.reconnects_left = MAX_RECONNECTS
         self.finished = False
         self.connection: Exchange | None = None
-        self.cancel_connect: Callable[[], None] | None = None  # gives the connection being set up up
+        self.cancel_connect: Callable[[], None] | None = None  # aborts the connect under way
         self.timer: asyncio.TimerHandle | None = None
-        self.completion_timer: asyncio.TimerHandle | None = None  # from an answer's first bytes
-        self.streaming = False  # the answer goes on as it comes
-        self.answer: Message | None = None  # its beginning
-        self.first_byte_us = 0  # when that came
-        self.body_progress_us = now_us  # when something of a body under way moved last
-        self.paused = False  # the client does not take the rest yet
+        self.completion_timer: asyncio.TimerHandle | None = None  # started by a response's first bytes
+        self.streaming = False  # the response is forwarded as it arrives
+        self.answer: Message | None = None  # the head of a streamed response
+        self.first_byte_us = 0  # when the response's first bytes arrived
+        self.body_progress_us = now_us  # last progress of a body
+        self.paused = False  # until the client has taken what was forwarded
         self.has_body_slot = False
 
     def cancel(self) -> None:
         self.end(Ending.CANCELLED)
 
     def end(self, ending: Ending, answer: Message | None = None) -> None:
-        """The one ending. What is still up is closed: that tells the member that the attempt is given up."""
+        """Ends the attempt, once. Closing an open connection tells the member that it was given up."""
         if self.finished:
             return
         self.finished = True
@@ -109,8 +104,8 @@
         self.stage.record(self, ending, answer)
 
     def release_connection(self) -> None:
-        """Of the connection, which carries nothing more. A body under way must wait for the next one: put to
-        this one, it would be lost between the two."""
+        """Closes the connection. An upload in progress is detached and waits for the next connection: what is
+        written to this one would be lost."""
         connection, self.connection = self.connection, None
         if connection is None:
             return
@@ -120,13 +115,13 @@
         connection.drop()
 
     def body_complete(self) -> None:
-        """The request's last byte has come: the attempt's time begins."""
+        """The request's last byte has arrived: the attempt's time starts now."""
         now_us = self.stage.clock.now()
         self.started_us, self.deadline_us = now_us, self.open_request.deadline_us
         self.start_timer()
 
     def start_timer(self) -> None:
-        """End with the attempt's time; a body under way ends by itself, or where nothing of it moves."""
+        """Starts the attempt's timeout; while a body is in transfer, the check for a stall instead."""
         if self.timer is not None:
             self.timer.cancel()
         loop = asyncio.get_running_loop()
@@ -144,14 +139,14 @@
             self.start_timer()
 
     def upload_blocked(self) -> bool:
-        """The member does not take the request's body."""
+        """The member has not accepted all that was written to it."""
         return self.connection is not None and not self.connection.request_flushed()
 
-    # ---- what the connection tells -----------------------------------------------------------
+    # ---- callbacks of the connection ---------------------------------------------------------
 
     def on_partial_response(self) -> None:
-        """An answer has begun and is not whole: what stalls inside a message will not end well. It may come
-        in many pieces, and one without a length is not to wait until it is long."""
+        """A response has begun and is incomplete; it may arrive in many pieces. One that then stalls is taken
+        for malformed. One without a length is forwarded after a while, not only once it is long."""
         loop = asyncio.get_running_loop()
         if self.completion_timer is not None:
             self.completion_timer.cancel()
@@ -159,7 +154,7 @@
             self.first_byte_us = self.stage.clock.now()
             loop.call_later(PARTIAL_DELIVERY_S, self.deliver_partial)
         self.completion_timer = loop.call_later(
-            self.stage.completion_timeout_s, self.on_malformed, "an answer begun and not ended"
+            self.stage.completion_timeout_s, self.on_malformed, "response begun and not completed in time"
         )
 
     def deliver_partial(self) -> None:
@@ -174,7 +169,7 @@
             self.end(ending)
             return
         if not self.open_request.caller.accepts_streaming:
-            self.on_malformed("an answer too long to be gathered")
+            self.on_malformed("response too long to buffer")
             return
         assert self.connection is not None
         self.connection.pause()
@@ -182,8 +177,8 @@
         self.stage.body_slots.acquire(self.start_streaming)
 
     def start_streaming(self) -> None:
-        """It is this answer's turn to go on."""
-        if self.finished:  # while it waited
+        """A body slot is free: forwards the response to the client."""
+        if self.finished:  # while waiting for the slot
             self.stage.body_slots.release()
             return
         self.has_body_slot = True
@@ -214,7 +209,7 @@
             connection.pause()
 
     def resume(self) -> None:
-        """The client has taken what came."""
+        """The client has taken what was forwarded."""
         self.paused, self.body_progress_us = False, self.stage.clock.now()
         connection = self.connection
         if connection is None:
@@ -224,7 +219,7 @@
             connection.resume()
 
     def abandon(self) -> None:
-        """The client is gone."""
+        """The client has disconnected."""
         self.end(Ending.CANCELLED)
 
     def on_body_progress(self) -> None:
@@ -232,7 +227,7 @@
 
     def on_malformed(self, why: str) -> None:
         if not self.finished:
-            log.warning("a pool member answered nonsense", member=self.target.backend, why=why)
+            log.warning("malformed response from a pool member", member=self.target.backend, why=why)
             if self.connection is not None:
                 self.connection.record_outcome(True)
             self.end(Ending.MALFORMED)
@@ -247,14 +242,14 @@
         self.end(ending, answer)
 
     def on_broken(self, error: ExchangeError) -> None:
-        """The connection has ended without an answer."""
+        """The connection has ended without a complete response. Reconnects if the request may be resent."""
         if self.connection is not None and error.ending is Ending.BROKEN:
             self.connection.record_outcome(False)
         self.release_connection()
         if error.partially_sent and self.stage.partial_may_run:
             error = ExchangeError(Ending.BROKEN)
         upload = self.open_request.arrival.message.upload
-        replayable = upload is None or not upload.forwarded  # what has gone on is not there any more
+        replayable = upload is None or not upload.forwarded  # forwarded bytes are not kept
         if (
             error.retryable
             and self.reconnects_left > 0
@@ -280,13 +275,16 @@
         classify_answer: "Callable[[ServerSideFlow, Message], Ending] | None" = None,
         fields: "Callable[[ServerSideFlow, PoolMember, Message], Fields] | None" = None,
     ) -> None:
-        """:param judge: what an answer's head means, before a byte of it goes to the client
-        :param fields: the header of a request as it goes to a member
+        """:param route: finds and checks the member of a target
+        :param record: called once for each finished attempt
+        :param begin_stream: starts a streamed response to the client; False: none is owed any more
+        :param classify_answer: the ending that a response's head means, before any byte goes to the client
+        :param fields: the header fields of a request to a member
         """
         self.classify_answer = classify_answer or (lambda _, answer: ending_of(answer))
         self.fields = fields or self._default_fields
         self.completion_timeout_s = RESPONSE_COMPLETION_TIMEOUT_S
-        self.partial_may_run = False  # a request that a member has seen in part only
+        self.partial_may_run = False  # whether a request of which a member has seen a part may have run
         self.body_slots = body_slots
         self.begin_stream = begin_stream
         self.clock = clock
@@ -295,7 +293,7 @@
         self.record = record
 
     def __call__(self, open_request: Any, number: int, target: AttemptTarget) -> None:
-        """Begin a flow; its ending is booked once, perhaps before this returns."""
+        """Starts an attempt. Its ending is recorded once, possibly before this returns."""
         flow = ServerSideFlow(self, open_request, number, target, self.clock.now())
         open_request.flows[number] = flow
         flow.start_timer()
@@ -313,8 +311,8 @@
                 self._write(flow, member, obtained)
         except ExchangeError as error:
             flow.on_broken(error)
-        except Exception:  # a fault in one flow is that flow's ending, not the program's
-            log.exception("a flow failed")
+        except Exception:  # a fault ends this attempt, not the process
+            log.exception("attempt failed by an internal error")
             flow.end(Ending.BROKEN)
 
     def _on_connected(
@@ -333,7 +331,7 @@
         except ExchangeError as failure:
             flow.on_broken(failure)
         except Exception:
-            log.exception("a flow failed")
+            log.exception("attempt failed by an internal error")
             flow.end(Ending.BROKEN)
 
     def _write(self, flow: ServerSideFlow, member: PoolMember, connection: Exchange) -> None:
@@ -347,14 +345,14 @@
         if not flow.open_request.body_received:
             left_us = flow.open_request.arrival.timeout_us
         fields = end_to_end_fields(message, b"request-timeout")
-        if message.field(b"host") is None:  # HTTP/1.0 has none, and 1.1 must have one
+        if message.field(b"host") is None:  # optional in HTTP/1.0, required in 1.1
             fields.insert(0, (b"Host", str(member.address).encode()))
         fields.append((b"Request-Timeout", b"%du" % left_us))
         return fields
 
 
 def ending_of(answer: Message) -> Ending:
-    """Only 503 and 504 with Not-Started certainly never ran."""
+    """Only 503 and 504 with `Not-Started: 1` are certain never to have run."""
     if answer.start == 200:
         return Ending.SERVED
     if answer.start in (503, 504) and answer.field(b"not-started") == b"1":
--- a/millfront/node/stages/take_in.py
+++ b/millfront/node/stages/take_in.py
@@ -1,4 +1,4 @@
-"""Take in: from a client's message, what the decisions need; or why it can't be taken."""
+"""Parses a client's message into what the decisions need, or rejects it."""
 
 import re
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class LivePlan(Protocol):
-    """What a plan book says of a customer."""
+    """A customer's plan as the plan book has it."""
 
     @property
     def plan(self) -> api.Plan | None: ...
@@ -33,10 +33,10 @@
 
 
 class RequestRejected(Exception):
-    """A reject before any decision: the request is not what the protocol allows."""
+    """A rejection before any decision: the request violates the protocol."""
 
     def __init__(self, status: int, why: str, retry_after_s: float = 0.0) -> None:
-        """:param after_s: when the client may come again, in seconds; 0: it is told nothing"""
+        """:param retry_after_s: when the client may retry; 0: no Retry-After"""
         super().__init__(why)
         self.status = status
         self.fields = [(b"Retry-After", b"%.3f" % retry_after_s)] if retry_after_s > 0 else []
@@ -45,11 +45,11 @@
 class RequestParser:
     def __init__(self, active_settings: ActiveSettings, max_units: float) -> None:
         self.update(active_settings, max_units)
-        # Live plans: (customer, the request's plan, Unix time in µs) to what holds instead; None where silent
+        # Live plans: (customer, request's plan, Unix time in µs) -> the plan that applies instead, or None
         self.live_plan: Callable[[int, str, int], LivePlan | None] | None = None
 
     def update(self, active_settings: ActiveSettings, max_units: float) -> None:
-        """Go by these from now on. Names are looked up as they come on the wire."""
+        """Applies new settings. Names are kept as bytes, as they arrive on the wire."""
         self.settings, self.max_units = active_settings.settings, max_units
         self.classes = {name.encode(): places for name, places in active_settings.accepted_classes().items()}
         self.plans = {name.encode(): place for name, place in active_settings.plans.items()}
@@ -62,7 +62,7 @@
             raise RequestRejected(404, "no such class")
         if not CUSTOMER.fullmatch(parts[-1]) or (customer := int(parts[-1], 16)) >= CUSTOMER_LIMIT:
             raise RequestRejected(404, "no such customer")
-        fields = dict(reversed(message.fields))  # of several of a name the first counts
+        fields = dict(reversed(message.fields))  # of repeated fields the first counts
         cls = self._class_of(self.classes[parts[1]], method, fields)
         plan_name = fields.get(b"plan", b"")
         plan, live_plan = self.plans.get(plan_name), None
@@ -72,7 +72,7 @@
         if plan is None:
             if terms is None:
                 raise RequestRejected(400, "Plan: unknown")
-            plan = 0  # the book wins over whatever the request says
+            plan = 0  # the plan book takes precedence over the request
         request_id = fields.get(b"request-id", b"")
         if not REQUEST_ID.fullmatch(request_id):
             raise RequestRejected(400, "Request-Id: not 64 bits in hex")
@@ -96,7 +96,8 @@
         )
 
     def _class_of(self, places: tuple[int, ...], method: bytes, fields: dict[bytes, bytes]) -> int:
-        """Of several under one name, while clients may use the old one yet, the one whose form this is."""
+        """The class of a request. During an overlap of settings a name can have several places: the one whose
+        method and idempotency key match is taken."""
         keyed = bool(fields.get(b"idempotency-key"))
         for cls in places if len(places) > 1 else ():
             repeat = self.settings.classes[cls].repeat
@@ -107,7 +108,7 @@
         if method != METHODS[repeat]:
             raise RequestRejected(405, "not this class's method")
         if repeat is api.Repeat.KEYED and not keyed:
-            # sent on without its key, a repeat of it would run twice
+            # Without its key, a repeat of the request would run twice
             raise RequestRejected(400, "Idempotency-Key: missing")
         return cls
 
@@ -120,7 +121,7 @@
         if len(parts) != 3 or len(values) != 3:
             raise RequestRejected(400, "Quota-Info: needs units, spread and first")
         units, spread, first = float(values[b"units"]), int(values[b"spread"]), int(values[b"first"])
-        # Out of range, one request would spend what the customer's others are owed
+        # Out of range, one request would spend the allowance of the customer's other requests
         if not 0 < units <= self.max_units:
             raise RequestRejected(400, "Quota-Info: units out of range")
         if not 1 <= spread <= self.settings.peers or first >= self.settings.peers:
