--- a/millfront/dataplane/keyed_requests.py
+++ b/millfront/dataplane/keyed_requests.py
@@ -40,7 +40,7 @@
         operation = operation_id(tenant, key.decode("latin-1"))
         running_s = request.route.deadline + RUNNING_MARGIN_S
         pending = self.claims.begin(operation, running_s, partial(self._on_claim_decision, request))
-        if pending is not None and not request.over:
+        if pending is not None and not request.finished:
             request.claim = pending
             loop, wait = asyncio.get_running_loop(), CLAIM_SHARE * request.route.target_time
             loop.call_later(min(WIDEN_AFTER_S, wait / 2), self.claims.widen, pending)
@@ -53,7 +53,7 @@
             self._on_claim_granted(request)
             return
         request.claim = None
-        if request.over:
+        if request.finished:
             return
         if outcome is not Outcome.REFUSED:
             self.proxy.refund_quota(request)
@@ -68,7 +68,7 @@
             self.proxy.give_up(request)
 
     def _on_claim_granted(self, request: ClientRequest) -> None:
-        if request.over:  # its client has disconnected
+        if request.finished:  # its client has disconnected
             self.withdraw(request)
         else:
             self.proxy.dispatch(request)
