--- a/millfront/gatekeeper/node.py
+++ b/millfront/gatekeeper/node.py
@@ -1,8 +1,7 @@
-"""A gatekeeper: one process's part of the control state, put together from the pure modules. No I/O, no
-clock.
+"""The composition root of one gatekeeper process: it connects the pure modules. No I/O, no clock.
 
-What it wants done goes out through `NodeIO`; time comes in with each call. The daemon and the simpy worlds of
-the tests run this very class.
+Effects go out through `NodeIO`; the time is passed to each call. The daemon and the simpy worlds of the tests
+run this same class.
 """
 
 import math
@@ -37,24 +36,24 @@
 from millfront.register.replica import PersistRequest, Replica
 from millfront.register.values import CONFIG, CORE, FIRST_AGREED_EPOCH, Core, Value, is_internal
 
-HANDOFF_REF = "rest"  # the reference of what a member that is back asks for
-SUBSCRIBER_TIMEOUT_S = 4.0  # a line on which nobody asked for so long is pushed nothing
-LEASE_SLACK_S = 1.5  # beyond its lease: the record may have been late, and it asked for it a moment after
+HANDOFF_REF = "rest"  # request reference of a returning member that fetches what it missed from a neighbour
+SUBSCRIBER_TIMEOUT_S = 4.0  # updates are not pushed to a connection without a poll for this long
+LEASE_SLACK_S = 1.5  # beyond the lease: a member's last record may be late, its lease renewed after it
 TICK_S = 0.25
-RECENT_SHARE = 0.66  # of apply_within: what is held refuses a route or key that no newer one allows
-FROZEN_AFTER_S = 2.0  # without a beat: this process was frozen, and what it knows of others is from before
-RELEARN_S = 1.2  # after that, until all others have been heard of anew: their records are due each second
-CATCH_UP_S = 0.25  # after that, until it has read all that came meanwhile
-MAX_FULL_TOTALS = 12  # totals of so many tenants go with each tick's record; of more, those that moved
-FULL_TOTALS_TICKS = 16  # and all of them each so many ticks
-CHANGED_WITHIN_S = 5.5  # several ticks: a few messages may be lost
+RECENT_SHARE = 0.66  # of apply_within: state confirmed within it may refuse unknown routes and keys
+FROZEN_AFTER_S = 2.0  # without a tick: the process was frozen, and its view of other members is outdated
+RELEARN_S = 1.2  # after a freeze, until every member has been heard from again: records are due each second
+CATCH_UP_S = 0.25  # after a freeze, until all input that arrived during it has been read
+MAX_FULL_TOTALS = 12  # tenants; each record carries the totals of up to so many, else only changed totals
+FULL_TOTALS_TICKS = 16  # gossip ticks between records that carry all totals
+CHANGED_WITHIN_S = 5.5  # several gossip ticks, since a few messages may be lost
 FLUSH_CHANGED_WITHIN_S = 0.5
-GOSSIP_TICKS = 4  # of the members' and the prices' tick, about a second
+GOSSIP_TICKS = 4  # ticks per gossip tick (membership, prices), about a second
 Message = dict[str, Any]
 
 
 class Gatekeeper(AdminOperations):
-    """One process. `configuration` and `evacuated` are what is in force here."""
+    """One process. `configuration` and `evacuated` hold the state in force in this process."""
 
     def __init__(
         self,
@@ -66,11 +65,11 @@
         seed: int,
         stored_operations: dict[str, str] | None = None,
     ) -> None:
-        """:param stored: what the disk has; None: this process has no disk and keeps nothing
-        :param stored_operations: the disk's rows of operation keys
+        """:param stored: the register's values on disk; None: this process has no disk and no replica
+        :param stored_operations: the rows of operation keys on disk
         """
         self.settings, self.io, self.name = settings, io, settings.name
-        still = {
+        identity = {
             "post": settings.post_address,
             "zone": settings.zone,
             "region": settings.region,
@@ -81,24 +80,24 @@
         self.seeds_ctl = list(settings.seeds)
         seeds = self._post_addresses(settings.seeds)
         self.invariants = Invariants(self._report_violation)
-        self.membership = Membership(settings.name, still, seeds, incarnation, seed, self.invariants)
-        self.replica = Replica(stored, settings.fresh) if stored is not None and still["core"] else None
-        life = f"{settings.name}.{incarnation}.{seed:x}"
-        subscriber = Subscriber(life, LEASE_SHARE * settings.bounds.revoke_within, settings.name)
-        super().__init__(Coordinator(life), subscriber, now, seed)  # now: as of the last event
-        self.discovery = ServerDiscovery(self, life, now)
+        self.membership = Membership(settings.name, identity, seeds, incarnation, seed, self.invariants)
+        self.replica = Replica(stored, settings.fresh) if stored is not None and identity["core"] else None
+        incarnation_name = f"{settings.name}.{incarnation}.{seed:x}"
+        subscriber = Subscriber(incarnation_name, LEASE_SHARE * settings.bounds.revoke_within, settings.name)
+        super().__init__(Coordinator(incarnation_name), subscriber, now, seed)  # now: as of the last event
+        self.discovery = ServerDiscovery(self, incarnation_name, now)
         self.server_list = self.discovery.server_list
         self.quotas = QuotaGrants(self, now)
         self.admission = Admission(settings.bounds, now, self.quotas, settings.name)
         self.configuration: configurations.Configuration | None = None
         self.evacuated: PSet[str] = pset()
-        # Called when the configuration or the evacuations have changed, and when the servers have
+        # Callbacks of the data plane; the first also when evacuations or the core change
         self.on_configuration_changed: Callable[[], None] = lambda: None
         self.on_servers_changed: Callable[[], None] = lambda: None
-        self.subscribers: dict[Any, float] = {}
-        self.update_number = 0  # the number of the last update pushed
-        self.acknowledged_by: set[Any] = set()  # who has acknowledged it
-        self.pushed_to = 0  # how many it was pushed to
+        self.subscribers: dict[Any, float] = {}  # connection -> time of its last poll
+        self.update_number = 0  # of the last update pushed
+        self.acknowledged_by: set[Any] = set()  # connections that acknowledged that update
+        self.pushed_to = 0  # number of connections it was pushed to
         self.started_at = now
         self.ticks, self.last_tick = 0, now
         self.frozen_s, self.catching_up_until, self.members_current_at = 0.0, now, now
@@ -106,47 +105,48 @@
         self.hinted_handoff = HintedHandoff()
         self.directory = Directory(self.membership, settings, self.invariants)
         self.disk_ok = True  # as of the last sync
-        self._noted_liveness: dict[str, str] = {}  # of the others, as last noted
+        self._noted_liveness: dict[str, str] = {}  # of other members, as last written to the event log
         rows = (stored_operations or {}) if self.replica is not None else None
-        self.operations = Operations(self, rows, life)
+        self.operations = Operations(self, rows, incarnation_name)
         self.reconfiguration = Reconfiguration(self)
         if self.replica is not None and self.replica.votes:
             self._adopt(dict(self.replica.values))
 
     def _post_addresses(self, seeds: Iterable[str]) -> list[str]:
-        """Where the system's own processes on those machines are reached: all have the same ports."""
+        """The internal addresses of the processes on the seeds' machines: all use the same port."""
         return [f"{seed.rpartition(':')[0]}:{self.settings.port}" for seed in seeds]
 
     @property
     def post_address(self) -> str:
-        """Where the system's other processes reach this one."""
+        """``host:port`` where the system's other processes reach this one."""
         return self.settings.post_address
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
-        """The settings name others that may know more."""
+        """Replace the seeds by those of a changed settings file."""
         self.seeds_ctl, self.membership.seeds = list(seeds), self._post_addresses(seeds)
 
     def note(self, part: str, text: str, **facts: Any) -> None:
-        """In the event log, and as a line of the log."""
+        """Write an entry to the event log and a line to the log."""
         self.event_log.write(self.now, part, text, **facts)
         self.io.log(part, text)
 
     def _report_violation(self, invariant: Invariant, detail: str) -> None:
-        self.note("invariant", f"{invariant.value} is violated: {detail}")
+        self.note("invariant", f"{invariant.value} violated: {detail}")
 
     # ---- what is in force ------------------------------------------------------------------------
 
     def trusted(self, now: float) -> bool:
-        """Whether nothing newer than what is held here can have been acknowledged `revoke_within` ago."""
+        """Whether no version newer than the one held here can have been acknowledged more than
+        `revoke_within` ago: the lease is valid, or keys are not revoked globally."""
         return not self.settings.bounds.revoke_global or now < self.subscriber.lease_until()
 
     def recent_enough(self, now: float) -> bool:
-        """Whether what is held here may refuse a route or a key: a newer version, if there is one, was
+        """Whether the held configuration may refuse a route or a key: a newer version, if there is one, was
         acknowledged less than `apply_within` ago."""
         return now - self.subscriber.as_of() < RECENT_SHARE * self.settings.bounds.apply_within
 
     def missing_to_be_ready(self, now: float) -> list[str]:
-        """What it takes to be ready and is not there, in the order in which a start gets to it."""
+        """The unmet conditions of readiness, in the order in which a start meets them."""
         checks = (
             (self.configuration is not None, "a configuration"),
             (self.server_list.has_list(), "a list of servers"),
@@ -154,14 +154,14 @@
             (self.trusted(now), "a lease"),
             (not self.membership.own_record.leaving, "to stay: it leaves"),
         )
-        return [name for well, name in checks if not well]
+        return [name for met, name in checks if not met]
 
     def ready(self, now: float) -> bool:
-        """Whether this process may serve clients: `missing_to_be_ready` names nothing."""
+        """Whether this process may serve clients: `missing_to_be_ready` is empty."""
         return not self.missing_to_be_ready(now)
 
     def _adopt(self, found: dict[str, Value]) -> None:
-        """The one way in for values: what is newer is in force from here on, and nothing goes back."""
+        """Put newer values in force; the only place that does. Older values never replace newer ones."""
         changed = self.subscriber.adopt({k: value for k, value in found.items() if not is_internal(k)})
         for key in changed:
             value = self.subscriber.values[key]
@@ -173,44 +173,45 @@
                         self.quotas.granter.set_tenants(self.io.now(), made.by_name)
                         self.note("register", f"configuration {made.version:08x} is in force")
                     case Err(fault):
-                        self.note("register", f"configuration {value.version:08x} can't be used: {fault}")
+                        self.note("register", f"configuration {value.version:08x} is invalid: {fault}")
             elif key.startswith(EVACUATION):
                 zone = key.removeprefix(EVACUATION)
                 on = value.data == "1"
                 self.evacuated = self.evacuated.add(zone) if on else self.evacuated.discard(zone)
-                self.note("register", f"zone {zone} is {'evacuated' if on else 'taken back'}")
+                self.note("register", f"zone {zone} is {'evacuated' if on else 'back in service'}")
             elif key == CORE:
                 self.note(
-                    "register", f"core {value.version} is {' '.join(sorted(Core.from_value(value).members))}"
+                    "register", f"core {value.version}: {' '.join(sorted(Core.from_value(value).members))}"
                 )
         if CORE in changed:
             self.quotas.core_changed(self.io.now())
         if CORE in changed and self.ticks:
             self._on_core_changed()
-            self._poll_subscriber(self.now)  # at once: a process that starts has clients waiting
+            self._poll_subscriber(self.now)  # at once: clients may wait for a process that starts
         if changed:
             self.on_configuration_changed()
             self._publish_state(self.now)
 
     def _on_core_changed(self) -> None:
-        """The core has changed: what is under way goes on with the new one."""
+        """Continue open rounds with the new core."""
         self.reconfiguration.core_changed()
         core = self.subscriber.core
         assert core is not None
         self.renew_rounds(core)
 
     def _publish_state(self, now: float) -> None:
-        """Ready, a whole copy or not: members, who send clients or change the core, learn it at once."""
-        me = self.membership.own_record
-        ready, keeps = self.ready(now), self.reconfiguration.has_full_copy()
-        if (ready, keeps) != (me.ready, me.has_full_copy) and self.membership.ticks:
-            me.ready, me.has_full_copy = ready, keeps
+        """Gossip a change of readiness or of the full copy at once: others direct clients and change the core
+        by them."""
+        own = self.membership.own_record
+        ready, full_copy = self.ready(now), self.reconfiguration.has_full_copy()
+        if (ready, full_copy) != (own.ready, own.has_full_copy) and self.membership.ticks:
+            own.ready, own.has_full_copy = ready, full_copy
             self.flush(now)
 
     # ---- time ------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Every TICK_S."""
+        """Run the periodic work of all parts; called every `TICK_S`."""
         if now - self.last_tick >= FROZEN_AFTER_S:
             self.frozen_s, self.catching_up_until = now - self.last_tick, now + CATCH_UP_S
             self.members_current_at = now + RELEARN_S
@@ -230,8 +231,11 @@
         }
 
     def _gone_after_s(self) -> float:
-        """A process that nobody here hears of is in another part of the fleet, or dead. If a majority of the
-        core is in this part, it can't have a lease for long: it admits nothing with a key any more."""
+        """Seconds without records after which another process admits no keyed requests; infinite if unknown.
+
+        It is dead or on the other side of a network partition. If a majority of the core is on this side, it
+        can't renew its lease, and without a lease it admits no request with a key.
+        """
         core, records = self.subscriber.core, self.membership.records
         if core is None or not self.settings.bounds.revoke_global:
             return math.inf
@@ -243,16 +247,16 @@
         return LEASE_SLACK_S + self.subscriber.lease_s if core.is_write_quorum(here) else math.inf
 
     def flush(self, now: float) -> None:
-        """This process's record has changed in what others act on at once."""
-        me = self.membership.own_record
-        me.totals, me.uptime = self.admission.totals(), now - self.membership.started_at
-        # Of few tenants all are named: that one has not moved lowers what it is taken to send
-        moved = (
+        """Gossip this process's record now, after a change that others act on at once."""
+        own = self.membership.own_record
+        own.totals, own.uptime = self.admission.totals(), now - self.membership.started_at
+        # All totals if there are few: an unchanged total lowers the rate that others assume for it
+        changed = (
             self.admission.changed_totals(now, FLUSH_CHANGED_WITHIN_S)
-            if len(me.totals) > MAX_FULL_TOTALS
+            if len(own.totals) > MAX_FULL_TOTALS
             else None
         )
-        for address, message in self.membership.flush(moved):
+        for address, message in self.membership.flush(changed):
             self.io.send_datagram(address, message)
 
     def _poll_subscriber(self, now: float) -> None:
@@ -260,11 +264,11 @@
             self.send_to_replica(now, name, self.subscriber.core.all_members[name], message)  # type: ignore[union-attr]
 
     def near_replicas(self) -> list[str]:
-        """Core members by distance: this one, its zone, its region, the others; lost ones last."""
+        """Core members by distance: this one, its zone, its region, the others; unreachable ones last."""
         return sorted(self.subscriber.replicas, key=lambda name: (self.distance(name), name))
 
     def distance(self, name: str) -> Distance:
-        """Of another process, or of this one, by its zone and region."""
+        """The distance of a member, or of this process itself."""
         if name == self.name:
             return Distance(unreachable=False, other_region=False, other_zone=False, other_process=False)
         record = self.membership.records.get(name)
@@ -279,19 +283,19 @@
         if self.pushed_to:
             self.note(
                 "delivery",
-                f"news {self.update_number} was had by {len(self.acknowledged_by)} of {self.pushed_to}",
+                f"update {self.update_number}: {len(self.acknowledged_by)} of {self.pushed_to} acknowledged",
             )
             self.pushed_to = 0
-        me = self.membership.own_record
-        me.ready, me.totals = self.ready(now), self.admission.totals()
-        me.config_version = self.configuration.version if self.configuration is not None else 0
+        own = self.membership.own_record
+        own.ready, own.totals = self.ready(now), self.admission.totals()
+        own.config_version = self.configuration.version if self.configuration is not None else 0
         sparse = (
-            len(me.totals) > MAX_FULL_TOTALS
+            len(own.totals) > MAX_FULL_TOTALS
             and self.membership.ticks > 3
             and self.membership.ticks % FULL_TOTALS_TICKS
         )
-        moved = self.admission.changed_totals(now, CHANGED_WITHIN_S) if sparse else None
-        for address, message in self.membership.tick(now, moved):
+        changed = self.admission.changed_totals(now, CHANGED_WITHIN_S) if sparse else None
+        for address, message in self.membership.tick(now, changed):
             self.io.send_datagram(address, message)
         self.admission.tick(now, *self.membership.possibly_running(now, self._gone_after_s()))
         self.quotas.gossip_tick(now)
@@ -300,38 +304,40 @@
         self._note_liveness(now)
 
     def _hand_off_hints(self) -> None:
-        """Who is heard of again gets what it has missed, from one of its region by duty, one without
-        a disk, where there is one, so that the core is asked last."""
+        """Send returning members the values that they missed. One owner per member does it: a process of the
+        member's region, preferably without a disk, so as not to load the core."""
         known = [record for record in self.membership.others() if record.identity is not None]
         for name, values in self.hinted_handoff.update(known, self.subscriber.values).items():
-            still = self.membership.records[name].identity
-            assert still is not None
+            identity = self.membership.records[name].identity
+            assert identity is not None
             others = [
                 record
                 for record in self.membership.live()
                 if record.name != name and record.identity is not None
             ]
-            near = [record for record in others if record.identity["region"] == still["region"]]  # type: ignore[index]
+            near = [record for record in others if record.identity["region"] == identity["region"]]  # type: ignore[index]
             plain = [record for record in near if not record.identity["core"]]  # type: ignore[index]
             names = [record.name for record in plain or near or others]
             if not values or owners(f"rest {name}", names) != [self.name]:
                 continue
-            self.io.send(still["post"], self.subscriber.handoff(values))
+            self.io.send(identity["post"], self.subscriber.handoff(values))
             if self.server_list.has_list():
-                self.io.send(still["post"], self.server_list.full_list(self.now))
+                self.io.send(identity["post"], self.server_list.full_list(self.now))
 
     def _note_liveness(self, now: float) -> None:
-        """For the event log alone: who is heard of, and whose the list is."""
-        configurations = {record.name: record.liveness.value for record in self.membership.others()}
-        for name, word in configurations.items():
+        """Write changes of members' liveness and of the platform's poller to the event log only."""
+        liveness = {record.name: record.liveness.value for record in self.membership.others()}
+        for name, word in liveness.items():
             before = self._noted_liveness.get(name, "new")
             if word != before and "suspect" not in (word, before):
-                heard = round(now - self.membership.records[name].written_at, 2)
-                self.event_log.write(now, "membership", f"{name} is {word}", before=before, heard_ago=heard)
-        kept = {
-            name: word for name, word in self._noted_liveness.items() if configurations.get(name) == "suspect"
+                heard_ago = round(now - self.membership.records[name].written_at, 2)
+                self.event_log.write(
+                    now, "membership", f"{name} is {word}", before=before, heard_ago=heard_ago
+                )
+        suspected = {
+            name: word for name, word in self._noted_liveness.items() if liveness.get(name) == "suspect"
         }
-        self._noted_liveness = configurations | kept
+        self._noted_liveness = liveness | suspected
         self.discovery.note_poller(now)
 
     # ---- messages --------------------------------------------------------------------------------
@@ -344,7 +350,7 @@
             self.io.send(address, message)
 
     def _call_replica(self, now: float, via: Any, message: Message) -> None:
-        """A call to this process's replica."""
+        """Pass a request to this process's replica; send its answers and persist its values."""
         if self.replica is None:
             self._send_answer(now, via, {"t": "no", "r": message.get("r")})
             return
@@ -359,22 +365,22 @@
     def _send_answer(self, now: float, via: Any, message: Message) -> None:
         message["m"] = self.name
         if via is SELF:
-            self._reply(now, message)
+            self._handle_reply(now, message)
         else:
             self.io.reply(via, message)
 
     def synced(self, now: float, persist: PersistRequest, well: bool) -> None:
-        """The disk is done with it."""
+        """The disk has synced the request (`well`) or has failed to."""
         self.now = now
         replica = self.replica
         assert replica is not None
         if not well:
-            self.note("register", "the disk takes nothing: this replica does not count")
+            self.note("register", "the disk failed to sync: this replica acknowledges nothing")
         answer, self.disk_ok = persist.reply[1], well
         for to, message in replica.synced(persist, well):
             if answer["t"] == "recovered" and well:
                 replica.recovered()
-                self.note("register", "recovered, and votes")
+                self.note("register", "recovered: the replica votes")
             else:
                 self._send_answer(now, to, message)
         if well and replica.votes:
@@ -383,16 +389,16 @@
                 self._push_update()
 
     def _push_update(self) -> None:
-        """A numbered update to the subscribers of this replica."""
+        """Push a numbered update with the values' stamps to the subscribers of this replica."""
         assert self.replica is not None
         self.update_number += 1
-        news = {"t": "news", "n": self.update_number, "s": self.replica.stamps(), "m": self.name}
+        update = {"t": "news", "n": self.update_number, "s": self.replica.stamps(), "m": self.name}
         self.acknowledged_by, self.pushed_to = set(), len(self.subscribers)
         for via in self.subscribers:
-            self.io.reply(via, news)
+            self.io.reply(via, update)
 
     def handle_message(self, now: float, via: Any, message: Message) -> None:
-        """Something came on a held connection; answers go back on it."""
+        """Dispatch a message that arrived on connection `via`; answers go back on it."""
         self.now = now
         match message["t"]:
             case str() as kind if kind.startswith(OPERATION):
@@ -414,9 +420,9 @@
                 self._adopt({key: Value.from_wire(value) for key, value in message["v"].items()})
                 self._ask_sender(via, self.subscriber.fetch_handoff(now, message))
             case _:
-                self._reply(now, message)
+                self._handle_reply(now, message)
 
-    def _reply(self, now: float, message: Message) -> None:
+    def _handle_reply(self, now: float, message: Message) -> None:
         sender, kind = message.get("m", ""), message["t"]
         if kind == "no":
             self._on_fenced(now, sender, message)
@@ -447,7 +453,8 @@
                 self.send_to_replica(now, name, self.subscriber.core.all_members[name], out)
 
     def _on_fenced(self, now: float, sender: str, message: Message) -> None:
-        """A replica is of another core than the call was for: one of the two has missed a change."""
+        """A replica refused a request of another core epoch: it or this process missed a change. Adopt its
+        newer core, or send it ours."""
         core = self.subscriber.core
         if "core" in message:
             self._adopt_core(message["core"])
@@ -462,7 +469,7 @@
             self._adopt({CORE: core})
 
     def handle_datagram(self, now: float, back: str, message: Message) -> None:
-        """Something came from another process, whose address is `back`."""
+        """Dispatch a datagram from the process at address `back`."""
         self.now = now
         kind = message["t"]
         if kind == "core?":
@@ -484,14 +491,14 @@
             self.admission.handle_totals(now, told.name, told.incarnation, told.uptime, told.totals)
 
     def _receive_delay_s(self, now: float) -> float:
-        """Seconds that what is read now may have waited here: this process did nothing since its last beat,
-        or has only just gone on and still reads what came meanwhile."""
+        """Seconds that a message read now may have waited in this process's buffers: since the last tick if
+        it was frozen, or the length of the freeze while the backlog is read; else 0."""
         if now - self.last_tick >= FROZEN_AFTER_S:
             return now - self.last_tick
         return self.frozen_s if now < self.catching_up_until else 0.0
 
     def polled(self, now: float, number: int, found: PlatformList | ReadFailure) -> None:
-        """The platform's answer, or why there is none."""
+        """Handle the platform's answer to poll `number`, or the reason why there is none."""
         self.now = now
         self.discovery.polled(now, number, found)
         self._publish_state(now)
@@ -499,7 +506,8 @@
     # ---- the directory -----------------------------------------------------------------------------
 
     def resolve(self, now: float, region: str) -> list[str]:
-        """Where clients of that region go: its gatekeepers that are ready and heard of; else all such."""
+        """Addresses for clients of a region (`Directory.addresses`); none while this process is frozen or has
+        just been."""
         if now - self.last_tick >= FROZEN_AFTER_S or now < self.members_current_at:
             return []
         return self.directory.addresses(now, region, self.ready(now))
--- a/millfront/gatekeeper/node_io.py
+++ b/millfront/gatekeeper/node_io.py
@@ -1,4 +1,4 @@
-"""What a gatekeeper asks of its surroundings, and how far another process is. No I/O, no clock.
+"""The I/O interface of a gatekeeper, and the distance between processes. No I/O, no clock.
 
 The daemon (`process.py`) and the simulated worlds of the tests each implement `NodeIO`.
 """
@@ -14,38 +14,38 @@
 
 
 class NodeIO(OperationsIO, Protocol):
-    """What a gatekeeper asks of its I/O."""
+    """The I/O that a gatekeeper needs."""
 
     def send_datagram(self, address: str, message: Message) -> None:
-        """Send one datagram; it may be lost."""
+        """Send one datagram to ``host:port``; it may be lost."""
 
     def send(self, address: str, message: Message) -> None:
-        """On a held connection; lost where it can't be had."""
+        """Send on a persistent connection to ``host:port``; lost if it can't be opened."""
 
     def reply(self, via: Any, message: Message) -> None:
-        """On the connection that something came on."""
+        """Send on the connection that a message arrived on."""
 
     def persist(self, persist: PersistRequest) -> None:
-        """Sync it, then tell `Gatekeeper.synced`."""
+        """Sync the values to disk, then call `Gatekeeper.synced`."""
 
     def poll_platform(self, number: int) -> None:
-        """Ask the platform for its list, then tell `Gatekeeper.polled`."""
+        """Fetch the platform's list of servers, then call `Gatekeeper.polled` with this number."""
 
     def log(self, part: str, text: str) -> None:
-        """A log line."""
+        """Write a line to the log."""
 
     def call_later(self, seconds: float, then: Callable[[], None]) -> None:
-        """Call that after so long, unless the process has ended."""
+        """Call `then` after that many seconds, unless the process has ended."""
 
     def now(self) -> float:
-        """The time as it is, on the steady clock."""
+        """The present time in seconds on the monotonic clock."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Distance:
-    """Of another process from this one; the least is the nearest. ``unreachable``: it is, or it leaves."""
+    """Distance of another process from this one; the smallest is the nearest."""
 
-    unreachable: bool
-    other_region: bool  # in another region, or not known where
+    unreachable: bool  # or leaving
+    other_region: bool  # or in an unknown place
     other_zone: bool
     other_process: bool
