--- a/millfront/gatekeeper/process.py
+++ b/millfront/gatekeeper/process.py
@@ -1,4 +1,4 @@
-"""One gatekeeper as a process: the loop, its connections and its disk round the pure parts, and its end."""
+"""One gatekeeper as a process: the event loop, connections and disk around the pure parts, and shutdown."""
 
 import asyncio
 import gc
@@ -31,11 +31,11 @@
     from millfront.storage.disk import Disk
     from millfront.storage.operations_disk import OperationsDisk
 
-SETTINGS_CHECK_TICKS = 8  # between two looks at the settings file, 2 s
-DRAIN_SHARE = 0.6  # of the grace, from SIGTERM until clients are no longer taken on
-END_MARGIN_S = 0.3  # before the grace ends
-IDLE_CHECK_S = 0.02  # between two looks at whether anything is under way
-IDLE_CHECKS = 6
+SETTINGS_CHECK_TICKS = 8  # between checks of the settings file, 2 s
+DRAIN_SHARE = 0.6  # of the grace period: 0.8 of this after SIGTERM no new clients are accepted
+END_MARGIN_S = 0.3  # the process ends so long before the grace period does
+IDLE_CHECK_S = 0.02  # between checks whether any work is open
+IDLE_CHECKS = 6  # in a row without open work, after which the process ends
 
 
 class GatekeeperProcess:
@@ -51,17 +51,19 @@
         stored_operations: dict[str, str] | None = None,
         settings_modified_ns: int | None = None,
     ) -> None:
-        """:param settings_modified_ns: when the settings file was changed last before it was read, in ns
-        :param metrics_port: where metrics are scraped besides ``ctl``; 0: nowhere"""
+        """:param stored: the register's values on disk; None: this process has no replica
+        :param metrics_port: an additional port for metrics besides ``ctl``; 0: none
+        :param stored_operations: the rows of operation keys on disk
+        :param settings_modified_ns: modification time of the settings file before it was read, in ns"""
         self.settings, self.disk, self.metrics_port = settings, disk, metrics_port
         self.operations_disk = operations_disk
         self.loop = asyncio.get_running_loop()
-        seed = int.from_bytes(os.urandom(6))  # of this incarnation alone: a clock may step back
+        seed = int.from_bytes(os.urandom(6))  # unique to this incarnation, as the clock may step back
         incarnation = time.time_ns() // 1_000_000
         self.gatekeeper = Gatekeeper(settings, self, stored, self.now(), incarnation, seed, stored_operations)
         self.proxy = Proxy(self.gatekeeper, seed, self.now)
         self.transport = Transport(
-            lambda line, message: self.gatekeeper.handle_message(self.now(), line, message),
+            lambda via, message: self.gatekeeper.handle_message(self.now(), via, message),
             lambda back, message: self.gatekeeper.handle_datagram(self.now(), back, message),
             settings.listen_ip,
         )
@@ -73,34 +75,34 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def now(self) -> float:
-        """Seconds on the steady clock."""
+        """Seconds on the monotonic clock."""
         return time.monotonic()
 
-    # ---- what the gatekeeper asks for (NodeIO) ---------------------------------------------------
+    # ---- NodeIO ----------------------------------------------------------------------------------
 
     def send_datagram(self, address: str, message: Message) -> None:
         """Send one datagram to ``host:port``; it may be lost."""
         self.transport.send_datagram(address, message)
 
     def send(self, address: str, message: Message) -> None:
-        """Send on the held connection to ``host:port``; lost where it can't be had."""
+        """Send on the persistent connection to ``host:port``; lost if it can't be opened."""
         self.transport.send(address, message)
 
     def reply(self, via: Any, message: Message) -> None:
-        """Send on the connection that something came on; ``via`` is its `Connection`."""
+        """Send on the `Connection` ``via`` that a message arrived on."""
         assert isinstance(via, Connection)
         via.send(message)
 
     def persist(self, persist: PersistRequest) -> None:
-        """Sync it in the disk's thread, then tell `Gatekeeper.synced` whether it held."""
+        """Sync the values in the disk's thread, then call `Gatekeeper.synced` with the outcome."""
         self.start_task(self._persist(persist))
 
     def persist_operations(self, batch: Batch) -> None:
-        """Sync it in a thread, then tell `Operations.synced` whether it held."""
+        """Sync the batch in a thread, then call `Operations.synced` with the outcome."""
         self.start_task(self._persist_operations(batch))
 
     def poll_platform(self, number: int) -> None:
-        """Ask the platform for its list, then tell `Gatekeeper.polled`."""
+        """Fetch the platform's list of servers, then call `Gatekeeper.polled`."""
         self.start_task(self._poll(number))
 
     def log(self, part: str, text: str) -> None:
@@ -108,19 +110,19 @@
         logger.info("{}: {}", part, text)
 
     def call_later(self, seconds: float, then: Callable[[], None]) -> None:
-        """Call that after so long."""
+        """Call `then` after that many seconds."""
         self.loop.call_later(seconds, then)
 
     def start_task(self, work: Any) -> None:
-        """A task whose fault is its own."""
+        """Run a coroutine as a task; its exception is logged and affects nothing else."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._task_done)
 
     def _task_done(self, task: "asyncio.Task[None]") -> None:
         self.tasks.discard(task)
-        if not task.cancelled() and (wrong := task.exception()) is not None:
-            logger.opt(exception=wrong).error("gatekeeper: a task failed")
+        if not task.cancelled() and (error := task.exception()) is not None:
+            logger.opt(exception=error).error("gatekeeper: background task failed")
 
     async def _persist(self, persist: PersistRequest) -> None:
         from millfront.storage.lmdb_folder import DiskError
@@ -151,7 +153,7 @@
     def check_configuration(
         self, text: str, then: Callable[[Result[Configuration, ConfigurationError]], None]
     ) -> None:
-        """Read a long configuration in a thread, so that traffic goes on."""
+        """Parse and check a long configuration in a thread, so that traffic is not held up."""
 
         async def checking() -> None:
             then(await self.loop.run_in_executor(self.check_executor, checked, text))
@@ -164,16 +166,16 @@
             found = await read_list(self.settings.cloud)
         except PlatformError as fault:
             found = fault.failure
-            logger.info("discovery: the platform's list can't be had: {}", fault)
+            logger.info("discovery: cannot fetch the platform's list of servers: {}", fault)
         finally:
             self.gatekeeper.polled(self.now(), number, found)
 
     # ---- lifecycle ---------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Listen, serve until SIGTERM or SIGINT, then end within the grace period.
+        """Listen, serve until SIGTERM or SIGINT, then shut down within the grace period.
 
-        :raises OSError: an address can't be listened at
+        :raises OSError: an address to listen at is not available
         """
         settings = self.settings
         await self.transport.listen(settings.listen_ip or settings.ip, settings.port)
@@ -184,27 +186,27 @@
             self._listen_for_metrics()
         if "plain" in settings.bindings:
             self.proxy.server.listen(Address.parse(settings.bindings["plain"], "plain"))
-        for made in (self.proxy.server, *(c.server for c in self.control_apis)):
-            self.start_task(made.sweep())
+        for server in (self.proxy.server, *(c.server for c in self.control_apis)):
+            self.start_task(server.sweep())
         self.start_task(self.proxy.members.run())
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.ending.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         logger.info("gatekeeper: {} serves {}", settings.name, " ".join(settings.serves))
-        beat = self.loop.create_task(self._tick_loop())
+        ticking = self.loop.create_task(self._tick_loop())
         await self.ending.wait()
         await self._shut_down()
-        beat.cancel()
+        ticking.cancel()
 
     def _listen_for_metrics(self) -> None:
-        """A process serves also where its metrics can't be had."""
+        """Serve metrics on their own port; if it is not available the process runs without."""
         address = f"{self.settings.ip}:{self.metrics_port}"
         try:
             self.control_apis += api.create_apis(
                 self.gatekeeper, self.now, {"metrics": address}, self.check_configuration
             )
         except OSError as fault:
-            logger.warning("metrics: can't be had at {}: {}", address, fault)
+            logger.warning("metrics: cannot listen at {}: {}", address, fault)
 
     async def _tick_loop(self) -> None:
         due = self.loop.time()
@@ -214,48 +216,48 @@
                 self.proxy.update_cold_owners()
                 if self.gatekeeper.ticks % SETTINGS_CHECK_TICKS == 0:
                     self.check_settings_file()
-            except Exception:  # one beat's fault must not stop all others
-                logger.exception("gatekeeper: a beat failed")
+            except Exception:  # a fault in one tick must not stop the later ones
+                logger.exception("gatekeeper: tick failed")
             due = max(due + TICK_S, self.loop.time() - TICK_S)
             await asyncio.sleep(max(0.01, due - self.loop.time()))
 
     def check_settings_file(self) -> None:
-        """The settings file may change without a signal."""
-        changed = _modified_ns(os.environ)
-        if changed is not None and changed != self.settings_modified_ns:
+        """Reload the settings file if its modification time has changed: it may change without a signal."""
+        modified_ns = _modified_ns(os.environ)
+        if modified_ns is not None and modified_ns != self.settings_modified_ns:
             if self.settings_modified_ns is not None:
                 self.reload()
-            self.settings_modified_ns = changed
+            self.settings_modified_ns = modified_ns
 
     def reload(self) -> None:
-        """The settings file has changed: its seeds hold from now on; a torn one changes nothing."""
+        """Reload the settings file and apply its seeds; an invalid or half-written file changes nothing."""
         match load(os.environ):
             case Err(fault):
-                logger.warning("settings: the file stays unread: {}", fault)
-            case Ok(told):
-                self.gatekeeper.set_seeds(told.seeds)
-                logger.info("settings: read anew")
+                logger.warning("settings: reload rejected, the old settings stay in force: {}", fault)
+            case Ok(settings):
+                self.gatekeeper.set_seeds(settings.seeds)
+                logger.info("settings: reloaded, seeds applied")
 
     async def _shut_down(self) -> None:
-        """Say so to all, go on while clients come, send them away, finish what is open; stay a member
-        of the core, and vote, until the core has changed."""
+        """Announce the shutdown, serve on while clients still arrive, then close their connections and finish
+        open requests. A core member keeps voting until the core has replaced it."""
         grace = self.settings.bounds.grace_period
         end = self.now() + grace - END_MARGIN_S
-        logger.info("gatekeeper: ends")
+        logger.info("gatekeeper: shutting down")
         self.gatekeeper.reconfiguration.leave(self.now())
         server = self.proxy.server
         await asyncio.sleep(DRAIN_SHARE * grace * 0.5)
         server.set_closing(True)
         await asyncio.sleep(DRAIN_SHARE * grace * 0.3)
         server.stop_accepting()
-        looks = 0  # in a row at which nothing was under way: a request may still come on a kept connection
-        while self.now() < end and looks < IDLE_CHECKS:
+        idle_checks = 0  # in a row; a request may still arrive on a kept-alive connection
+        while self.now() < end and idle_checks < IDLE_CHECKS:
             server.close_idle()
-            looks = 0 if self._has_open_work() else looks + 1
+            idle_checks = 0 if self._has_open_work() else idle_checks + 1
             await asyncio.sleep(IDLE_CHECK_S)
 
     def _has_open_work(self) -> bool:
-        """Whether something is open that is to end before this process does."""
+        """Whether something is open that must end before this process does."""
         server = self.proxy.server
         if self.proxy.open_requests > 0 or server.unanswered_count() or server.unsent_count():
             return True
@@ -264,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disks:
-    """What a machine with a disk keeps, and what was there at the start."""
+    """The disk stores of a machine, and what they held at the start; all None without a disk."""
 
     register: "Disk | None" = None
     stored: dict[str, Value] | None = None
@@ -281,19 +283,19 @@
 
     register, operations = Disk(settings.state_dir), OperationsDisk(settings.state_dir)
     try:
-        stored, why = register.load()
+        stored, damage = register.load()
     except DiskError as fault:
-        logger.warning("disk: nothing can be stored here: {}", fault)
+        logger.warning("disk: register not usable, this process runs without a replica: {}", fault)
         return Disks()
-    stored_operations, why_not = operations.load()
-    for wrong in (why, why_not):
-        if wrong:
-            logger.warning("disk: what was stored can't be read and is set aside: {}", wrong)
+    stored_operations, operations_damage = operations.load()
+    for reason in (damage, operations_damage):
+        if reason:
+            logger.warning("disk: unreadable data set aside: {}", reason)
     return Disks(register, stored, operations, stored_operations)
 
 
 def _modified_ns(environment: Mapping[str, str]) -> int | None:
-    """When the settings file was changed last, in ns; None where it can't be told."""
+    """Modification time of the settings file in ns; None if it can't be read."""
     try:
         return os.stat(environment.get(CONFIG_VARIABLE, "")).st_mtime_ns
     except OSError:
@@ -301,9 +303,9 @@
 
 
 def run(environment: Mapping[str, str], metrics_port: int = 0) -> int:
-    """Serve until SIGTERM. Exit code 0 after a planned end, 2 where the settings can't be used.
+    """Serve until SIGTERM. Returns exit code 0 after a shutdown, 2 if the settings are invalid.
 
-    :param metrics_port: where metrics are scraped besides ``ctl``; 0: nowhere
+    :param metrics_port: an additional port for metrics besides ``ctl``; 0: none
     """
     settings_modified_ns = _modified_ns(environment)
     match load(environment):
@@ -313,8 +315,8 @@
         case Ok(settings):
             pass
     logger.remove()
-    form = "{time:HH:mm:ss.SSS} {level} {message}"
-    logger.add(sys.stderr, format=form, level=settings.log_level, serialize=settings.log_json)
+    log_format = "{time:HH:mm:ss.SSS} {level} {message}"
+    logger.add(sys.stderr, format=log_format, level=settings.log_level, serialize=settings.log_json)
     disks = _open_disks(settings)
     gc.collect()
     gc.freeze()
--- a/millfront/gatekeeper/start.py
+++ b/millfront/gatekeeper/start.py
@@ -1,8 +1,8 @@
-"""Starts a role with less memory, which is paid for on every machine.
+"""Starts the gatekeeper with less memory, which counts on every machine.
 
-The system's processes speak no TLS and hash with BLAKE2 alone, which is built in. Without `ssl` and OpenSSL's
-hashes, which asyncio and hashlib take where they are there and do without where not, a process holds some 5
-MB less. The first thing is to be deaf to SIGHUP, which would end a process that does not listen for it yet.
+The system's processes use no TLS and hash with the built-in BLAKE2 only. Without `ssl` and OpenSSL's hashes,
+which asyncio and hashlib use only if they are available, a process takes about 5 MB less. SIGHUP is ignored
+first: before its handler is installed it would end the process.
 """
 
 import signal
@@ -12,13 +12,13 @@
 
 OMITTED_MODULES = ("ssl", "_hashlib")
 PORT_LIMIT = 65536
-EXIT_USAGE = 2  # exit code
+EXIT_USAGE = 2  # invalid options on the command line
 
 
 def run(environment: Mapping[str, str], options: list[str]) -> int:
-    """The role `gatekeeper`; returns the exit code.
+    """Run the role `gatekeeper`; returns the exit code.
 
-    :param options: of the command line: ``--metrics-port PORT``, or none
+    :param options: command-line options: ``--metrics-port PORT``, or none
     """
     match options:
         case []:
@@ -26,9 +26,12 @@
         case ["--metrics-port", port] if port.isdecimal() and int(port) < PORT_LIMIT:
             metrics_port = int(port)
         case _:
-            print(f"millfront gatekeeper: can't use {' '.join(options)}", file=sys.stderr)
+            print(
+                f"millfront gatekeeper: expected [--metrics-port PORT], got {' '.join(options)}",
+                file=sys.stderr,
+            )
             return EXIT_USAGE
-    # Until the loop takes it, a SIGHUP would end the process; the settings are read after this anyway
+    # Until the loop handles SIGHUP it would end the process; the settings are read after this anyway
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     modules: dict[str, Any] = sys.modules
     for name in OMITTED_MODULES:
