--- a/millfront/gatekeeper/api.py
+++ b/millfront/gatekeeper/api.py
@@ -1,4 +1,4 @@
-"""The HTTP API: calls of operators, of the platform and of clients that ask where to go
+"""The HTTP API for operators, for the platform and for clients that look up gatekeepers
 (docs/openapi/gatekeeper.json)."""
 
 import json
@@ -18,9 +18,9 @@
 from millfront.node.http import Fields, Message
 from millfront.node.stages.take_in import NotTaken
 
-ANSWER_TTL_S = 2.0  # of an answer to clients: short, so that they leave soon where a gatekeeper is gone
+ANSWER_TTL_S = 2.0  # of an answer to clients; short, so that they soon leave a gatekeeper that is gone
 JSON: Fields = [(b"Content-Type", b"application/json")]
-TEXT: Fields = [(b"Content-Type", b"text/plain; version=0.0.4")]  # as metrics are scraped
+TEXT: Fields = [(b"Content-Type", b"text/plain; version=0.0.4")]  # of the Prometheus format
 EVACUATION = "/v1/evacuation/"
 METRICS = "/v1/metrics"
 MAX_CONNECTIONS = 400
@@ -30,13 +30,13 @@
 
 
 class BodyCollector:
-    """Takes a long body whole, as a server would."""
+    """Collects a long request body in memory."""
 
     def __init__(self, first: bytes, done: Callable[[bytes], None]) -> None:
         self.data, self.on_complete = bytearray(first), done
 
     def write_body(self, data: bytes, last: bool) -> bool:
-        """Keep the next bytes of the body; always True, as more may follow at once."""
+        """Append the next bytes of the body. Always returns True: more may follow at once."""
         self.data += data
         if last:
             self.on_complete(bytes(self.data))
@@ -44,13 +44,13 @@
 
 
 class Call:
-    """One call, open until its answer."""
+    """One API call, open until it is answered."""
 
     def __init__(self, message: Message, caller: Caller) -> None:
         self.message, self.caller, self.over = message, caller, False
 
     def answer(self, status: int, text: str = "", kind: Fields = JSON) -> None:
-        """Give the one answer; later ones are dropped. An error's text is wrapped in ``{"error": ...}``."""
+        """Send the answer; later ones are dropped. The text of an error is wrapped in ``{"error": ...}``."""
         if not self.over:
             self.over = True
             body = text.encode()
@@ -63,7 +63,7 @@
 
 
 class ControlApi:
-    """One listening address and what it answers."""
+    """One listening address and the calls that it serves."""
 
     def __init__(
         self,
@@ -72,7 +72,8 @@
         serves: frozenset[str],
         check: ConfigurationCheck,
     ) -> None:
-        """:param check: reads a long configuration beside the loop"""
+        """:param serves: names of the bindings at this address
+        :param check: parses and checks a long configuration in a thread beside the event loop"""
         self.gatekeeper, self.now, self.serves, self.check_configuration = gatekeeper, now, serves, check
         self.clock = Clock()
         self.server = VirtualServer(
@@ -81,21 +82,23 @@
         self.server.request_read_timeout_us = 5_000_000
 
     def listen(self, address: str) -> None:
-        """:raises OSError: the address can't be listened at"""
+        """Listen at ``HOST:PORT``.
+
+        :raises OSError: the address is not available"""
         self.server.listen(Address.parse(address, "bindings"))
 
     def body_complete(self, call: Call) -> None:
-        """Part of the virtual server's interface: a body is gathered by `BodyCollector` instead."""
+        """Part of the virtual server's interface; does nothing, as `BodyCollector` collects bodies."""
         pass
 
     def client_left(self, call: Call) -> None:
-        """The caller has closed its connection: an answer that comes later is dropped."""
+        """The caller has closed its connection: a later answer is dropped."""
         call.over = True
 
     def handle_request(self, message: Message, caller: Caller) -> Call | None:
-        """Answer one call, now or when the register has.
+        """Answer a call at once, or return it open while the register works on it.
 
-        :raises NotTaken: there is no such call
+        :raises NotTaken: unknown path, method or zone, or a call that this address does not serve
         """
         assert isinstance(message.start, tuple)
         method, target = message.start[0].decode(), message.start[1].decode("latin-1")
@@ -126,32 +129,32 @@
         elif path.startswith(EVACUATION) and "ctl" in self.serves and method in ("POST", "DELETE"):
             zone = path.removeprefix(EVACUATION)
             if zone not in gatekeeper.settings.zones:
-                raise NotTaken(404, f"no zone {zone}")
+                raise NotTaken(404, f"unknown zone {zone!r}")
             gatekeeper.evacuate(now, zone, method == "POST", call.answer, lambda: not call.over)
         else:
-            raise NotTaken(404, "no such call")
+            raise NotTaken(404, "no such call at this address")
         return None if call.over else call
 
     def _put_configuration(self, call: Call, body: bytes) -> None:
         try:
             text = body.decode()
         except UnicodeDecodeError:
-            call.answer(400, "is not UTF-8")
+            call.answer(400, "the configuration is not UTF-8")
             return
         if len(text) < MAX_INLINE_CHARS:
             self.gatekeeper.put(self.now(), text, call.answer)
         else:
             self.check_configuration(
-                text, lambda read: self.gatekeeper.put_checked(self.now(), read, call.answer)
+                text, lambda result: self.gatekeeper.put_checked(self.now(), result, call.answer)
             )
 
     def _resolve(self, call: Call, now: float, query: dict[str, list[str]]) -> None:
         region = query.get("region", [""])[0]
-        if found := self.gatekeeper.resolve(now, region):
-            valid = min(ANSWER_TTL_S, self.gatekeeper.settings.bounds.ttl_max)
-            call.answer(200, json.dumps({"addresses": found, "valid": f"{valid:g}s"}))
+        if addresses := self.gatekeeper.resolve(now, region):
+            ttl = min(ANSWER_TTL_S, self.gatekeeper.settings.bounds.ttl_max)
+            call.answer(200, json.dumps({"addresses": addresses, "valid": f"{ttl:g}s"}))
         else:
-            call.answer(503, "no gatekeeper is ready")
+            call.answer(503, "no ready gatekeeper is known")
 
     def _restore_register(self, call: Call, body: bytes) -> None:
         self.gatekeeper.restore(self.now(), body, call.answer, lambda: not call.over)
@@ -168,14 +171,17 @@
 def create_apis(
     gatekeeper: Gatekeeper, now: Callable[[], float], bindings: Any, check: ConfigurationCheck
 ) -> list[ControlApi]:
-    """An API for each address among the bindings; several names may share one."""
+    """Create and start an API for each address among the bindings; several names may share an address.
+
+    :raises OSError: an address is not available
+    """
     by_address: dict[str, set[str]] = {}
     for name in ("readiness", "ctl", "lookup", "metrics"):
         if name in bindings:
             by_address.setdefault(bindings[name], set()).add(name)
-    made = []
+    apis = []
     for address, serves in by_address.items():
         control_api = ControlApi(gatekeeper, now, frozenset(serves), check)
         control_api.listen(address)
-        made.append(control_api)
-    return made
+        apis.append(control_api)
+    return apis
--- a/millfront/gatekeeper/directory.py
+++ b/millfront/gatekeeper/directory.py
@@ -1,7 +1,7 @@
-"""The directory: which gatekeepers clients of a region are told to go to. No I/O, no clock.
+"""The directory: which gatekeepers clients of a region are directed to. No I/O, no clock.
 
-A client holds on to an answer for seconds, so nobody is named who may be gone: its record must be recent, by
-when it was written.
+A client uses an answer for seconds, so members that may be gone are left out: a member's record must be
+recent by the time at which it was written.
 """
 
 from millfront.environment import Settings
@@ -9,25 +9,26 @@
 from millfront.membership.gossip import Membership
 from millfront.membership.record import Liveness, MemberRecord
 
-MAX_OVERDUE_S = 1.7  # records of the own region are due each second; an older member is not listed
-LISTED_SLACK_S = 2.0  # beyond `contact`, after its record was written, a member is named at the latest
-MAX_LISTED_SLACK_S = 3.0  # beyond `contact` clients may not be told of a member that is gone
-MIN_NEAR = 2  # of a region: with fewer its clients are told of all
-MAX_ADDRESSES = 64  # addresses in one answer
+MAX_OVERDUE_S = 1.7  # records of the own region are due each second; older ones are not listed
+LISTED_SLACK_S = 2.0  # a member is listed until `contact` plus this after its record was written
+MAX_LISTED_SLACK_S = 3.0  # invariant: no member is listed `contact` plus this after its record
+MIN_NEAR = 2  # with fewer gatekeepers in its region, a client gets those of all regions
+MAX_ADDRESSES = 64  # in one answer
 
 
 class Directory:
-    """What one gatekeeper answers clients that ask where to go."""
+    """One gatekeeper's answers to clients that look up gatekeepers."""
 
     def __init__(self, membership: Membership, settings: Settings, invariants: Invariants) -> None:
         self.membership, self.settings, self.invariants = membership, settings, invariants
         self.answers = 0
-        self.max_record_age_s = 0.0  # the greatest age of a record by which a member was named
+        self.max_record_age_s = 0.0  # of records by which members were listed
 
     def addresses(self, now: float, region: str, ready: bool) -> list[str]:
-        """The gatekeepers of that region that are ready and heard of; else all such.
+        """Addresses of the live, ready gatekeepers of a region, or of all regions if it has fewer than
+        `MIN_NEAR`; sorted.
 
-        :param ready: whether this process is
+        :param ready: whether this process is ready
         """
         near, all_ = [], []
         for record in self.membership.live():
@@ -45,7 +46,7 @@
         return sorted(near if len(near) >= MIN_NEAR else all_)[:MAX_ADDRESSES]
 
     def _serves_clients(self, now: float, record: MemberRecord) -> bool:
-        """Whether clients may be sent to another gatekeeper, by its newest record here."""
+        """Whether clients may be directed to another gatekeeper, by its newest record here."""
         if not record.ready or record.liveness is not Liveness.UP:
             return False
         if now - record.written_at > self.settings.bounds.contact + LISTED_SLACK_S:
@@ -57,5 +58,5 @@
         age = now - record.written_at
         self.max_record_age_s = max(self.max_record_age_s, age)
         bound = self.settings.bounds.contact + MAX_LISTED_SLACK_S
-        detail = f"{record.name} is named {age:.1f} s after its record"
+        detail = f"{record.name} listed {age:.1f} s after its last record, bound {bound:.1f} s"
         self.invariants.check(Invariant.DIRECTORY_NAMES_LIVE, age < bound, detail)
