--- a/millfront/gatekeeper/metrics.py
+++ b/millfront/gatekeeper/metrics.py
@@ -1,7 +1,7 @@
 """The metrics of one process in the Prometheus text format. No I/O, no clock.
 
-Gauges say what holds now, counters (``_total``) what has happened since the process started. A label is one
-of a few known words, never the name of a client, a tenant or a server.
+Gauges show the present state, counters (``_total``) count events since the process started. Label values
+are from small fixed sets, never names of clients, tenants or servers.
 """
 
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 def render(gatekeeper: Gatekeeper, now: float) -> str:
-    """The text that a scrape is answered with; ``now`` in seconds on the process's steady clock."""
+    """The answer to a scrape; ``now`` in seconds on the process's monotonic clock."""
     return "".join(f"{PREFIX}{name} {value:g}\n" for name, value in _samples(gatekeeper, now))
 
 
--- a/millfront/gatekeeper/status.py
+++ b/millfront/gatekeeper/status.py
@@ -1,6 +1,6 @@
-"""The status report: what one process knows and holds, for operators. No I/O, no clock.
+"""The status report of one process, for operators. No I/O, no clock.
 
-Times are seconds; rates requests a second.
+Times are in seconds, rates in requests per second.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def report(gatekeeper: Gatekeeper, now: float) -> dict[str, Any]:
-    """One process: itself, the core, the roster with each one's version, duties, what is under way."""
+    """The process itself, the core, the members with their versions, ownership by role, and open rounds."""
     version = gatekeeper.configuration.version if gatekeeper.configuration is not None else 0
     return {
         "name": gatekeeper.name,
@@ -47,32 +47,32 @@
 
 
 def tenants(gatekeeper: Gatekeeper) -> dict[str, dict[str, Any]]:
-    """Each tenant's price, admitted rate (level) and totals, how often it was let in or refused here for
-    which reason, and the tokens that this process may grant of it now."""
+    """Per tenant: price, admitted rate (level), totals, the counts of requests admitted and refused here by
+    reason, and the tokens that this process may grant now."""
     by_name = gatekeeper.configuration.by_name if gatekeeper.configuration is not None else {}
     return {name: _tenant(gatekeeper, tenant) for name, tenant in sorted(by_name.items())}
 
 
 def _tenant(gatekeeper: Gatekeeper, tenant: Tenant) -> dict[str, Any]:
     quotas = gatekeeper.quotas
-    told = gatekeeper.admission.describe(tenant)
-    told |= {
+    fields = gatekeeper.admission.describe(tenant)
+    fields |= {
         "tokens": quotas.granter.available_tokens(quotas.now_s(), tenant.name),
         "grants": quotas.granter.share,
     }
-    return {key: round(value, 4) for key, value in told.items()}
+    return {key: round(value, 4) for key, value in fields.items()}
 
 
 def _core(gatekeeper: Gatekeeper) -> dict[str, Any] | None:
     core = gatekeeper.subscriber.core
     if core is None:
         return None
-    told = {
+    fields = {
         "epoch": core.epoch,
         "members": sorted(core.members),
         "change": gatekeeper.reconfiguration.change.value,
     }
-    return told | {"old_members": sorted(core.old_members)} if core.old_members else told
+    return fields | {"old_members": sorted(core.old_members)} if core.old_members else fields
 
 
 def _replica(gatekeeper: Gatekeeper) -> dict[str, Any] | None:
@@ -88,28 +88,29 @@
 
 
 def _duties(gatekeeper: Gatekeeper) -> dict[str, Any]:
-    """Who holds which, as seen from here; the list's fence is the number of the last list."""
-    first, core = gatekeeper.discovery.poller(), gatekeeper.subscriber.core
-    replica, epoch = (
+    """The owners of polling and of coordinating the core, as seen from here, with their fencing numbers: the
+    last list's number and the core's epoch."""
+    poller, core = gatekeeper.discovery.poller(), gatekeeper.subscriber.core
+    coordinator, epoch = (
         (gatekeeper.reconfiguration.coordinator_of(core), core.epoch) if core is not None else ("", 0)
     )
     return {
-        "list": {"holder": first, "fence": gatekeeper.server_list.list_number},
-        "core": {"holder": replica, "fence": epoch},
+        "list": {"holder": poller, "fence": gatekeeper.server_list.list_number},
+        "core": {"holder": coordinator, "fence": epoch},
     }
 
 
 def _servers(gatekeeper: Gatekeeper) -> dict[str, dict[str, int]]:
-    found: dict[str, dict[str, int]] = {}
+    counts: dict[str, dict[str, int]] = {}
     for server in gatekeeper.server_list.servers.values():
-        phases = found.setdefault(server.service, {})
+        phases = counts.setdefault(server.service, {})
         phase = server.phase.name.lower()
         phases[phase] = phases.get(phase, 0) + 1
-    return found
+    return counts
 
 
 def _members(gatekeeper: Gatekeeper, now: float, version: int) -> list[dict[str, Any]]:
-    me = gatekeeper.membership.own_record
+    own = gatekeeper.membership.own_record
     return [
         {
             "name": record.name,
@@ -117,10 +118,10 @@
             "region": (record.identity or {}).get("region", ""),
             "disk": (record.identity or {}).get("core", False),
             "liveness": record.liveness.value,
-            "ready": gatekeeper.ready(now) if record is me else record.ready,
+            "ready": gatekeeper.ready(now) if record is own else record.ready,
             "leaving": record.leaving,
-            "version": f"{version if record is me else record.config_version:08x}",
-            "heard_ago": 0.0 if record is me else round(now - record.written_at, 2),
+            "version": f"{version if record is own else record.config_version:08x}",
+            "heard_ago": 0.0 if record is own else round(now - record.written_at, 2),
         }
         for record in sorted(gatekeeper.membership.records.values(), key=lambda record: record.name)
     ]
