--- a/millfront/gatekeeper/operations.py
+++ b/millfront/gatekeeper/operations.py
@@ -1,8 +1,8 @@
-"""Operation keys in one process: the claims of its requests, and on a core machine the replica's records. No
-I/O, no clock.
+"""Operation keys in one process: the claims of its requests and, on a core machine, the replica's records.
+No I/O, no clock.
 
-What goes to another member's replica goes over the held connections of the register; what is to be synced
-goes out through `OperationsIO`.
+Messages to other members' replicas use the register's persistent connections; rows to be synced go out
+through `OperationsIO`.
 """
 
 from typing import TYPE_CHECKING, Any, Protocol
@@ -36,26 +36,27 @@
 
 
 class OperationsIO(Protocol):
-    """What operations ask of a process's I/O."""
+    """The I/O that operation keys need."""
 
     def persist_operations(self, batch: Batch) -> None:
-        """Sync it, then tell `Operations.synced`."""
+        """Sync the batch to disk, then call `Operations.synced`."""
 
 
 class Operations:
     """The operation keys of one process; `Gatekeeper` has one."""
 
-    def __init__(self, gatekeeper: "Gatekeeper", kept: dict[str, str] | None, life: str) -> None:
-        """:param kept: the rows that the disk has; None: this process has no replica"""
+    def __init__(self, gatekeeper: "Gatekeeper", rows: dict[str, str] | None, incarnation: str) -> None:
+        """:param rows: the rows on disk; None: this process has no replica
+        :param incarnation: the name of this incarnation of the process"""
         self.gatekeeper, self.name = gatekeeper, gatekeeper.name
-        self.claims = OperationClaims(self, life, gatekeeper.invariants)
+        self.claims = OperationClaims(self, incarnation, gatekeeper.invariants)
         self.store: OperationStore | None = None
-        if kept is not None:
+        if rows is not None:
             settings = gatekeeper.settings
             window = settings.bounds.dedupe_window
-            self.store = OperationStore(kept, settings.fresh, window, gatekeeper.now)
+            self.store = OperationStore(rows, settings.fresh, window, gatekeeper.now)
         self.gathering = Gathering(self.name, gatekeeper.now)
-        self._known_epoch = 0  # the epoch that the store was told of last
+        self._known_epoch = 0  # the core's epoch that the store was given last
 
     # ---- Peers ---------------------------------------------------------------------------------------
 
@@ -64,12 +65,12 @@
         return self.gatekeeper.subscriber.core
 
     def region_of(self, name: str) -> str | None:
-        """Where a member is; None where that is not known."""
+        """The region of a member; None if unknown."""
         record = self.gatekeeper.membership.records.get(name)
         return record.identity["region"] if record is not None and record.identity is not None else None
 
     def nearest(self) -> list[str]:
-        """The members of the core, the nearest and soundest first."""
+        """The members of the core, the nearest first, unreachable ones last."""
         return self.gatekeeper.near_replicas()
 
     def reachable(self, name: str) -> bool:
@@ -78,7 +79,7 @@
         return name == self.name or (record is not None and record.liveness is not Liveness.UNREACHABLE)
 
     def send(self, name: str, message: Message) -> None:
-        """To the replica of a member, which may be this process's own; it may be lost."""
+        """Send to a member's replica, which may be this process's own; the message may be lost."""
         core = self.core()
         if name == self.name:
             self.handle_message(SELF, message)
@@ -88,7 +89,7 @@
     # ---- messages ------------------------------------------------------------------------------------
 
     def handle_message(self, via: Any, message: Message) -> None:
-        """Something came on a held connection, or from this process itself."""
+        """Dispatch a message from a connection, or from this process itself (`SELF`)."""
         now, sender = self.gatekeeper.now, message.get("m", self.name)
         match message["t"]:
             case t if t == CLAIMED:
@@ -114,14 +115,14 @@
         self._flush()
 
     def _epoch(self) -> int:
-        """Of the core that this process's replica votes in; 0: it does not vote."""
+        """Epoch of the core that this process's replica votes in; 0 if it does not vote."""
         replica = self.gatekeeper.replica
         if replica is None or not replica.votes or CORE not in replica.values:
             return 0
         return replica.values[CORE].version
 
     def _update_core(self, now: float, store: OperationStore) -> None:
-        """Tell the store of a change of the core that this process's replica knows of."""
+        """Pass a newer core that this process's replica knows to the store."""
         replica = self.gatekeeper.replica
         value = replica.values.get(CORE) if replica is not None else None
         if value is None or value.version <= self._known_epoch:
@@ -139,9 +140,9 @@
                 self.gatekeeper.io.reply(reply.via, message)
 
     def _handle_records(self, now: float, sender: str, records: Records) -> None:
-        asked = self.gathering.take(now, sender, records)
-        if asked is not None:
-            self.send(sender, asked)
+        next_request = self.gathering.take(now, sender, records)
+        if next_request is not None:
+            self.send(sender, next_request)
 
     # ---- the disk and time ---------------------------------------------------------------------------
 
@@ -150,17 +151,17 @@
             self.gatekeeper.io.persist_operations(batch)
 
     def synced(self, batch: Batch, well: bool) -> None:
-        """The disk is done with it."""
+        """The disk has synced the batch (`well`) or has failed to."""
         assert self.store is not None
         if not well:
-            self.gatekeeper.note("operations", "the disk takes nothing: no key is granted here")
+            self.gatekeeper.note("operations", "the disk failed to sync: no operation key is granted here")
         if batch.completes and well:
             self.gatekeeper.note("operations", f"complete, with {len(self.store.operations)} operations")
         self._reply(self.store.synced(batch, well))
         self._flush()
 
     def tick(self, now: float) -> None:
-        """Every beat of the process."""
+        """Run the periodic work; called on each tick of the process."""
         store, core = self.store, self.core()
         if store is None:
             return
