--- a/millfront/environment.py
+++ b/millfront/environment.py
@@ -1,6 +1,6 @@
-"""The settings file of one process, read and checked. Errors name the field; unknown fields are ignored.
+"""Reads and validates the settings file of one process. Errors name the field; unknown fields are ignored.
 
-Times are seconds, rates are per second, addresses ``HOST:PORT``. Source: the operators' pages on deployment.
+Times are in seconds, rates per second, addresses ``HOST:PORT``. Source: the operators' pages on deployment.
 """
 
 import re
@@ -19,24 +19,24 @@
 
 
 class SettingsFileError(Exception):
-    """The settings can't be used; the text names the field."""
+    """The settings are invalid; the text names the field."""
 
 
 def seconds(text: object) -> float:
-    """A time as text, in seconds.
+    """Parse a duration into seconds.
 
     >>> seconds("1500ms"), seconds("2.5s")
     (1.5, 2.5)
     """
     found = DURATION.fullmatch(text) if isinstance(text, str) else None
     if found is None:
-        raise ValueError(f"{text!r} is no time such as 1500ms or 2.5s")
+        raise ValueError(f"expected a duration such as 1500ms or 2.5s, got {text!r}")
     return float(found[1]) / (1000.0 if found[2] == "ms" else 1.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The rules' figures that decisions go by; defaults are for a file that leaves one out."""
+    """The bounds of the service rules, in seconds unless a ratio or count; defaults for omitted fields."""
 
     contact: float = 4.0
     ack_within: float = 6.0
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the platform tells one process."""
+    """The settings that the platform gives one process."""
 
     name: str
     ip: str
@@ -80,20 +80,20 @@
     cloud_rate: float
     cloud_lag: float
     bounds: Bounds = field(default_factory=Bounds)
-    hosts_lost: int = 1  # machines with a disk that may be lost at once with all rules kept
+    hosts_lost: int = 1  # machines with a disk that may be lost at once while all rules still hold
     log_level: str = "INFO"
     log_json: bool = False
-    listen_ip: str = ""  # where this machine has not the address that others reach it at
+    listen_ip: str = ""  # to bind to, where this machine does not have the address that others reach it at
 
     @property
     def post_address(self) -> str:
-        """Where the system's own processes reach this one."""
+        """``host:port`` where the system's other processes reach this one."""
         return f"{self.ip}:{self.port}"
 
 
 number: Any = And(lambda n: isinstance(n, int | float), lambda n: not isinstance(n, bool) and n >= 0)
 text: Any = And(str, len)
-address: Any = And(str, lambda a: ADDRESS.fullmatch(a) is not None, error="{!r} is not HOST:PORT")
+address: Any = And(str, lambda a: ADDRESS.fullmatch(a) is not None, error="expected HOST:PORT, got {!r}")
 duration = Use(seconds)
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 SETTINGS_SCHEMA = Schema(
@@ -128,10 +128,10 @@
         },
         Optional("log", default={}): {
             Optional("level", default="INFO"): Or(
-                *LEVELS, error="log.level: {!r} is none of " + " ".join(LEVELS)
+                *LEVELS, error="log.level: got {!r}, expected one of " + " ".join(LEVELS)
             ),
             Optional("format", default="text"): Or(
-                "text", "json", error="log.format: {!r} is not text or json"
+                "text", "json", error="log.format: expected text or json, got {!r}"
             ),
         },
         "terms": {
@@ -175,25 +175,25 @@
 
 
 def read(document: dict[str, Any]) -> Result[Settings, SettingsFileError]:
-    """The parsed file, checked field by field."""
+    """Validate the parsed file field by field."""
     try:
-        told = SETTINGS_SCHEMA.validate(document)
-    except SchemaError as wrong:
-        why = "; ".join(dict.fromkeys(part for part in [*wrong.autos, *wrong.errors] if part))
-        return Err(SettingsFileError(why.replace("\n", " ")))
-    me, network, platform = told["self"], told["network"], told["platform"]
+        fields = SETTINGS_SCHEMA.validate(document)
+    except SchemaError as error:
+        faults = "; ".join(dict.fromkeys(part for part in [*error.autos, *error.errors] if part))
+        return Err(SettingsFileError(faults.replace("\n", " ")))
+    own, network, platform = fields["self"], fields["network"], fields["platform"]
     return Ok(
         Settings(
-            name=me["node_name"],
-            ip=me["ip_addr"],
-            zone=me["zone"],
-            region=me["region"],
-            fresh=me["fresh"],
-            counts_loss=me["counts_loss"],
-            state_dir=me["state_dir"] or None,
-            serves=tuple(me["serves"]),
-            ram_mb=me["limits"]["ram_mb"],
-            fd_limit=me["limits"]["fd_limit"],
+            name=own["node_name"],
+            ip=own["ip_addr"],
+            zone=own["zone"],
+            region=own["region"],
+            fresh=own["fresh"],
+            counts_loss=own["counts_loss"],
+            state_dir=own["state_dir"] or None,
+            serves=tuple(own["serves"]),
+            ram_mb=own["limits"]["ram_mb"],
+            fd_limit=own["limits"]["fd_limit"],
             port=network["port_range"][0],
             seeds=tuple(network["seed_nodes"]),
             bindings=dict(network["bindings"]),
@@ -201,24 +201,24 @@
             cloud=platform["cloud_api"]["address"],
             cloud_rate=float(platform["cloud_api"]["rate_per_s"]),
             cloud_lag=platform["cloud_api"]["max_lag"],
-            bounds=Bounds(**told["terms"]["bounds"]),
-            hosts_lost=told["terms"]["tolerance"].get("hosts_lost", 1),
-            log_level=told["log"].get("level", "INFO"),
-            log_json=told["log"].get("format") == "json",
+            bounds=Bounds(**fields["terms"]["bounds"]),
+            hosts_lost=fields["terms"]["tolerance"].get("hosts_lost", 1),
+            log_level=fields["log"].get("level", "INFO"),
+            log_json=fields["log"].get("format") == "json",
             listen_ip=network["listen_ip"],
         )
     )
 
 
 def load(environment: Mapping[str, str]) -> Result[Settings, SettingsFileError]:
-    """From the file that MILLFRONT_CONFIG names."""
+    """Load the settings from the file that MILLFRONT_CONFIG names."""
     path = environment.get(CONFIG_VARIABLE)
     if not path:
         return Err(SettingsFileError(f"{CONFIG_VARIABLE}: is not set"))
     try:
         document = tomllib.loads(Path(path).read_text())
-    except OSError as wrong:
-        return Err(SettingsFileError(f"{CONFIG_VARIABLE}: {path}: {wrong.strerror}"))
-    except ValueError as wrong:
-        return Err(SettingsFileError(f"{CONFIG_VARIABLE}: {path} is not TOML: {wrong}"))
+    except OSError as error:
+        return Err(SettingsFileError(f"{CONFIG_VARIABLE}: {path}: {error.strerror}"))
+    except ValueError as error:
+        return Err(SettingsFileError(f"{CONFIG_VARIABLE}: {path} is not TOML: {error}"))
     return read(document)
--- a/millfront/invariants.py
+++ b/millfront/invariants.py
@@ -1,7 +1,7 @@
-"""Invariants: what must always hold in a running process, checked where it could break. No I/O, no clock.
+"""Runtime invariants of a process, checked at the places that could violate them. No I/O, no clock.
 
-A check costs a comparison and is always on. A violation is counted, for the metrics, and reported, for the
-log; the process goes on, since ending it would turn a wrong answer into none at all. Tests listen to all
+A check costs one comparison and is always on. A violation is counted for the metrics and reported for the
+log; the process continues, since ending it would turn a wrong answer into none at all. Tests listen to all
 violations of all processes (`listeners`) and fail on any that they do not expect.
 """
 
@@ -12,22 +12,22 @@
 
 
 class Invariant(Enum):
-    """One statement that holds at every moment of a process's life; the value is its name in the metrics."""
+    """A statement that holds at all times in a process; the value is its name in the metrics."""
 
     MEMBER_NOT_REVIVED = "member_not_revived"
-    """A member that was judged lost is up again only by a record newer than the one it was judged by."""
+    """A member marked unreachable becomes live again only by a newer record than the one it was marked by."""
 
     OPERATION_RUNS_ONCE = "operation_runs_once"
-    """A request whose key a majority has granted is the first: no replica knows that it has run."""
+    """A request whose key a majority has granted is the first: no replica has a record that it ran."""
 
     SERVER_NOT_REVIVED = "server_not_revived"
-    """A server that drained or was gone takes no requests again."""
+    """A server that was draining or gone gets no requests again."""
 
     DIRECTORY_NAMES_LIVE = "directory_names_live"
-    """An answer of the directory names no member whose newest record is older than the bound for it."""
+    """The directory lists no member whose newest record is older than its bound."""
 
     QUOTA_AS_GIVEN = "quota_as_given"
-    """A process grants no more tokens of a tenant in any span than its share of the allowance gives."""
+    """In any time window a process grants no more of a tenant's tokens than its share of the allowance."""
 
 
 Listener = Callable[[Invariant, str], None]
@@ -44,17 +44,17 @@
     """
 
     listeners: ClassVar[list[Listener]] = []
-    """Told of each violation in this Python process, whichever gatekeeper it is in."""
+    """Called on each violation in this Python process, in whichever gatekeeper."""
 
     def __init__(self, report: Listener | None = None) -> None:
-        """:param report: told of the first violation of each invariant"""
+        """:param report: called on the first violation of each invariant"""
         self.violations: Counter[Invariant] = Counter()
         self._report = report
 
     def check(self, invariant: Invariant, holds: bool, detail: str) -> None:
         """Count a violation unless the condition holds.
 
-        :param detail: what was found, for the log
+        :param detail: the values found, for the log
         """
         if holds:
             return
