--- a/millfront/control/admin.py
+++ b/millfront/control/admin.py
@@ -44,7 +44,7 @@
         """Write an entry to the event log and a line to the log."""
         raise NotImplementedError
 
-    def to_replica(self, now: float, name: str, address: str, message: Message) -> None:
+    def send_to_replica(self, now: float, name: str, address: str, message: Message) -> None:
         """Send a message to the replica of a member, which may be this process itself."""
         raise NotImplementedError
 
@@ -273,7 +273,7 @@
         """Send the messages of a round; when it has ended, adopt the values found and notify its caller."""
         self.now = now
         for name, message in self.coordinator.drive(now, round):
-            self.to_replica(now, name, round.core.all_members[name], message)
+            self.send_to_replica(now, name, round.core.all_members[name], message)
         if round.phase in (Phase.DONE, Phase.FAILED) and round.ref in self.open_rounds:
             _, then = self.open_rounds.pop(round.ref)
             if round.phase is Phase.DONE:
--- a/millfront/register/recovery.py
+++ b/millfront/register/recovery.py
@@ -52,7 +52,7 @@
     def note(self, part: str, text: str, **facts: Any) -> None:
         """Write an entry to the event log and a line to the log."""
 
-    def to_replica(self, now: float, name: str, address: str, message: Message) -> None:
+    def send_to_replica(self, now: float, name: str, address: str, message: Message) -> None:
         """Send a message to a member's replica."""
 
 
@@ -99,7 +99,7 @@
             case Stage.LEARNING | Stage.ANNOUNCING if elapsed % RESEND_TICKS == 0:
                 for name, address in core.all_members.items():
                     if name != gatekeeper.name:
-                        gatekeeper.to_replica(now, name, address, self._request(core))
+                        gatekeeper.send_to_replica(now, name, address, self._request(core))
             case Stage.FETCHING:
                 missing = self._missing_long_keys()
                 if not missing:
@@ -108,7 +108,7 @@
                     source = self._sources[elapsed // RESEND_TICKS % len(self._sources)]
                     for name, message in gatekeeper.subscriber.fetch(now, source, missing):
                         if name in core.all_members:
-                            gatekeeper.to_replica(now, name, core.all_members[name], message)
+                            gatekeeper.send_to_replica(now, name, core.all_members[name], message)
             case Stage.SYNCING if elapsed >= SYNC_RETRY_TICKS:
                 self._sync()
 
--- a/tests/test_core_search.py
+++ b/tests/test_core_search.py
@@ -83,7 +83,7 @@
         simulation, attempts = self, 0
 
         class Stub:
-            born, io = 0.0, SimpleNamespace(say=lambda *_: None)
+            started_at, io = 0.0, SimpleNamespace(log=lambda *_: None)
             membership = SimpleNamespace(others=list)
 
             def __init__(self) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -93,13 +93,13 @@
         if decisions == [ADMITTED]:
             sent[name, node.name] = sent.get((name, node.name), 0) + 1
     sizes: list[int] = []
-    send_datagram = world.nodes[0].datagram
+    send_datagram = world.nodes[0].send_datagram
 
     def counted(address: str, message: dict[str, Any]) -> None:
         sizes.append(len(json.dumps(message)))
         send_datagram(address, message)
 
-    world.nodes[0].datagram = counted  # type: ignore[method-assign]
+    world.nodes[0].send_datagram = counted  # type: ignore[method-assign]
     world.run(9.0)
     for gatekeeper in world.gatekeepers():
         for (name, gatekeeper_name), units in sent.items():
