--- a/millfront/agreement/part.py
+++ b/millfront/agreement/part.py
@@ -130,7 +130,7 @@
     def interim_settings(self, settings: api.Settings) -> api.Settings:
         """The settings in force, made safe for every older version of the interim: classes and plans by name,
         through the places the tuning keeps for them."""
-        view, tuning = self.view, self.node.tuning
+        view, tuning = self.view, self.node.active_settings
         if view.mode is Mode.AGREED:
             return settings
         for version in view.interim_versions[:-1]:
@@ -147,7 +147,7 @@
         if now != self._last_reported:
             self._last_reported = now
             self._store_document(self.view.version)
-            self.node.retell()
+            self.node.resend_settings()
             log.info(
                 "agreement",
                 mode=self.view.mode.value,
--- a/millfront/dataplane/router.py
+++ b/millfront/dataplane/router.py
@@ -38,7 +38,7 @@
             raise ExchangeError(Ending.NOT_SENT, f"server {member.id} is draining or gone")
         if flow is None:
             return
-        if not self.proxy.still_allowed(flow.opened):
+        if not self.proxy.still_allowed(flow.open_request):
             raise ExchangeError(Ending.NOT_SENT, "the configuration in force no longer allows the request")
         if self.proxy.in_evacuated_zone(flow):
             raise ExchangeError(Ending.NOT_SENT, f"the zone of server {member.id} is evacuated")
--- a/millfront/http2/clients.py
+++ b/millfront/http2/clients.py
@@ -33,7 +33,7 @@
 from millfront.node.http import HOP_BY_HOP, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Fields, Message
 from millfront.node.link import Link
 from millfront.node.stages import relay
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 
 log = Log(__name__)
 
@@ -225,7 +225,7 @@
         reason = rejection_reason(stream.start, stream.fields)
         if reason:
             self.charge("refused", now)
-            stream.send_response(relay.own(400, reason + b"\n"))
+            stream.send_response(relay.own_response(400, reason + b"\n"))
 
     def handle_data(self, event: h2.events.DataReceived, now: int) -> None:
         stream_id, data = event.stream_id or 0, event.data or b""
@@ -240,7 +240,7 @@
             self.buffered_bytes += len(data)
             if len(stream.body) > MAX_BUFFERED_BODY_BYTES:
                 self.discard_body(stream)
-                stream.send_response(relay.own(413, b"body too long\n"))
+                stream.send_response(relay.own_response(413, b"body too long\n"))
             elif self.buffered_bytes > MAX_UNFINISHED_BODY_BYTES:
                 self.discard_body(stream)
                 self.abandon(stream)
@@ -274,11 +274,11 @@
             return
         try:
             open_request = self.server.admit(self.server.take_in(message, stream.started_us), stream)
-        except NotTaken as error:
+        except RequestRejected as error:
             self.charge("refused", self.last_received_us)
-            stream.send_response(relay.own(error.status, f"{error}\n".encode()))
+            stream.send_response(relay.own_response(error.status, f"{error}\n".encode()))
             return
-        if open_request is not None and not open_request.over:
+        if open_request is not None and not open_request.finished:
             stream.open_request = open_request
 
     def handle_reset(self, stream_id: int | None, now: int) -> None:
@@ -483,7 +483,7 @@
                 and not stream.answered
                 and stream.started_us < now_us - read_timeout_us
             ):
-                stream.send_response(relay.own(408, b"request not finished in time\n"))
+                stream.send_response(relay.own_response(408, b"request not finished in time\n"))
             elif (
                 stream.unsent_body is not None
                 and stream.stalled_since_us < now_us - RESPONSE_STALL_TIMEOUT_US
--- a/millfront/http2/members.py
+++ b/millfront/http2/members.py
@@ -21,7 +21,7 @@
 from millfront.node.endings import Ending, ExchangeError
 from millfront.node.http import HOP_BY_HOP, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Fields, Message
 from millfront.node.link import Link
-from millfront.node.members import Flow, MemberId, Members, PoolMember, Up
+from millfront.node.members import ConnectCallback, MemberId, Members, PoolMember, ResponseHandler
 
 log = Log(__name__)
 
@@ -39,7 +39,7 @@
 
     def __init__(self, connection: "Http2MemberConnection") -> None:
         self.connection = connection
-        self.flow: Flow | None = None
+        self.flow: ResponseHandler | None = None
         self.id = 0  # not begun
         self.response_head: tuple[int, Fields] | None = None
         self.body = bytearray()
@@ -63,13 +63,13 @@
     def resume(self) -> None:
         pass
 
-    def rest(self) -> None:
+    def deliver_buffered(self) -> None:
         pass
 
-    def begin(self) -> None:
+    def deliver_partial(self) -> None:
         pass
 
-    def takes(self) -> bool:
+    def request_flushed(self) -> bool:
         return True
 
     def release(self) -> bool:
@@ -80,7 +80,7 @@
         """Given up: the member is told, and the connection goes on."""
         self.connection.cancel(self)
 
-    def fared(self, well: bool) -> None:
+    def record_outcome(self, well: bool) -> None:
         pass  # a connection that breaks is seen as a whole
 
 
@@ -92,7 +92,7 @@
     ) -> None:
         self.pool = pool
         self.member = member
-        self.address = member.dial
+        self.address = member.address
         now = pool.members.clock.now()
         self.created_us = self.idle_since_us = self.last_received_us = now
         self.ping_sent_us = 0
@@ -223,7 +223,7 @@
                     status = next((v for n, v in fields if n == b":status"), b"0")
                     stream.response_head = (int(status), [f for f in fields if not f[0].startswith(b":")])
                     if stream.flow is not None:
-                        stream.flow.answering()
+                        stream.flow.on_partial_response()
             case h2.events.DataReceived():
                 self.handle_data(event)
             case h2.events.StreamEnded():
@@ -244,7 +244,7 @@
             return
         stream.body += event.data or b""
         if len(stream.body) > MAX_BUFFERED_BODY_BYTES:
-            stream.flow.nonsense(f"an answer of over {MAX_BUFFERED_BODY_BYTES} bytes")
+            stream.flow.on_malformed(f"an answer of over {MAX_BUFFERED_BODY_BYTES} bytes")
 
     def complete_stream(self, stream_id: int) -> None:
         stream = self.streams.pop(stream_id, None)
@@ -257,9 +257,9 @@
                 self.h2.reset_stream(stream_id, ErrorCodes.NO_ERROR)
         if flow is not None and stream.response_head is not None:
             status, fields = stream.response_head
-            flow.answered(Message(status, fields, fields, bytes(stream.body)))
+            flow.on_response(Message(status, fields, fields, bytes(stream.body)))
         elif flow is not None:
-            flow.broken(ExchangeError(Ending.MALFORMED, "no answer's head"))
+            flow.on_broken(ExchangeError(Ending.MALFORMED, "no answer's head"))
         self.stream_ended()
 
     def handle_reset(self, stream_id: int, code: int) -> None:
@@ -268,7 +268,7 @@
             return
         stream.finished = True
         if stream.flow is not None:
-            stream.flow.broken(ExchangeError(reset_ending(code), f"reset with {code}"))
+            stream.flow.on_broken(ExchangeError(reset_ending(code), f"reset with {code}"))
         self.stream_ended()
 
     def _handle_goaway(self, frame: Any) -> tuple[list[Any], list[Any]]:
@@ -279,7 +279,7 @@
             stream = self.streams.pop(stream_id)
             stream.finished = True
             if stream.flow is not None:
-                stream.flow.broken(
+                stream.flow.on_broken(
                     ExchangeError(Ending.CONNECT_FAILED, "above the last stream told", retryable=True)
                 )
         asyncio.get_running_loop().call_soon(self.stream_ended)
@@ -297,7 +297,7 @@
         for stream in streams.values():
             stream.finished = True
             if stream.flow is not None:
-                stream.flow.broken(ExchangeError(ending, why))
+                stream.flow.on_broken(ExchangeError(ending, why))
 
     def close(self) -> None:
         if not self.closed:
@@ -307,7 +307,7 @@
 
     def check(self, now: int) -> None:
         """Some times a second: a silent connection is found before the deadlines of what is out on it."""
-        if not self.member.ready or self.address != self.member.dial:
+        if not self.member.ready or self.address != self.member.address:
             self.draining = True
         if self.draining and not self.streams and not self.reserved:
             self.close()
@@ -337,9 +337,9 @@
         self.max_connections = max_connections
         self.connections: dict[MemberId, list[Http2MemberConnection]] = {}
         self.connecting: dict[MemberId, int] = {}
-        self.waiting: dict[MemberId, list[Up]] = {}
+        self.waiting: dict[MemberId, list[ConnectCallback]] = {}
 
-    def take(self, member: PoolMember, up: Up) -> "MemberStream | Callable[[], None]":
+    def obtain(self, member: PoolMember, up: ConnectCallback) -> "MemberStream | Callable[[], None]":
         """A stream at once, or what gives the wait for one up.
 
         :raises ExchangeError: NOT_SENT, all connections are full
@@ -388,7 +388,7 @@
             for callback in waiting:
                 callback(None, ended)
 
-        self.members.set_up(member, up)
+        self.members.connect_socket(member, up)
         self.connecting[member.id] = self.connecting.get(member.id, 0) + 1
 
     def assign_waiting(self, member: PoolMember) -> None:
@@ -401,7 +401,7 @@
         connections = self.connections.get(connection.member.id, [])
         if connection in connections:
             connections.remove(connection)
-            self.members.connections -= 1
+            self.members.connection_count -= 1
         if not connections:
             self.connections.pop(connection.member.id, None)
 
--- a/millfront/http2/part.py
+++ b/millfront/http2/part.py
@@ -60,7 +60,7 @@
             self._make_connection,
         )
         self.server.listen(Address.parse(self.settings.listen, "http2.listen"))
-        self.node.fronts.append(self.server)
+        self.node.servers.append(self.server)
         log.info("HTTP/2 listens", address=self.server.address)
 
     def _make_connection(self, server: VirtualServer, sock: socket.socket) -> Http2Connection:
--- a/tests/register_model.py
+++ b/tests/register_model.py
@@ -118,7 +118,7 @@
         self.subscriber = gatekeeper.subscriber
         gatekeeper.coordinator = SimpleNamespace(name=f"{name}.{incarnation}")
         gatekeeper.note = _nothing
-        gatekeeper.to_replica = self._call
+        gatekeeper.send_to_replica = self._call
         gatekeeper.io = SimpleNamespace(persist=self._persist)
         self.recovery = Part(gatekeeper)
 
