--- a/millfront/http2/abuse_limits.py
+++ b/millfront/http2/abuse_limits.py
@@ -1,15 +1,15 @@
-"""How a peer behaves on one HTTP/2 connection: what it may do how often, before it is asked to be calm. No
-I/O.
+"""Rate limits against abuse on one HTTP/2 connection. No I/O.
 
-Frames that cost us work and the peer nothing are counted by kind in a store that fills at a rate; an empty
-store means GOAWAY with ENHANCE_YOUR_CALM (RFC 9113, 7 and 10.5). Kinds, and why each has a bound:
+Frames that cost the peer nothing but cause work here are limited by kind with a token bucket; an empty bucket
+ends the connection with GOAWAY and ENHANCE_YOUR_CALM (RFC 9113, 7 and 10.5). The kinds, and why each has
+a limit:
 
-- `reset`: streams opened and reset before their answer (rapid reset): each costs a decision and perhaps an
+- `reset`: streams opened and reset before their response (rapid reset); each costs a decision and perhaps an
   attempt.
 - `ping`, `settings`, `priority`: each has to be answered or applied.
-- `empty`: DATA without octets and without an end, HEADERS of trailers.
-- `window`: WINDOW_UPDATE: one byte at a time makes one frame of ours for each of theirs.
-- `refused`: requests that cannot be taken or are beyond the streams allowed.
+- `empty`: DATA without octets and without END_STREAM, and trailers.
+- `window`: WINDOW_UPDATE; with one byte at a time, each frame received causes one frame sent.
+- `refused`: requests that are malformed or rejected before admission.
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """Units of a store: so many at once, and so many a second."""
+    """A token bucket: its capacity, and its refill in tokens per second."""
 
     burst: float
     rate: float
@@ -37,7 +37,7 @@
 
 
 class RateLimits:
-    """One connection's stores. Times in µs."""
+    """The token buckets of one connection. Times in µs."""
 
     __slots__ = ("_refilled_us", "_tokens")
 
@@ -46,7 +46,7 @@
         self._refilled_us = dict.fromkeys(LIMITS, now_us)
 
     def allow(self, kind: str, now_us: int, units: float = 1.0) -> bool:
-        """Take units of a kind; False once there are none left."""
+        """Takes units from the bucket of that kind; False if it held fewer."""
         allowance = LIMITS[kind]
         seconds = max(0, now_us - self._refilled_us[kind]) / SECOND_US
         self._refilled_us[kind] = now_us
--- a/millfront/http2/connection_choice.py
+++ b/millfront/http2/connection_choice.py
@@ -1,10 +1,10 @@
-"""How many connections to a pool member, which of them carries the next attempt, and when one retires. No
-I/O.
+"""Decides how many connections to a pool member there are, which of them carries the next attempt, and when
+one is retired. No I/O.
 
-A connection carries streams up to the least of what the member allows (SETTINGS_MAX_CONCURRENT_STREAMS) and
-what the operators do. The fullest that has room is used, so that those above need run empty and can be
-closed. While one is being set up, attempts wait for it, up to what it will carry; more of them set up the
-next.
+A connection carries streams up to the lower of the member's limit (SETTINGS_MAX_CONCURRENT_STREAMS) and the
+operators' limit. The fullest one that has room is used, so that surplus connections become idle and can be
+closed. While a connection is being set up, attempts wait for it, up to the number of streams that it will
+carry; further attempts set up the next one.
 """
 
 from collections.abc import Sequence
@@ -12,11 +12,11 @@
 from enum import Enum
 
 SECOND_US = 1_000_000
-# A connection of that age is replaced: one member's addresses may have moved.
+# Older connections are replaced, since the member's address may have moved.
 MAX_AGE_US = 600 * SECOND_US
-MAX_REQUESTS = 1_000_000  # half of the stream numbers there are
+MAX_REQUESTS = 1_000_000  # far below the 2**30 stream ids of a connection
 IDLE_TIMEOUT_US = 10 * SECOND_US
-SPARE_CONNECTIONS = 1  # idle connections kept
+SPARE_CONNECTIONS = 1  # idle connections that are kept
 
 
 class Action(Enum):
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionState:
-    """One connection as the decision needs it."""
+    """What the decision needs to know of one connection."""
 
-    open_streams: int  # streams
-    max_streams: int  # streams at once
-    draining: bool  # told to go, retired, or doubtful: nothing new on it
+    open_streams: int
+    max_streams: int
+    draining: bool  # no new streams: GOAWAY received, retired, member not ready or moved
     created_us: int
-    idle_since_us: int  # since when it is idle, where no stream is open
+    idle_since_us: int  # only valid while no stream is open
     requests: int
 
 
@@ -51,12 +51,12 @@
     initial_max_streams: int,
     max_connections: int,
 ) -> Choice:
-    """What the next attempt does.
+    """Decides what the next attempt does.
 
     :param connecting: connections being set up
-    :param waiting: attempts that wait for them
-    :param initial_max_streams: streams that a new connection is taken to carry
-    :param max_connections: connections to the member
+    :param waiting: attempts that wait for one of those
+    :param initial_max_streams: streams that a new connection is assumed to carry
+    :param max_connections: limit of connections to the member
     """
     best = -1
     for index, state in enumerate(connections):
@@ -75,10 +75,10 @@
 
 
 def find_retirable(connections: Sequence[ConnectionState], now_us: int) -> list[int]:
-    """Those that take nothing new from here on, and close once their streams have ended."""
+    """Indexes of the connections that take no new streams from now on, and close once theirs have ended."""
     found = []
     idle = [i for i, state in enumerate(connections) if not state.open_streams and not state.draining]
-    idle.sort(key=lambda i: connections[i].idle_since_us, reverse=True)  # the last used is kept
+    idle.sort(key=lambda i: connections[i].idle_since_us, reverse=True)  # keeps the last used
     for index, state in enumerate(connections):
         old = now_us - state.created_us > MAX_AGE_US or state.requests >= MAX_REQUESTS
         unused = index in idle[SPARE_CONNECTIONS:] and now_us - state.idle_since_us > IDLE_TIMEOUT_US
--- a/millfront/http2/part.py
+++ b/millfront/http2/part.py
@@ -1,4 +1,4 @@
-"""HTTP/2 as a part of a node: a further listener, or the shared port told by its preface."""
+"""HTTP/2 as a part of a node: on a listener of its own, or on the shared port, recognised by its preface."""
 
 import socket
 from typing import TYPE_CHECKING
@@ -17,7 +17,7 @@
 
 log = Log(__name__)
 
-CHECK_INTERVAL_S = 0.1  # between two looks at the connections to members
+CHECK_INTERVAL_S = 0.1  # between checks of the connections to members
 
 
 class Http2Part:
@@ -45,11 +45,9 @@
             return
         main = self.node.server
         if self.settings.connections >= main.max_connections:
-            why = (
-                f"{self.settings.connections} are not below the {main.max_connections} that clients may hold"
-            )
+            why = f"expected fewer than {main.max_connections} (all clients), got {self.settings.connections}"
             raise ConfigError(f"http2.connections: {why}")
-        main.max_connections -= self.settings.connections  # descriptors are bounded for all together
+        main.max_connections -= self.settings.connections  # one limit of descriptors for both listeners
         self.server = VirtualServer(
             main.clock,
             main.host,
@@ -67,7 +65,7 @@
         return Http2Connection(server, sock, self.settings.streams)
 
     def _upgrade(self, connection: ClientConnection, data: bytes) -> None:
-        """The shared port's connection has begun with the preface: it goes on as HTTP/2."""
+        """A connection on the shared port began with the preface: it goes on as HTTP/2."""
         server = connection.server
         upgraded = Http2Connection(server, connection.link.sock, self.settings.streams, connection.link)
         server.replace(connection, upgraded)
@@ -87,7 +85,7 @@
             self.members.check_connections()
 
     async def stop(self) -> None:
-        pass  # it ends with the other fronts
+        pass  # the node stops this listener with the others
 
     def reload(self) -> None:
         pass
--- a/millfront/http2/scheduler.py
+++ b/millfront/http2/scheduler.py
@@ -1,7 +1,8 @@
-"""Whose turn it is to send: streams of one connection, fairly. No I/O.
+"""Decides which stream of a connection sends the next frame. No I/O.
 
-Streams of the lowest urgency number go first (RFC 9218, 4.1: 0 to 7, 3 where nothing is said); among equals
-a frame each in turn. A stream without window is out of the ring until it has some, so it delays nobody.
+Streams with the lowest urgency number go first (RFC 9218, 4.1: 0 to 7, by default 3); those of equal urgency
+take turns, one frame each. A stream without a flow-control window is not scheduled until it has one, so that
+it delays no other stream.
 """
 
 from collections import OrderedDict
@@ -11,7 +12,7 @@
 
 
 def parse_urgency(priority: bytes) -> int:
-    """The `u` of a Priority field (RFC 9218, 5); what can't be read is the default."""
+    """Returns the `u` of a Priority field (RFC 9218, 5); the default if there is no valid one."""
     for part in priority.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name == b"u" and len(value) == 1 and b"0" <= value <= b"7":
@@ -20,17 +21,17 @@
 
 
 class StreamScheduler:
-    """The streams that have something to send and may."""
+    """The streams that have data to send and a window to send it in, by urgency."""
 
     def __init__(self) -> None:
         self._rings: list[OrderedDict[int, None]] = [OrderedDict() for _ in range(URGENCY_LEVELS)]
-        self._urgencies: dict[int, int] = {}  # the ring that a stream is in
+        self._urgencies: dict[int, int] = {}  # by stream: the ring that it is in
 
     def __len__(self) -> int:
         return len(self._urgencies)
 
     def add(self, stream: int, urgency: int) -> None:
-        """Behind those of its urgency; one that is there already stays where it is."""
+        """Queues a stream behind those of its urgency; one that is queued already keeps its place."""
         if stream not in self._urgencies:
             self._urgencies[stream] = urgency
             self._rings[urgency][stream] = None
@@ -41,13 +42,13 @@
             del self._rings[urgency][stream]
 
     def set_urgency(self, stream: int, urgency: int) -> None:
-        """The client has changed its mind (PRIORITY_UPDATE or a second field)."""
+        """Moves a queued stream to another urgency (PRIORITY_UPDATE or a second Priority field)."""
         if stream in self._urgencies:
             self.remove(stream)
             self.add(stream, urgency)
 
     def next(self) -> int | None:
-        """The stream that sends a frame now; it goes to the end of its ring."""
+        """Returns the stream that sends a frame now, and moves it to the end of its ring."""
         for ring in self._rings:
             for stream in ring:
                 ring.move_to_end(stream)
