--- a/millfront/http2/members.py
+++ b/millfront/http2/members.py
@@ -1,4 +1,4 @@
-"""HTTP/2 to pool members: several attempts on one connection, each a stream that ends once."""
+"""HTTP/2 to pool members: several attempts share a connection; each is a stream that ends exactly once."""
 
 import asyncio
 import socket
@@ -25,37 +25,37 @@
 
 log = Log(__name__)
 
-INITIAL_MAX_STREAMS = 32  # streams on a connection whose settings have not come yet
-PING_AFTER_US = 1_000_000  # a connection with streams that has been silent for so long is asked
-PING_TIMEOUT_US = 400_000  # and is taken for dead if it has not answered after so much more
-CONNECTION_WINDOW_BYTES = 1024 * 1024  # of a connection, inbound: answers are bounded by their streams' own
+INITIAL_MAX_STREAMS = 32  # streams that a new connection is assumed to allow before its SETTINGS arrive
+PING_AFTER_US = 1_000_000  # a connection with open streams gets a PING after that much silence
+PING_TIMEOUT_US = 400_000  # and is closed as dead if nothing arrives for that long after it
+CONNECTION_WINDOW_BYTES = 1024 * 1024  # inbound; each response is limited by its stream's window
 ErrorCodes = h2.errors.ErrorCodes
 
 
 class MemberStream:
-    """One attempt's exchange; for a flow it stands where a connection of HTTP/1.1 does."""
+    """One attempt's stream; serves a ResponseHandler in place of an HTTP/1.1 connection."""
 
     __slots__ = ("body", "connection", "finished", "flow", "id", "response_head", "unsent_body", "written")
 
     def __init__(self, connection: "Http2MemberConnection") -> None:
         self.connection = connection
         self.flow: ResponseHandler | None = None
-        self.id = 0  # not begun
+        self.id = 0  # 0: request not sent yet
         self.response_head: tuple[int, Fields] | None = None
         self.body = bytearray()
-        self.unsent_body = b""  # of the request's body: waits for a window
-        self.written = False  # a frame of it is with h2
+        self.unsent_body = b""  # rest of the request's body, waits for a flow-control window
+        self.written = False  # the request's HEADERS were handed to h2
         self.finished = False
 
     def request(
         self, start: tuple[bytes, bytes], fields: Fields, body: bytes, upload: Upload | None = None
     ) -> None:
-        """:raises ExchangeError: CONNECT_FAILED, nothing of it was written"""
+        """:raises ExchangeError: NOT_SENT or CONNECT_FAILED; nothing of it was written"""
         if upload is not None:
-            raise ExchangeError(Ending.NOT_SENT, "a body too long for HTTP/2 to members")
+            raise ExchangeError(Ending.NOT_SENT, "request body too long to buffer for HTTP/2")
         self.connection.send_request(self, start, fields, body)
 
-    # Bodies are gathered here, both ways: nothing of them is ever under way.
+    # Bodies are buffered whole in both directions, so there is nothing to pause, resume or deliver in part.
 
     def pause(self) -> None:
         pass
@@ -73,19 +73,19 @@
         return True
 
     def release(self) -> bool:
-        """The exchange has ended by itself: the connection goes on."""
+        """True if the exchange has ended by itself; the connection stays in use."""
         return self.finished
 
     def drop(self) -> None:
-        """Given up: the member is told, and the connection goes on."""
+        """Gives the exchange up: resets the stream; the connection stays in use."""
         self.connection.cancel(self)
 
-    def record_outcome(self, well: bool) -> None:
-        pass  # a connection that breaks is seen as a whole
+    def record_outcome(self, ok: bool) -> None:
+        pass  # a shared connection breaks as a whole, not by the outcome of one exchange
 
 
 class Http2MemberConnection:
-    """One connection to a member."""
+    """One HTTP/2 connection to a member."""
 
     def __init__(
         self, pool: "Http2Members", member: PoolMember, sock: socket.socket, link: Link | None = None
@@ -97,7 +97,7 @@
         self.created_us = self.idle_since_us = self.last_received_us = now
         self.ping_sent_us = 0
         self.requests = 0
-        self.reserved = 0  # streams handed out and not begun
+        self.reserved = 0  # streams handed out whose request was not sent yet
         self.draining = False
         self.closed = False
         self.streams: dict[int, MemberStream] = {}
@@ -109,7 +109,7 @@
                 h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEAD_BYTES,
             },
         )
-        # h2 takes no frame after a GOAWAY; streams at or below its last go on (RFC 9113, 6.8)
+        # h2 accepts no frame after a GOAWAY, but streams up to its last stream id continue (RFC 9113, 6.8)
         self.h2._frame_dispatch_table[GoAwayFrame] = self._handle_goaway
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(CONNECTION_WINDOW_BYTES)
@@ -131,7 +131,7 @@
         self.reserved -= 1
         if self.closed or self.draining:
             stream.finished = True
-            raise ExchangeError(Ending.CONNECT_FAILED, "the connection is draining", retryable=True)
+            raise ExchangeError(Ending.CONNECT_FAILED, "the connection is closed or draining", retryable=True)
         method, path = start
         headers = [(b":method", method), (b":scheme", b"http"), (b":path", path)]
         host = next((value for name, value in fields if name.lower() == b"host"), str(self.address).encode())
@@ -142,7 +142,7 @@
         try:
             stream.id = self.h2.get_next_available_stream_id()
             self.h2.send_headers(stream.id, headers, end_stream=not body)
-        except h2.exceptions.ProtocolError as error:  # the member allows fewer by now, or numbers are used up
+        except h2.exceptions.ProtocolError as error:  # the member lowered its limit, or stream ids ran out
             stream.finished = True
             raise ExchangeError(Ending.CONNECT_FAILED, str(error), retryable=True) from None
         self.requests += 1
@@ -205,7 +205,7 @@
             if (found := find_oversized_input(self.h2)) is not None:
                 raise h2.exceptions.ProtocolError(found[1])
         except h2.exceptions.ProtocolError as error:
-            log.warning("a pool member spoke nonsense", member=self.member.host, why=error)
+            log.warning("HTTP/2 protocol error by a pool member", member=self.member.host, why=error)
             with suppress(OSError):
                 self.flush()
             self.fail(str(error), Ending.MALFORMED)
@@ -244,7 +244,7 @@
             return
         stream.body += event.data or b""
         if len(stream.body) > MAX_BUFFERED_BODY_BYTES:
-            stream.flow.on_malformed(f"an answer of over {MAX_BUFFERED_BODY_BYTES} bytes")
+            stream.flow.on_malformed(f"response body over {MAX_BUFFERED_BODY_BYTES} bytes")
 
     def complete_stream(self, stream_id: int) -> None:
         stream = self.streams.pop(stream_id, None)
@@ -252,14 +252,14 @@
             return
         stream.finished = True
         flow, unsent = stream.flow, stream.unsent_body
-        if unsent:  # answered before it had all of the request: the rest is not wanted
+        if unsent:  # answered before the whole request was sent: the rest is not wanted
             with suppress(h2.exceptions.ProtocolError):
                 self.h2.reset_stream(stream_id, ErrorCodes.NO_ERROR)
         if flow is not None and stream.response_head is not None:
             status, fields = stream.response_head
             flow.on_response(Message(status, fields, fields, bytes(stream.body)))
         elif flow is not None:
-            flow.on_broken(ExchangeError(Ending.MALFORMED, "no answer's head"))
+            flow.on_broken(ExchangeError(Ending.MALFORMED, "stream ended without a response head"))
         self.stream_ended()
 
     def handle_reset(self, stream_id: int, code: int) -> None:
@@ -268,19 +268,22 @@
             return
         stream.finished = True
         if stream.flow is not None:
-            stream.flow.on_broken(ExchangeError(reset_ending(code), f"reset with {code}"))
+            stream.flow.on_broken(
+                ExchangeError(reset_ending(code), f"stream reset by the member with error code {code}")
+            )
         self.stream_ended()
 
     def _handle_goaway(self, frame: Any) -> tuple[list[Any], list[Any]]:
-        """The member drains: nothing new on this connection, and what lies above its last stream never
-        ran."""
+        """The member drains: no new streams on this connection; those above the last stream id never ran."""
         self.draining = True
         for stream_id in sorted(n for n in self.streams if n > frame.last_stream_id):
             stream = self.streams.pop(stream_id)
             stream.finished = True
             if stream.flow is not None:
                 stream.flow.on_broken(
-                    ExchangeError(Ending.CONNECT_FAILED, "above the last stream told", retryable=True)
+                    ExchangeError(
+                        Ending.CONNECT_FAILED, "stream id above the GOAWAY's last stream id", retryable=True
+                    )
                 )
         asyncio.get_running_loop().call_soon(self.stream_ended)
         return [], []
@@ -289,7 +292,7 @@
         self.fail(why or "ended")
 
     def fail(self, why: str, ending: Ending = Ending.BROKEN) -> None:
-        """Each attempt ends once: what a frame was written of may have run."""
+        """Closes the connection and ends each of its attempts once. They may have run."""
         if self.closed:
             return
         streams, self.streams = self.streams, {}
@@ -306,7 +309,7 @@
             self.pool.remove(self)
 
     def check(self, now: int) -> None:
-        """Some times a second: a silent connection is found before the deadlines of what is out on it."""
+        """Called several times a second, to find a dead connection before its requests' deadlines."""
         if not self.member.ready or self.address != self.member.address:
             self.draining = True
         if self.draining and not self.streams and not self.reserved:
@@ -324,12 +327,12 @@
 
 
 def reset_ending(code: int) -> Ending:
-    """REFUSED_STREAM says that it never ran (RFC 9113, 8.7); any other reset may come after it did."""
+    """REFUSED_STREAM means that the request never ran (RFC 9113, 8.7); after any other reset it may have."""
     return Ending.NOT_STARTED if code == ErrorCodes.REFUSED_STREAM else Ending.BROKEN
 
 
 class Http2Members:
-    """The connections to members that speak HTTP/2; takes the place of the idle ones for these."""
+    """Connections to members that speak HTTP/2; used in place of the pool of idle HTTP/1.1 connections."""
 
     def __init__(self, members: Members, max_streams: int, max_connections: int) -> None:
         self.members = members
@@ -339,28 +342,30 @@
         self.connecting: dict[MemberId, int] = {}
         self.waiting: dict[MemberId, list[ConnectCallback]] = {}
 
-    def obtain(self, member: PoolMember, up: ConnectCallback) -> "MemberStream | Callable[[], None]":
-        """A stream at once, or what gives the wait for one up.
+    def obtain(
+        self, member: PoolMember, on_connected: ConnectCallback
+    ) -> "MemberStream | Callable[[], None]":
+        """Returns a stream, or a function that cancels the wait for one.
 
-        :raises ExchangeError: NOT_SENT, all connections are full
+        :raises ExchangeError: NOT_SENT, all connections are full; or that of a failed connect
         """
         choice = self._choose(member)
         if choice.action is Action.USE:
             return self._reserve_stream(member, choice)
         if choice.action is Action.FULL:
-            raise ExchangeError(Ending.NOT_SENT, "all streams are in use")
+            raise ExchangeError(Ending.NOT_SENT, "all streams of all connections to the member are in use")
         waiting = self.waiting.setdefault(member.id, [])
-        waiting.append(up)
+        waiting.append(on_connected)
         if choice.action is Action.CONNECT:
             try:
                 self._connect(member)
             except ExchangeError:
-                waiting.remove(up)
+                waiting.remove(on_connected)
                 raise
 
         def give_up() -> None:
-            if up in waiting:
-                waiting.remove(up)
+            if on_connected in waiting:
+                waiting.remove(on_connected)
 
         return give_up
 
@@ -377,7 +382,7 @@
         return MemberStream(connection)
 
     def _connect(self, member: PoolMember) -> None:
-        def up(sock: socket.socket | None, ended: ExchangeError | None) -> None:
+        def on_done(sock: socket.socket | None, error: ExchangeError | None) -> None:
             self.connecting[member.id] -= 1
             if sock is not None:
                 connection = Http2MemberConnection(self, member, sock)
@@ -386,13 +391,13 @@
                 return
             waiting = self.waiting.pop(member.id, []) if not self.connecting[member.id] else []
             for callback in waiting:
-                callback(None, ended)
+                callback(None, error)
 
-        self.members.connect_socket(member, up)
+        self.members.connect_socket(member, on_done)
         self.connecting[member.id] = self.connecting.get(member.id, 0) + 1
 
     def assign_waiting(self, member: PoolMember) -> None:
-        """There may be room for attempts that wait."""
+        """Gives streams to waiting attempts while there is room."""
         waiting = self.waiting.get(member.id)
         while waiting and (choice := self._choose(member)).action is Action.USE:
             waiting.pop(0)(self._reserve_stream(member, choice), None)
