--- a/millfront/http2/clients.py
+++ b/millfront/http2/clients.py
@@ -1,8 +1,8 @@
-"""The client side of HTTP/2: a connection with its streams, each an Arrival with one final answer.
+"""The client side of HTTP/2: a connection with its streams, each an Arrival with one final response.
 
-h2 holds the protocol's states and checks; this module turns its events into what the host knows, and
-answers into frames. No task: it works when bytes come, when the host answers, and in the virtual server's
-sweep.
+The library h2 keeps the protocol's state and validates frames; this module turns its events into calls of the
+host, and responses into frames. It has no task: it runs when bytes arrive, when the host responds, and in the
+virtual server's periodic sweep.
 """
 
 import re
@@ -41,16 +41,16 @@
 PATH_PATTERN = re.compile(rb"/[!-~]*")
 FIELD_NAME = re.compile(rb"[-!#$%&'*+.^_`|~0-9a-z]+")
 FIELD_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
-HIGH_WATER = 64 * 1024  # bytes that wait for the kernel; above it no more frames are made
-MAX_UNFINISHED_BODY_BYTES = 1024 * 1024  # bytes of unfinished bodies, over all streams of a connection
+HIGH_WATER = 64 * 1024  # unsent bytes of the link above which no more frames are made
+MAX_UNFINISHED_BODY_BYTES = 1024 * 1024  # incomplete request bodies of all streams of a connection
 MAX_STREAM_ID = 2**31 - 1
-PING_AFTER_US = 10_000_000  # a connection with open streams that has been silent for so long is asked
-PING_TIMEOUT_US = 5_000_000  # and is given up if it has not answered after so much more
+PING_AFTER_US = 10_000_000  # a connection with open streams gets a PING after that much silence
+PING_TIMEOUT_US = 5_000_000  # and is closed if nothing arrives for that long after it
 ErrorCodes = h2.errors.ErrorCodes
 
 
 class ClientStream(MessageCaller):
-    """One request and its answer: the host's Caller."""
+    """One request and its response; the host's Caller."""
 
     __slots__ = (
         "answered",
@@ -76,11 +76,11 @@
         self.fields: Fields = []
         self.body = bytearray()
         self.is_head_request = False
-        self.request_complete = False  # the client has ended its side
+        self.request_complete = False  # END_STREAM was received
         self.answered = False
         self.open_request: OpenRequest | None = None
-        self.unsent_body: memoryview | None = None  # of the answer's body: not made into frames yet
-        self.stalled_since_us = 0  # since when the client has given no window for it
+        self.unsent_body: memoryview | None = None  # rest of the response's body, not framed yet
+        self.stalled_since_us = 0  # last progress of unsent_body
         self.urgency = 3
 
     def send_response(self, response: Message) -> None:
@@ -91,7 +91,7 @@
 
 
 class Http2Connection:
-    """One client's connection. What the virtual server asks of a connection, it answers as a whole."""
+    """One client's connection. Answers the virtual server for all its streams together (see Connection)."""
 
     def __init__(
         self, server: VirtualServer, sock: socket.socket, streams: int, link: Link | None = None
@@ -114,18 +114,18 @@
         self.limits = RateLimits(now)
         self.ending = Ending.CLOSED
         self.closed = False
-        self.had_request = False  # a request came whole
-        self.finished_us = 0  # since when nothing more goes out
+        self.had_request = False  # a request arrived whole
+        self.finished_us = 0  # since when no more streams are served; 0: they are
         self.idle_since_us = now
-        # of a request that is not whole: told by its stream, not by the connection
+        # Always 0: each stream has its own started_us for an incomplete request.
         self.request_started_us = 0
         self.input_closed = False
-        self.buffered_bytes = 0  # bytes of unfinished bodies
+        self.buffered_bytes = 0  # of incomplete request bodies
         self.last_received_us = now
         self.ping_sent_us = 0
-        self.last_stream_id = 0  # the highest stream that was taken
-        self.drain_step = 0  # 1: told to go elsewhere, 2: told the last stream
-        self.blocked_since_us = 0  # since when the kernel takes nothing more
+        self.last_stream_id = 0  # the highest stream id that was accepted
+        self.drain_step = 0  # 1: GOAWAY without a last stream id was sent, 2: with it
+        self.blocked_since_us = 0  # since when bytes have waited for the kernel; 0: none do
         self._sending = False
         self.h2.initiate_connection()
         if link is None:
@@ -139,7 +139,7 @@
     def busy(self) -> bool:
         return bool(self.streams)
 
-    # ---- in: what the link tells -------------------------------------------------------------
+    # ---- in: events from the link ------------------------------------------------------------
 
     def received(self, data: bytes) -> None:
         if self.input_closed:
@@ -194,12 +194,12 @@
 
     def charge(self, kind: str, now: int) -> None:
         if not self.input_closed and not self.limits.allow(kind, now):
-            self.fail(ErrorCodes.ENHANCE_YOUR_CALM, f"too many of a kind: {kind}")
+            self.fail(ErrorCodes.ENHANCE_YOUR_CALM, f"rate limit exceeded: {kind}")
 
     def start_request(self, event: h2.events.RequestReceived, now: int) -> None:
         stream_id = event.stream_id or 0
         if self.drain_step == 2:
-            # It certainly never ran: the client may ask elsewhere.
+            # It never ran, so the client may retry it elsewhere.
             self.reset_stream(stream_id, ErrorCodes.REFUSED_STREAM)
             return
         self.last_stream_id = max(self.last_stream_id, stream_id)
@@ -253,7 +253,7 @@
         stream.body.clear()
 
     def complete_request(self, stream: ClientStream) -> None:
-        """The client has ended its side: the request is taken."""
+        """END_STREAM has arrived: validates the request and admits it."""
         stream.request_complete = self.had_request = True
         if stream.answered:
             self.remove_if_done(stream)
@@ -262,9 +262,8 @@
         self.discard_body(stream)
         lengths = [value for name, value in stream.fields if name == b"content-length"]
         if any(not value.isdigit() or int(value) != len(body) for value in lengths):
-            self.abandon(
-                stream
-            )  # malformed (RFC 9113, 8.1.1): one that reads the length would read another body
+            # Malformed (RFC 9113, 8.1.1): a member that trusts the length would read a different body.
+            self.abandon(stream)
             self.reset_stream(stream.id, ErrorCodes.PROTOCOL_ERROR)
             self.charge("refused", self.last_received_us)
             return
@@ -282,7 +281,7 @@
             stream.open_request = open_request
 
     def handle_reset(self, stream_id: int | None, now: int) -> None:
-        """The client has left this request: what its class and the settings allow is called off, no more."""
+        """The client cancelled the request: only what its class and the settings allow is cancelled."""
         stream = self.streams.get(stream_id or 0)
         if stream is not None:
             if stream.unsent_body is None or not stream.answered:
@@ -291,7 +290,7 @@
             self.check_idle()
 
     def abandon(self, stream: ClientStream) -> None:
-        """No answer is owed on it any more."""
+        """Drops the stream without a response, and tells the host that its client has left."""
         self.streams.pop(stream.id, None)
         self.scheduler.remove(stream.id)
         self.discard_body(stream)
@@ -308,7 +307,7 @@
     # ---- out ---------------------------------------------------------------------------------
 
     def start_response(self, stream: ClientStream, response: Message) -> None:
-        """The one answer of a stream, made into frames as windows allow."""
+        """Sends the one response of a stream, framed as flow-control windows allow."""
         if self.closed or stream.id not in self.streams:
             return
         assert isinstance(response.start, int)
@@ -320,8 +319,8 @@
         body = b"" if stream.is_head_request else response.body
         try:
             self.h2.send_headers(stream.id, fields, end_stream=not body)
-        except h2.exceptions.ProtocolError as error:  # closed by the client in the same read
-            log.warning("an answer could not be sent", why=error)
+        except h2.exceptions.ProtocolError as error:  # the client reset it in the same read
+            log.warning("could not send a response on an HTTP/2 stream", why=error)
             self.abandon(stream)
             return
         if body:
@@ -334,7 +333,7 @@
             self.send_frames()
 
     def window_opened(self, stream_id: int | None) -> None:
-        """A window has grown: of one stream, or of the connection."""
+        """A flow-control window has grown: that of one stream, or with 0 or None that of the connection."""
         if stream_id:
             stream = self.streams.get(stream_id)
             if stream is not None and stream.unsent_body is not None:
@@ -345,7 +344,7 @@
                 self.scheduler.add(stream.id, stream.urgency)
 
     def send_frames(self) -> None:
-        """Frames in turn while the kernel takes them. What waits is the answers themselves, and no more."""
+        """Makes frames while the kernel accepts them; what waits is the responses themselves, and no more."""
         if self.closed or self._sending:
             return
         self._sending = True
@@ -359,14 +358,14 @@
                     self.flush()
             self.flush()
             if self.finished_us and not self.link.unsent:
-                self.link.shutdown_write()  # behind the last frame, never before it
+                self.link.shutdown_write()  # after the last frame, never before it
         except OSError:
             self.end(Ending.CONNECT_FAILED)
         finally:
             self._sending = False
 
     def send_frame(self) -> bool:
-        """One frame of whose turn it is; False if nobody can send."""
+        """Makes one frame of the next scheduled stream; False if none can send."""
         stream_id = self.scheduler.next()
         if stream_id is None:
             return False
@@ -375,7 +374,7 @@
         window = self.h2.local_flow_control_window(stream_id)
         size = min(window, self.h2.max_outbound_frame_size, len(stream.unsent_body))
         if size <= 0:
-            self.scheduler.remove(stream_id)  # out of the ring until its window grows
+            self.scheduler.remove(stream_id)  # not scheduled until its window grows
             return len(self.scheduler) > 0
         last = size == len(stream.unsent_body)
         self.h2.send_data(stream_id, stream.unsent_body[:size].tobytes(), end_stream=last)
@@ -392,11 +391,11 @@
         self.blocked_since_us = (self.blocked_since_us or self.server.clock.now()) if self.link.unsent else 0
 
     def response_sent(self, stream: ClientStream) -> None:
-        """All of its answer is in frames."""
+        """The whole response was framed."""
         stream.unsent_body = None
         self.scheduler.remove(stream.id)
         if not stream.request_complete:
-            # Answered before the request had ended: the rest of it is not wanted (RFC 9113, 8.1)
+            # Responded before the request was complete: the rest is not wanted (RFC 9113, 8.1).
             self.reset_stream(stream.id, ErrorCodes.NO_ERROR)
             stream.request_complete = True
         self.remove_if_done(stream)
@@ -418,14 +417,14 @@
         self.send_frames()
 
     def reset_stream(self, stream_id: int, code: h2.errors.ErrorCodes) -> None:
-        with suppress(h2.exceptions.ProtocolError):  # the client was faster
+        with suppress(h2.exceptions.ProtocolError):  # the client has closed it already
             self.h2.reset_stream(stream_id, code)
 
     # ---- ends --------------------------------------------------------------------------------
 
     def fail(self, code: int, why: str, goaway_sent: bool = False) -> None:
-        """A connection error: GOAWAY with the code, and nothing more is taken. Open requests are left."""
-        log.warning("a client's HTTP/2 connection is ended", why=why, code=int(code))
+        """A connection error: sends GOAWAY with the code, reads no more, and abandons open requests."""
+        log.warning("HTTP/2 connection error by a client", why=why, code=int(code))
         self.input_closed = True
         self.ending = Ending.MALFORMED
         if not goaway_sent:
@@ -435,7 +434,7 @@
         self.linger()
 
     def send_goaway(self, last_stream_id: int, code: int = 0) -> None:
-        """Beside h2, which would take no frame after its own: streams that are open go on to their end."""
+        """Bypasses h2, which accepts no frames after its own GOAWAY, so that open streams can finish."""
         self.write_direct(GoAwayFrame(0, last_stream_id=last_stream_id, error_code=int(code)).serialize())
 
     def write_direct(self, data: bytes) -> None:
@@ -448,14 +447,13 @@
             self.end(Ending.CONNECT_FAILED)
 
     def drain(self) -> None:
-        """The first of two steps: no stream_id is named yet, for requests may be on the way."""
+        """The first of two GOAWAYs: it names no last stream yet, since requests may be on their way."""
         if not self.drain_step and not self.input_closed:
             self.drain_step = 1
             self.send_goaway(MAX_STREAM_ID)
 
     def close_if_idle(self) -> None:
-        """The second step: what is above the last stream taken will be refused, and may be asked
-        elsewhere."""
+        """The second GOAWAY: streams above the last accepted one are refused and may be retried elsewhere."""
         if self.input_closed:
             return
         if self.drain_step < 2:
@@ -465,7 +463,7 @@
             self.linger()
 
     def linger(self) -> None:
-        """Say that nothing more comes and let the client close first."""
+        """Shuts down writing after the last frame, and lets the client close first."""
         if self.closed:
             return
         self.input_closed = True
@@ -489,11 +487,12 @@
                 and stream.stalled_since_us < now_us - RESPONSE_STALL_TIMEOUT_US
             ):
                 self.abandon(stream)
-                self.reset_stream(stream.id, ErrorCodes.CANCEL)  # a window that never opens: guards memory
+                # Limits the memory held for a client that opens no window.
+                self.reset_stream(stream.id, ErrorCodes.CANCEL)
         if self.blocked_since_us and self.blocked_since_us < now_us - RESPONSE_STALL_TIMEOUT_US:
             self.end(Ending.TIMED_OUT)
         elif not self.had_request and not self.streams and self.idle_since_us < now_us - read_timeout_us:
-            self.end(Ending.TIMED_OUT)  # it says nothing, or plays with frames alone
+            self.end(Ending.TIMED_OUT)  # silent, or sent frames but never a request
         elif not self.streams and self.idle_since_us < now_us - IDLE_TIMEOUT_US:
             self.close_if_idle()
         elif self.streams and self.last_received_us < now_us - PING_AFTER_US:
@@ -513,7 +512,7 @@
         self.close()
 
     def close(self) -> None:
-        """Ends the connection; requests that are open are left, each once."""
+        """Closes the connection and abandons its open requests, each once."""
         if self.closed:
             return
         self.closed = True
@@ -526,21 +525,21 @@
 
 
 def find_oversized_input(connection: h2.connection.H2Connection) -> tuple[ErrorCodes, str] | None:
-    """h2 keeps a frame until it is whole, and only then looks at its length; and a header block until it
-    ends, of up to 64 frames. Guards memory: both are bounded here as soon as they are seen."""
+    """Returns an error code and a reason if h2 buffers more than is allowed. Limits memory: h2 checks the
+    length of a frame only once it is whole, and keeps a header block of up to 64 frames until it ends."""
     waiting = connection.incoming_buffer._data
     blocks = connection.incoming_buffer._headers_buffer
     if len(waiting) >= 3 and int.from_bytes(waiting[:3]) > connection.max_inbound_frame_size:
-        return ErrorCodes.FRAME_SIZE_ERROR, "a frame longer than allowed"
+        return ErrorCodes.FRAME_SIZE_ERROR, "frame longer than SETTINGS_MAX_FRAME_SIZE"
     if sum(len(block.data) for block in blocks) > 2 * MAX_HEAD_BYTES:
-        return ErrorCodes.ENHANCE_YOUR_CALM, "a header block without end"
+        return ErrorCodes.ENHANCE_YOUR_CALM, "header block too long"
     return None
 
 
 def rejection_reason(start: tuple[bytes, bytes], fields: Fields) -> bytes:
-    """Why a request that h2 lets through may not go on to members that speak HTTP/1.1; nothing if it may.
+    """Why a request that h2 accepts must not be forwarded to members that speak HTTP/1.1; empty if it may be.
 
-    A path or a value that reads otherwise there would hide a second request in the first.
+    A path or value that they parse differently could smuggle a second request.
     """
     method, path = start
     if not PATH_PATTERN.fullmatch(path):
