--- a/millfront/agreement/interim.py
+++ b/millfront/agreement/interim.py
@@ -1,9 +1,9 @@
-"""The rules that contradict neither of two versions of a class or a plan: what a gatekeeper acts on while
-it can't tell whether the fleet has come over to its version (docs/design/agreement.md). No I/O.
+"""Merges two versions of the settings into interim ones that contradict neither. A gatekeeper acts on these
+while it can't tell whether all others have adopted its version (docs/design/agreement.md). No I/O.
 
-Each field goes the way that both versions allow: a quota or a ceiling the tighter, a repeat the stricter,
-a window the shorter, a group the narrower. Whatever the one version allows and the other forbids is
-forbidden meanwhile, so that a gatekeeper on either version would have done the same or more.
+Each field takes the value that both versions allow: the tighter quota or ceiling, the stricter repeat rule,
+the shorter window, the narrower group. What one version allows and the other forbids is forbidden meanwhile,
+so that a gatekeeper on either version would have done the same or more.
 """
 
 from dataclasses import replace
@@ -16,15 +16,15 @@
 
 
 def _tighter_limit(one: float, other: float) -> float:
-    """Of two limits where 0 means none: the one that holds."""
+    """The lower of two limits, where 0 means no limit."""
     if not one or not other:
         return one or other
     return min(one, other)
 
 
 def merge_plan(older: api.Plan, newer: api.Plan) -> api.Plan:
-    """A customer's quota and ceiling as both versions allow them. Worth and prices are the newer's: they
-    weigh what is let in and never let in more."""
+    """A customer's quota and ceiling as both versions allow them. Worth and prices are those of the newer:
+    they weigh admitted requests and never admit more."""
     return replace(
         newer,
         rate=min(older.rate, newer.rate),
@@ -45,8 +45,8 @@
 
 
 def merge_request_class(older: api.RequestClass, newer: api.RequestClass) -> api.RequestClass:
-    """A class whose repeat changed: the stricter repeat, the shorter window, the narrower group. Its times
-    are the newer's; a deadline only says how long a client waits."""
+    """The stricter repeat rule, the shorter window and the narrower group of two versions of a class. The
+    times are those of the newer, since a deadline only says how long a client waits."""
     return replace(
         newer,
         repeat=max(older.repeat, newer.repeat, key=STRICTNESS.__getitem__),
@@ -56,7 +56,7 @@
 
 
 def merge_rules(older: api.Rules, newer: api.Rules) -> api.Rules:
-    """The drain sooner, a cold member taken as colder for longer, a fall feared earlier."""
+    """The shorter drain grace, the lower and longer cold start, and the lower limits of a fall."""
     return api.Rules(
         drain_grace_us=min(older.drain_grace_us, newer.drain_grace_us),
         cold_from=min(older.cold_from, newer.cold_from),
@@ -69,10 +69,10 @@
 def merge_settings(
     older: api.Settings, newer: api.Settings, classes: dict[int, int], plans: dict[int, int]
 ) -> api.Settings:
-    """`other` (the newer) with every class and plan that both versions name made safe for both.
+    """The newer settings, with every class and plan that both versions name restricted to what both allow.
 
-    :param classes: place in `other` to place in `one`, of each class named in both; those named in one
-        version alone keep their own rules: a client can name them only under that one
+    :param classes: index in `newer` to index in `older`, of each class named in both; those named in one
+        version alone keep their own rules, since a client can name them only under that version
     :param plans: the same for plans
     """
     merged_classes = list(newer.classes)
--- a/millfront/agreement/part.py
+++ b/millfront/agreement/part.py
@@ -1,5 +1,5 @@
-"""Agreement in a running gatekeeper: the roll call at the counter, on a connection of its own, and the
-settings read anew where others act on another version. The decisions are register.py's."""
+"""Agreement in a running gatekeeper: the roll call at the counter, on a connection of its own, and the reload
+of the settings where others act on another version. view.py makes the decisions."""
 
 import os
 import random
@@ -19,8 +19,8 @@
 
 log = Log(__name__)
 
-CALL_TIMEOUT_S = 1.0  # for the four calls of a bucket; a counter slower than that is as good as silent here
-NAME_LIFETIME_PERIODS = 4  # a name lives so long: its bucket, the read in the next one, and a late answer
+CALL_TIMEOUT_S = 1.0  # for the four calls of a bucket; a slower counter is treated as unavailable
+NAME_LIFETIME_PERIODS = 4  # its bucket, the read in the next one, and a late answer
 DOCUMENT = "settings"
 
 
@@ -39,7 +39,7 @@
         self.silent_buckets = 0  # buckets in a row that could not be read
         self.rereads = 0
         self._last_reported = (self.view.mode, self.view.interim_versions)
-        self.documents: dict[str, tuple[api.Settings, NodeSettings]] = {}  # by version, while in the interim
+        self.documents: dict[str, tuple[api.Settings, NodeSettings]] = {}  # of view.interim_versions
         self._store_document(node.config.version)
         node.interim = self.interim_settings
 
@@ -50,12 +50,12 @@
         log.info("agreement", mode=self.view.mode.value, version=self.view.version)
 
     async def run(self) -> None:
-        """A bucket at a time: at a jittered moment of its first quarter, the roll call into it and the read
-        of the bucket before, in four calls on one connection."""
+        """In each bucket, at a random time of its first quarter: counts this gatekeeper in it and reads the
+        previous bucket, in four calls on one connection."""
         bucket = bucket_of(self._now_us(), self.period_us) - 1
         while True:
-            # Once a bucket: a sleep that ends a little early must not count this gatekeeper twice in one
-            # roll call, where it would stand in for one that is missing.
+            # Once per bucket: a sleep that ends a little early must not count this gatekeeper twice in one
+            # roll call, where it would hide one that is missing.
             bucket = max(bucket + 1, bucket_of(self._now_us(), self.period_us))
             start = bucket * self.period_us
             await self._sleep_until(start + int(self._rng.random() * self.period_us / 4))
@@ -69,15 +69,15 @@
             self.view.tick(now)
             self._report_changes()
             if self.view.wants_reload or self.silent_buckets:
-                self._reload()  # others are on another version, or nobody can say: the file may be newer
+                self._reload()  # others differ, or that is unknown: the file may be newer
             await self._sleep_until(start + self.period_us)
 
     async def _sleep_until(self, unix_us: int) -> None:
         await anyio.sleep(max(0.0, (unix_us - self._now_us()) / 1e6))
 
     async def _count_bucket(self, bucket: int) -> BucketCounts | None:
-        """Into this bucket under the version in force, and the bucket before read; None where the counter
-        did not answer all four."""
+        """Counts this gatekeeper in the bucket under the version in force, and reads the previous bucket.
+        None if the counter did not answer all four calls."""
         lifetime_ms = max(1, self.period_us * NAME_LIFETIME_PERIODS // 1000)
         version = self.view.version_to_publish(bucket)
         roll_call, own_version = counter_names(self.settings.prefix, DOCUMENT, bucket, version)
@@ -105,7 +105,7 @@
                     data += await self._stream.receive()
             answers = data.decode().split("\r\n")[: len(lines)]
             if not all(answer.startswith("ok ") for answer in answers):
-                return None  # busy or error: nothing of this bucket is known
+                return None  # busy or error: nothing is known of this bucket
             return [float(answer.removeprefix("ok ")) for answer in answers]
         except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, ValueError):
             await self._disconnect()
@@ -117,7 +117,7 @@
             self._stream = None
 
     def _reload(self) -> None:
-        """As a SIGHUP would: the file is read whole and taken only where it can be used."""
+        """Sends this process SIGHUP: the file is read whole, and applied only if it is valid."""
         self.rereads += 1
         os.kill(os.getpid(), signal.SIGHUP)
 
@@ -128,18 +128,18 @@
             del self.documents[old]
 
     def interim_settings(self, settings: api.Settings) -> api.Settings:
-        """The settings in force, made safe for every older version of the interim: classes and plans by name,
-        through the places the tuning keeps for them."""
-        view, tuning = self.view, self.node.active_settings
+        """The settings in force, restricted to what every older interim version allows. Classes and plans are
+        matched by name, through the indexes that the active settings keep for them."""
+        view, active = self.view, self.node.active_settings
         if view.mode is Mode.AGREED:
             return settings
         for version in view.interim_versions[:-1]:
             if (stored := self.documents.get(version)) is None:
                 continue
-            before, names = stored
-            classes = {tuning.classes[n]: at for n, at in names.classes.items() if n in tuning.classes}
-            plans = {tuning.plans[n]: at for n, at in names.plans.items() if n in tuning.plans}
-            settings = interim.merge_settings(before, settings, classes, plans)
+            older, names = stored
+            classes = {active.classes[n]: index for n, index in names.classes.items() if n in active.classes}
+            plans = {active.plans[n]: index for n, index in names.plans.items() if n in active.plans}
+            settings = interim.merge_settings(older, settings, classes, plans)
         return settings
 
     def _report_changes(self) -> None:
@@ -160,7 +160,7 @@
         await self._disconnect()
 
     def reload(self) -> None:
-        """After SIGHUP: the version now in force."""
+        """After SIGHUP: takes over the version now in force."""
         self.view.set_version(self.node.config.version, self._now_us())
         self._report_changes()
 
