--- a/tests/h2client.py
+++ b/tests/h2client.py
@@ -1,4 +1,4 @@
-"""A client of HTTP/2 for stories: h2 over a socket, with every step in the test's hands."""
+"""An HTTP/2 client for tests: h2 over a socket; the test makes every step."""
 
 import itertools
 from collections import defaultdict
@@ -19,7 +19,7 @@
 
 
 def head(cls: str = "page-fetch", **fields: str) -> list[tuple[str, str]]:
-    """The fields of a request; pseudo-fields by their name without the colon."""
+    """The header fields of a request; pseudo-fields are given by their name without the colon."""
     fields_by_name = {
         ":method": METHODS.get(cls, "POST"),
         ":path": f"/{cls}/more/00000000b4d65521?a=%20b",
@@ -39,7 +39,7 @@
 
 
 class Client:
-    """One connection. Windows are given back as data comes, unless a stream is in `stalled`."""
+    """One connection. Acknowledges data as it arrives, except on streams in `stalled`."""
 
     def __init__(self, stream: SocketStream, window: int = 65_535, strict: bool = True) -> None:
         self.stream = stream
@@ -54,14 +54,14 @@
         self.bodies: defaultdict[int, bytes] = defaultdict(bytes)
         self.ended: set[int] = set()
         self.resets: dict[int, int] = {}
-        self.goaways: list[tuple[int, int]] = []  # code and last stream
+        self.goaways: list[tuple[int, int]] = []  # error code and last stream id
         self.stalled: set[int] = set()
         self.closed = False
         self._ids = itertools.count(1, 2)
         self.h2._frame_dispatch_table[GoAwayFrame] = self.handle_goaway
 
     def handle_goaway(self, frame: Any) -> tuple[list[Any], list[Any]]:
-        """h2 would take no frame after it; streams that are open go on (RFC 9113, 6.8)."""
+        """Bypasses h2, which accepts no frame after a GOAWAY; open streams go on (RFC 9113, 6.8)."""
         self.goaways.append((frame.error_code, frame.last_stream_id))
         return [], []
 
--- a/tests/h2server.py
+++ b/tests/h2server.py
@@ -1,4 +1,4 @@
-"""A scripted page server that speaks HTTP/2, for stories of a node's other side."""
+"""A scripted pool member that speaks HTTP/2, for tests of a node."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -18,7 +18,7 @@
 
 
 class PeerConnection:
-    """One connection to it."""
+    """One connection of a node to the scripted member."""
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
@@ -54,11 +54,11 @@
 
 
 async def never_answer(connection: PeerConnection, stream_id: int) -> None:
-    """Until somebody else does something."""
+    """Leaves the stream open."""
 
 
 class H2Peer(Peer):
-    """Plays a step of its script for each request; keeps what came: fields, with the body under `body`."""
+    """Runs one step of its script for each request; keeps the fields of each, with the body under `body`."""
 
     def __init__(self, *steps: Step, streams: int | None = None, fallback: Step = page) -> None:
         super().__init__()
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,5 +1,5 @@
-"""Agreement through the counter alone: a fleet of views over one model counter, in simulated time, with
-versions taken at any moment; and the interim that contradicts neither version."""
+"""Agreement through the counter alone: several views over one model counter in simulated time, with version
+changes at any moment; and interim settings that contradict neither version."""
 
 import copy
 from dataclasses import replace
@@ -19,7 +19,7 @@
 from tests.peers import settings as peer_settings
 
 PERIOD = 1_000_000
-NO_TIME_LIMIT = 10**12  # no interim ends by time: agreement alone ends it
+NO_TIME_LIMIT = 10**12  # interims end by agreement only
 
 
 def play(
@@ -39,12 +39,14 @@
         if kind == 1:
             view.set_version(version, at)
         elif who not in silent and kind == 0:
-            roll, named = counter_names("agree", "settings", bucket, view.version_to_publish(bucket))
-            counter[roll] = counter.get(roll, 0) + 1
-            counter[named] = counter.get(named, 0) + 1
+            roll_call, versioned = counter_names("agree", "settings", bucket, view.version_to_publish(bucket))
+            counter[roll_call] = counter.get(roll_call, 0) + 1
+            counter[versioned] = counter.get(versioned, 0) + 1
         elif who not in silent and kind == 2:
-            roll, named = counter_names("agree", "settings", bucket - 1, view.version)
-            view.record_bucket(BucketCounts(bucket - 1, counter.get(roll, 0), counter.get(named, 0)), at)
+            roll_call, versioned = counter_names("agree", "settings", bucket - 1, view.version)
+            view.record_bucket(
+                BucketCounts(bucket - 1, counter.get(roll_call, 0), counter.get(versioned, 0)), at
+            )
         seen.append([copy.copy(v) for v in fleet])
     return seen
 
@@ -82,7 +84,7 @@
     assert all(v.mode is Mode.AGREED for v in views), [(v.mode, v.interim_versions) for v in views]
 
 
-def test_a_gatekeeper_unheard_keeps_the_others_unsure_until_its_time_is_up() -> None:
+def test_a_missing_gatekeeper_keeps_the_others_unsure_until_the_interim_times_out() -> None:
     views = play(3, [(500_000, 0, "v1"), (500_000, 1, "v1"), (600_000, 2, "v1")], {2}, 5 * PERIOD)[-1]
     assert [v.mode for v in views] == [Mode.UNSURE] * 3
     unsure = views[0]
@@ -93,7 +95,7 @@
 
 def test_a_rollback_keeps_both_versions_in_the_interim() -> None:
     view = AgreementView("v0", 0, 2, NO_TIME_LIMIT)
-    view.record_bucket(BucketCounts(0, 2, 2), 1)  # nothing published in bucket 0: says nothing
+    view.record_bucket(BucketCounts(0, 2, 2), 1)  # ignored: nothing was published in bucket 0
     assert view.mode is Mode.UNSURE
     view.version_to_publish(1)
     view.record_bucket(BucketCounts(1, 2, 2), 2)
@@ -112,9 +114,9 @@
     raise AssertionError("a name over 64 bytes was made")
 
 
-def plan(**told: Any) -> api.Plan:
+def plan(**changes: Any) -> api.Plan:
     base = api.Plan(10.0, 20.0, 0, 1.0, 0.0, 0.6, 0.0, 0.0, 0.0)
-    return replace(base, **told)
+    return replace(base, **changes)
 
 
 def test_the_interim_plan_is_the_tighter_where_0_means_none() -> None:
@@ -128,7 +130,7 @@
     assert (both.ceiling_rate, both.ceiling_burst) == (16, 40)
 
 
-def test_a_class_turned_from_safe_to_never_is_never_meanwhile() -> None:
+def test_a_class_changed_from_safe_to_unsafe_is_unsafe_in_the_interim() -> None:
     safe = api.RequestClass(1_000_000, 4_000_000, 1.0, 0.2, api.Repeat.SAFE, api.Group.ALL, 8_000_000, False)
     never = replace(safe, repeat=api.Repeat.UNSAFE, window_us=5_000_000)
     for one, other in ((safe, never), (never, safe)):
@@ -136,8 +138,9 @@
         assert (merged.repeat, merged.window_us) == (api.Repeat.UNSAFE, 5_000_000)
 
 
-def test_a_bucket_counted_under_its_own_old_version_asks_for_no_reread() -> None:
-    """Against a gatekeeper that reads its own file again and again because it sees itself as another."""
+def test_a_bucket_counted_under_its_own_old_version_wants_no_reload() -> None:
+    """Guards against a gatekeeper that reloads its file again and again because it takes its own old
+    version for that of another."""
     view = AgreementView("v0", 0, 3, NO_TIME_LIMIT)
     view.version_to_publish(4)
     view.set_version("v1", 4_100_000)
@@ -149,26 +152,26 @@
 
 
 class Node:
-    """What the agreement part sees of a node: configuration, active settings, and the module told again."""
+    """What the agreement part uses of a node. Keeps the settings that the decision module gets."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.config = from_json(configuration([], "127.0.0.1:1", told))
+    def __init__(self, raw_settings: dict[str, Any]) -> None:
+        self.config = from_json(configuration([], "127.0.0.1:1", raw_settings))
         self.active_settings = ActiveSettings(self.config.settings, self.config.node)
         self.interim: Any = None
-        self.told: list[api.Settings] = []
+        self.sent: list[api.Settings] = []
 
     def resend_settings(self) -> None:
-        self.told.append(self.interim(self.active_settings.settings))
+        self.sent.append(self.interim(self.active_settings.settings))
 
-    def sighup(self, told: dict[str, Any], part: AgreementPart) -> None:
-        self.config = from_json(configuration([], "127.0.0.1:1", told))
+    def sighup(self, raw_settings: dict[str, Any], part: AgreementPart) -> None:
+        self.config = from_json(configuration([], "127.0.0.1:1", raw_settings))
         self.active_settings.update(self.config.settings, self.config.node, 0)
         part.reload()
 
 
-def test_while_unsure_the_module_is_told_what_both_versions_allow() -> None:
-    """Against a gatekeeper that acts alone on a new version: a class turned from safe to never, and fewer
-    attempts, hold at once; a quota made larger waits for agreement; a class that is new keeps its rules."""
+def test_while_unsure_the_module_gets_what_both_versions_allow() -> None:
+    """Guards against a gatekeeper that acts alone on a new version: a stricter repeat rule and fewer attempts
+    hold at once; a larger quota waits for agreement; a new class keeps its own rules."""
     before = peer_settings()
     after = peer_settings(MostTries=2)
     after["Classes"] = [
@@ -183,12 +186,12 @@
         and node.interim(node.active_settings.settings) is node.active_settings.settings
     )
     node.sighup(after, part)
-    told = node.told[-1]
+    sent = node.sent[-1]
     fetch, save = node.active_settings.classes["page-fetch"], node.active_settings.classes["page-save"]
-    assert told.classes[fetch].repeat is api.Repeat.UNSAFE and told.classes[save].repeat is api.Repeat.SAFE
-    assert told.allowed.max_attempts == 2
+    assert sent.classes[fetch].repeat is api.Repeat.UNSAFE and sent.classes[save].repeat is api.Repeat.SAFE
+    assert sent.allowed.max_attempts == 2
     casual = node.active_settings.plans["casual"]
-    assert told.plans[casual].rate == node.config.settings.plans[0].rate / 2  # the old, tighter one
+    assert sent.plans[casual].rate == node.config.settings.plans[0].rate / 2  # the old, lower rate
     part.view.mode = Mode.AGREED
     part._report_changes()
-    assert node.told[-1].plans[casual].rate == node.config.settings.plans[0].rate
+    assert node.sent[-1].plans[casual].rate == node.config.settings.plans[0].rate
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -1,5 +1,5 @@
-"""HTTP/2 to clients: the same requests as over HTTP/1.1, what only streams can do, and what abuse is
-answered."""
+"""HTTP/2 to clients: the same semantics as over HTTP/1.1, streams, flow control, drain, and protection
+against abuse."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager, suppress
@@ -45,9 +45,9 @@
 
 
 @asynccontextmanager
-async def running_h2_node(*members: Peer, streams: int = 100, **told: Any) -> AsyncIterator[RunningNode]:
+async def running_h2_node(*members: Peer, streams: int = 100, **options: Any) -> AsyncIterator[RunningNode]:
     operators = {"http2": {"listen": "127.0.0.1:0", "streams": streams}}
-    async with running_node(*members, operators=operators, **told) as on:
+    async with running_node(*members, operators=operators, **options) as on:
         yield on
 
 
@@ -83,31 +83,35 @@
 
 
 @pytest.mark.parametrize("version", ["1.1", "2"])
-@pytest.mark.parametrize(("cls", "fields", "says"), CASES)
+@pytest.mark.parametrize(("cls", "fields", "expected_status"), CASES)
 async def test_a_request_means_the_same_over_both(
-    version: str, cls: str, fields: dict[str, str], says: int
+    version: str, cls: str, fields: dict[str, str], expected_status: int
 ) -> None:
     member = Peer()
     async with running_h2_node(member) as on:
         if version == "1.1":
-            assert status(await on.ask(request(cls, **fields))) == says
+            assert status(await on.ask(request(cls, **fields))) == expected_status
         else:
-            asking = await client(on)
+            h2_client = await client(on)
             body = b"" if cls in ("page-fetch", "no-class") else b"what is bought"
-            number = await asking.ask(head(cls, **fields), body)
-            assert (await asking.answer(number))[0] == says
-    assert len(member.seen) == (says == 200)
+            number = await h2_client.ask(head(cls, **fields), body)
+            assert (await h2_client.answer(number))[0] == expected_status
+    assert len(member.seen) == (expected_status == 200)
 
 
-async def test_what_passes_on_is_what_came() -> None:
+async def test_requests_and_responses_are_forwarded_unchanged() -> None:
     member = Peer(answer(200, b"\x00a page", b"X-Kind: Sunday", b"Connection: x-hop", b"X-Hop: 1"))
     async with running_h2_node(member) as on:
-        asking = await client(on)
+        h2_client = await client(on)
         fields = [*head("code-redeem", Request_Id="9b1f03aa5c7e2d41"), ("cookie", "a=1"), ("cookie", "b=2")]
-        number = await asking.ask([*fields, ("x-trace", "As It Came")], b"what is bought")
-        assert await asking.answer(number) == (200, b"\x00a page")
-        told = next(dict(e.headers) for e in asking.events if hasattr(e, "headers"))
-        assert told["x-kind"] == "Sunday" and "x-hop" not in told and "connection" not in told
+        number = await h2_client.ask([*fields, ("x-trace", "As It Came")], b"what is bought")
+        assert await h2_client.answer(number) == (200, b"\x00a page")
+        response_fields = next(dict(e.headers) for e in h2_client.events if hasattr(e, "headers"))
+        assert (
+            response_fields["x-kind"] == "Sunday"
+            and "x-hop" not in response_fields
+            and "connection" not in response_fields
+        )
     (sent,) = member.seen
     assert sent.startswith(b"POST /code-redeem/more/00000000b4d65521?a=%20b HTTP/1.1\r\n")
     assert sent.endswith(b"\r\n\r\nwhat is bought") and b"host: origin.svc\r\n" in sent
@@ -117,12 +121,12 @@
 async def test_a_request_split_over_every_byte_is_one_request() -> None:
     member = Peer()
     async with running_h2_node(member) as on:
-        asking = await client(on)
-        asking.h2.send_headers(1, head("code-redeem"))
-        asking.h2.send_data(1, b"what is bought", end_stream=True)
-        for byte in asking.h2.data_to_send():
-            await asking.stream.send(bytes([byte]))
-        assert (await asking.answer(1))[0] == 200
+        h2_client = await client(on)
+        h2_client.h2.send_headers(1, head("code-redeem"))
+        h2_client.h2.send_data(1, b"what is bought", end_stream=True)
+        for byte in h2_client.h2.data_to_send():
+            await h2_client.stream.send(bytes([byte]))
+        assert (await h2_client.answer(1))[0] == 200
     assert len(member.seen) == 1
 
 
@@ -130,20 +134,20 @@
     async with running_h2_node(Peer(), Peer()) as on:
         server = front(on).server
         assert server is not None
-        async with httpx.AsyncClient(http1=False, http2=True) as asking:
+        async with httpx.AsyncClient(http1=False, http2=True) as h2_client:
             fields = {name: value for name, value in head() if not name.startswith(":")}
             url = f"http://{server.address}/page-fetch/00000000b4d65521"
-            got = await asking.get(url, headers=fields)
+            got = await h2_client.get(url, headers=fields)
             assert (got.status_code, got.http_version, got.text) == (200, "HTTP/2", "page")
-            assert (await asking.get(f"http://{server.address}/healthz")).text == "ready\n"
+            assert (await h2_client.get(f"http://{server.address}/healthz")).text == "ready\n"
 
 
-async def test_the_shared_port_is_told_by_its_preface_split_anywhere() -> None:
+async def test_the_shared_port_recognises_the_preface_split_anywhere() -> None:
     operators = {"http2": {"shared": True}}
     async with running_node(Peer(), operators=operators) as on:
         assert status(await on.ask(request())) == 200
-        asking = await client(on, shared=True)
-        assert (await asking.answer(await asking.ask(head())))[0] == 200
+        h2_client = await client(on, shared=True)
+        assert (await h2_client.answer(await h2_client.ask(head())))[0] == 200
         slow = Client(await on.client())
         slow.h2.initiate_connection()
         first = slow.h2.data_to_send()
@@ -154,55 +158,55 @@
         assert status(await on.ask(b"PRI * HTTP/2.0\r\n\r\nno\r\n\r\n")) >= 400
 
 
-# ---- leaving
+# ---- cancelled requests
 
 
 @pytest.mark.parametrize("cls", ["issue-buy", "code-redeem"])
-async def test_a_reset_after_it_was_sent_on_withdraws_and_never_sends_again(cls: str) -> None:
+async def test_a_reset_after_forwarding_cancels_and_never_sends_again(cls: str) -> None:
     member, other = Peer(silent), Peer(silent)
     async with running_h2_node(member, other) as on:
-        asking = await client(on)
-        number = await asking.ask(head(cls), b"what is bought")
+        h2_client = await client(on)
+        number = await h2_client.ask(head(cls), b"what is bought")
         with anyio.fail_after(TEST_TIMEOUT_S):
             while not member.seen and not other.seen:
                 await anyio.sleep(0.001)
-        asking.h2.reset_stream(number, ErrorCodes.CANCEL)
-        await asking.flush()
+        h2_client.h2.reset_stream(number, ErrorCodes.CANCEL)
+        await h2_client.flush()
         with anyio.fail_after(TEST_TIMEOUT_S):
             while member.closed + other.closed == 0:
                 await anyio.sleep(0.001)
         assert not on.node.host.open_requests and not on.node.host.unanswered
         member.script.clear()
         other.script.clear()
-        again = await asking.ask(head(cls), b"what is bought")  # a new id is a new request
-        assert (await asking.answer(again))[0] == 200
+        again = await h2_client.ask(head(cls), b"what is bought")  # a new request id is a new request
+        assert (await h2_client.answer(again))[0] == 200
         assert len(member.seen) + len(other.seen) == 2
-        assert number not in asking.statuses
+        assert number not in h2_client.statuses
 
 
 async def test_a_reset_that_crosses_the_answer_ends_the_stream_once() -> None:
     async with running_h2_node(Peer()) as on:
-        asking = await client(on)
+        h2_client = await client(on)
         for _ in range(20):
-            number = await asking.ask(head())
+            number = await h2_client.ask(head())
             with anyio.move_on_after(0.002):
-                await asking.receive()
-            if number not in asking.ended:
-                asking.h2.reset_stream(number, ErrorCodes.CANCEL)
-                await asking.flush()
-        number = await asking.ask(head())
-        assert (await asking.answer(number))[0] == 200 and not asking.goaways
+                await h2_client.receive()
+            if number not in h2_client.ended:
+                h2_client.h2.reset_stream(number, ErrorCodes.CANCEL)
+                await h2_client.flush()
+        number = await h2_client.ask(head())
+        assert (await h2_client.answer(number))[0] == 200 and not h2_client.goaways
         assert not on.node.host.open_requests
 
 
-async def test_a_connection_that_breaks_leaves_all_its_streams() -> None:
+async def test_a_connection_that_breaks_cancels_all_its_requests() -> None:
     member = Peer(*[silent] * 20)
     async with running_h2_node(member) as on:
-        asking = await client(on)
+        h2_client = await client(on)
         for _ in range(5):
-            await asking.ask(head())
+            await h2_client.ask(head())
         await member.wait_until(lambda peer: len(peer.seen) == 5)
-        await anyio.aclose_forcefully(asking.stream)
+        await anyio.aclose_forcefully(h2_client.stream)
         await member.wait_until(lambda peer: peer.closed == 5)
         assert not on.node.host.open_requests and not on.node.host.unanswered
         assert (await on.ask(request()))[:4] == b"HTTP"
@@ -215,7 +219,7 @@
     long = answer(200, b"x" * 60_000)
 
     class Pages(Peer):
-        """Answers by what was asked on the very connection."""
+        """Sends a long response to requests for /stalled/, and a short one to others."""
 
         async def read(self, stream: SocketStream) -> bytes:
             asked = await super().read(stream)
@@ -225,70 +229,70 @@
         async def default_step(self, stream: SocketStream) -> None:
             await (long if self.long else answer(200, b"y" * 2000))(stream)
 
-    members = [Pages() for _ in range(80)]  # so many that 200 at once are no overload
+    members = [Pages() for _ in range(80)]  # enough that 200 requests at once are no overload
     async with running_h2_node(*members, streams=300) as on:
-        asking = await client(on, window=3000)
-        asking.stalled.add(1)
+        h2_client = await client(on, window=3000)
+        h2_client.stalled.add(1)
         path = "/page-fetch/stalled/00000000b4d65521"
-        await asking.ask(head(Path=path))
-        await asking.until(lambda c: len(c.bodies[1]) == 3000)
-        others = [await asking.ask(head(Quota_Info="units=1,spread=2,first=1")) for _ in range(200)]
-        await asking.until(lambda c: set(others) <= c.ended)
-        assert all(asking.bodies[number] == b"y" * 2000 for number in others)
-        assert len(asking.bodies[1]) == 3000 and 1 not in asking.ended
+        await h2_client.ask(head(Path=path))
+        await h2_client.until(lambda c: len(c.bodies[1]) == 3000)
+        others = [await h2_client.ask(head(Quota_Info="units=1,spread=2,first=1")) for _ in range(200)]
+        await h2_client.until(lambda c: set(others) <= c.ended)
+        assert all(h2_client.bodies[number] == b"y" * 2000 for number in others)
+        assert len(h2_client.bodies[1]) == 3000 and 1 not in h2_client.ended
         (connection,) = front(on).server._connections  # type: ignore[union-attr]
         assert isinstance(connection, Http2Connection)
         assert len(connection.streams) == 1 and connection.link.unsent == 0
-        asking.h2.increment_flow_control_window(60_000, 1)
-        asking.stalled.clear()
-        await asking.flush()
-        assert (await asking.answer(1))[1] == b"x" * 60_000
+        h2_client.h2.increment_flow_control_window(60_000, 1)
+        h2_client.stalled.clear()
+        await h2_client.flush()
+        assert (await h2_client.answer(1))[1] == b"x" * 60_000
 
 
 async def test_windows_of_one_byte_get_the_whole_answer() -> None:
     async with running_h2_node(Peer(answer(200, b"a page"))) as on:
-        asking = await client(on, window=1)
-        assert await asking.answer(await asking.ask(head())) == (200, b"a page")
+        h2_client = await client(on, window=1)
+        assert await h2_client.answer(await h2_client.ask(head())) == (200, b"a page")
 
 
 async def test_settings_that_change_in_the_middle_of_an_answer_hold_from_there() -> None:
     async with running_h2_node(Peer(answer(200, b"z" * 9000))) as on:
-        asking = await client(on, window=1000)
-        asking.stalled.add(1)
-        await asking.ask(head())
-        await asking.until(lambda c: len(c.bodies[1]) == 1000)
-        asking.h2.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 20_000})
-        await asking.flush()
-        assert (await asking.answer(1))[1] == b"z" * 9000
+        h2_client = await client(on, window=1000)
+        h2_client.stalled.add(1)
+        await h2_client.ask(head())
+        await h2_client.until(lambda c: len(c.bodies[1]) == 1000)
+        h2_client.h2.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 20_000})
+        await h2_client.flush()
+        assert (await h2_client.answer(1))[1] == b"z" * 9000
 
 
-def room(number: int) -> Callable[[Client], bool]:
+def has_window(number: int) -> Callable[[Client], bool]:
     return lambda c: c.h2.local_flow_control_window(number) > 0 or number in c.resets
 
 
 async def test_a_body_longer_than_the_window_and_one_longer_than_allowed() -> None:
     member = Peer()
     async with running_h2_node(member) as on:
-        asking = await client(on)
-        for size, says in ((64 * 1024, 200), (64 * 1024 + 1, 413)):
-            number = await asking.ask(head("code-redeem"), end=False)
+        h2_client = await client(on)
+        for size, expected_status in ((64 * 1024, 200), (64 * 1024 + 1, 413)):
+            number = await h2_client.ask(head("code-redeem"), end=False)
             left = size
             while left:
-                await asking.until(room(number))
-                if number in asking.resets:
+                await h2_client.until(has_window(number))
+                if number in h2_client.resets:
                     break
-                some = min(left, asking.h2.local_flow_control_window(number), 16_384)
+                some = min(left, h2_client.h2.local_flow_control_window(number), 16_384)
                 left -= some
-                asking.h2.send_data(number, b"b" * some, end_stream=not left)
-                await asking.flush()
-            assert (await asking.answer(number))[0] == says
+                h2_client.h2.send_data(number, b"b" * some, end_stream=not left)
+                await h2_client.flush()
+            assert (await h2_client.answer(number))[0] == expected_status
     assert len(member.seen) == 1 and member.seen[0].endswith(b"b" * 100)
 
 
-# ---- a planned end
+# ---- planned shutdown
 
 
-async def test_at_a_planned_end_open_streams_finish_and_new_ones_are_refused_unharmed() -> None:
+async def test_at_a_planned_shutdown_open_streams_finish_and_new_ones_are_refused() -> None:
     finish = anyio.Event()
 
     async def slow(stream: SocketStream) -> None:
@@ -306,7 +310,7 @@
         on.node.stop()
         first = clients[0]
         await first.until(lambda c: c.goaways)
-        assert first.goaways[0] == (0, 2**31 - 1)  # nothing is lost that is on the way
+        assert first.goaways[0] == (0, 2**31 - 1)  # requests on their way are still accepted
         await first.until(lambda c: len(c.goaways) == 2)
         assert first.goaways[1] == (0, 19)
         finish.set()
@@ -316,7 +320,7 @@
             await on.ended.wait()
 
 
-async def test_a_stream_above_the_last_one_told_is_refused_and_never_ran() -> None:
+async def test_a_stream_above_the_last_id_of_a_goaway_is_refused_and_never_ran() -> None:
     finish = anyio.Event()
 
     async def slow(stream: SocketStream) -> None:
@@ -325,19 +329,19 @@
 
     member = Peer(slow)
     async with running_h2_node(member) as on:
-        asking = await client(on)
-        number = await asking.ask(head())
+        h2_client = await client(on)
+        number = await h2_client.ask(head())
         await member.wait_until(lambda peer: len(peer.seen) == 1)
         (connection,) = front(on).server._connections  # type: ignore[union-attr]
         connection.close_if_idle()
-        # h2's client would not open a stream after GOAWAY: the frame is made by hand
-        late = HeadersFrame(3, data=asking.h2.encoder.encode(head()), flags=["END_HEADERS", "END_STREAM"])
-        await asking.stream.send(late.serialize())
+        # The frame is made by hand, since h2's client would not open a stream after GOAWAY.
+        late = HeadersFrame(3, data=h2_client.h2.encoder.encode(head()), flags=["END_HEADERS", "END_STREAM"])
+        await h2_client.stream.send(late.serialize())
         finish.set()
         raw = b""
         with anyio.fail_after(TEST_TIMEOUT_S), suppress(anyio.EndOfStream):
             while True:
-                raw += await asking.stream.receive()
+                raw += await h2_client.stream.receive()
         found = [(type(made).__name__, made.stream_id) for made in frames(raw)]
         assert ("RstStreamFrame", 3) in found and ("HeadersFrame", 3) not in found
         (refused,) = [made for made in frames(raw) if isinstance(made, RstStreamFrame)]
@@ -367,7 +371,7 @@
 
 
 def bomb() -> bytes:
-    """One large field put into the table, then named again and again."""
+    """An HPACK bomb: one large field in the dynamic table, referenced again and again."""
     encoder = Encoder()
     block = encoder.encode([*head(), ("x-large", "y" * 3000)]) + b"\xbe" * 3000
     return HeadersFrame(1, data=block[:16_000], flags=["END_HEADERS", "END_STREAM"]).serialize()
@@ -417,7 +421,7 @@
 
 
 @pytest.mark.parametrize("name", ABUSES)
-async def test_abuse_ends_its_own_connection_with_a_reason_and_others_go_on(name: str) -> None:
+async def test_abuse_ends_its_connection_with_an_error_code_and_others_go_on(name: str) -> None:
     data, codes = ABUSES[name]
     member = Peer()
     async with running_h2_node(member) as on:
@@ -434,8 +438,8 @@
                     raw += await bad.stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 pass
-        told = goaway_code(raw)
-        assert told in {int(code) for code in codes}, (name, told)
+        code = goaway_code(raw)
+        assert code in {int(allowed) for allowed in codes}, (name, code)
         assert (await other.answer(await other.ask(head())))[0] == 200
         with anyio.fail_after(TEST_TIMEOUT_S):
             while len(on.node.host.open_requests) > 0:
@@ -480,13 +484,15 @@
         [*head(), ("host", "origin.svc"), ("host", "origin.svc")],
     ],
 )
-async def test_what_would_read_otherwise_at_a_member_is_not_passed_on(fields: list[tuple[str, str]]) -> None:
+async def test_requests_that_a_member_would_parse_differently_are_not_forwarded(
+    fields: list[tuple[str, str]],
+) -> None:
     member = Peer()
     async with running_h2_node(member) as on:
-        asking = await client(on, strict=False)
-        number = await asking.ask(fields)
-        await asking.until(lambda c: number in c.ended or c.goaways)
-        assert asking.statuses.get(number, 400) == 400
+        h2_client = await client(on, strict=False)
+        number = await h2_client.ask(fields)
+        await h2_client.until(lambda c: number in c.ended or c.goaways)
+        assert h2_client.statuses.get(number, 400) == 400
     assert not member.seen
 
 
@@ -504,22 +510,22 @@
         [*head("code-redeem"), ("content-length", "3")],
     ],
 )
-async def test_a_malformed_request_reaches_nobody(fields: list[tuple[str, str]]) -> None:
+async def test_a_malformed_request_reaches_no_member(fields: list[tuple[str, str]]) -> None:
     member = Peer()
     async with running_h2_node(member) as on:
-        asking = await client(on, strict=False)
-        await asking.ask(fields)
-        await asking.until(lambda c: c.goaways or c.resets or 1 in c.ended)
-        assert 200 not in asking.statuses.values()
+        h2_client = await client(on, strict=False)
+        await h2_client.ask(fields)
+        await h2_client.until(lambda c: c.goaways or c.resets or 1 in c.ended)
+        assert 200 not in h2_client.statuses.values()
     assert not member.seen
 
 
-async def test_streams_opened_and_left_are_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_requests_that_are_never_completed_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millfront.node.clients.REQUEST_READ_TIMEOUT_US", 100_000)
     async with running_h2_node(Peer()) as on:
-        asking = await client(on)
-        number = await asking.ask(head("code-redeem"), end=False)
-        assert (await asking.answer(number))[0] == 408
+        h2_client = await client(on)
+        number = await h2_client.ask(head("code-redeem"), end=False)
+        assert (await h2_client.answer(number))[0] == 408
         mute = await client(on)
         await mute.until(lambda c: c.closed)
 
@@ -527,7 +533,7 @@
 # ---- without sockets
 
 
-def test_turns_are_fair_and_urgent_ones_first() -> None:
+def test_scheduling_is_fair_and_urgent_streams_go_first() -> None:
     scheduler = StreamScheduler()
     for stream, urgency in ((1, 3), (3, 3), (5, 1), (7, 3)):
         scheduler.add(stream, urgency)
@@ -567,7 +573,7 @@
 
 
 class Sink:
-    """A link that takes so many bytes and no more."""
+    """A link that accepts all bytes at once."""
 
     def __init__(self) -> None:
         self.sent = b""
--- a/tests/test_http2_members.py
+++ b/tests/test_http2_members.py
@@ -1,4 +1,4 @@
-"""HTTP/2 to pool members: what runs where, and what each way to end means to a request's class."""
+"""HTTP/2 to pool members: sharing of connections, and which requests are sent again after a failure."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -41,10 +41,10 @@
 
 @asynccontextmanager
 async def running_h2_members_node(
-    *members: Peer, streams: int = 32, **told: Any
+    *members: Peer, streams: int = 32, **options: Any
 ) -> AsyncIterator[RunningNode]:
     operators = {"http2": {"members": True, "member_streams": streams}}
-    async with running_node(*members, operators=operators, **told) as on:
+    async with running_node(*members, operators=operators, **options) as on:
         yield on
 
 
@@ -55,7 +55,7 @@
     return act
 
 
-async def breaks(connection: PeerConnection, number: int) -> None:
+async def disconnects(connection: PeerConnection, number: int) -> None:
     await anyio.aclose_forcefully(connection.stream)
     raise anyio.ClosedResourceError
 
@@ -75,7 +75,7 @@
     await connection.flush()
 
 
-async def test_several_attempts_share_a_connection_and_what_passes_on_is_what_came() -> None:
+async def test_several_attempts_share_a_connection_and_are_forwarded_unchanged() -> None:
     ask: dict[int, Any] = {}
 
     async def together(connection: PeerConnection, number: int) -> None:
@@ -97,11 +97,14 @@
                 tasks.start_soon(one, client)
         assert {status(answer) for answer in answers} == {200} and len(set(answers)) == 4
     assert member.connections == 1
-    assert {came["body"] for came in member.requests} == {"what is bought"}
-    came = member.requests[0]
-    assert came[":path"] == "/code-redeem/more/00000000b4d65521?a=%20b" and came[":authority"] == "origin.svc"
-    assert came["content-length"] == "14" and "host" not in came
-    assert 2_000_000 < int(came["request-timeout"].removesuffix("u")) <= 3_000_000
+    assert {received["body"] for received in member.requests} == {"what is bought"}
+    received = member.requests[0]
+    assert (
+        received[":path"] == "/code-redeem/more/00000000b4d65521?a=%20b"
+        and received[":authority"] == "origin.svc"
+    )
+    assert received["content-length"] == "14" and "host" not in received
+    assert 2_000_000 < int(received["request-timeout"].removesuffix("u")) <= 3_000_000
 
 
 @pytest.mark.parametrize(
@@ -112,10 +115,10 @@
         (resets(ErrorCodes.INTERNAL_ERROR), "code-redeem", 1, 502),
         (resets(ErrorCodes.NO_ERROR), "code-redeem", 1, 502),
         (status_500, "code-redeem", 1, 502),
-        (breaks, "code-redeem", 1, 502),
+        (disconnects, "code-redeem", 1, 502),
         (too_long, "code-redeem", 1, 502),
         (resets(ErrorCodes.INTERNAL_ERROR), "issue-buy", 2, 200),
-        (breaks, "page-fetch", 2, 200),
+        (disconnects, "page-fetch", 2, 200),
         (too_long, "page-fetch", 2, 200),
     ],
 )
@@ -148,16 +151,15 @@
                 tasks.start_soon(one, client)
             await member.wait_until(lambda _: len(member.requests) == 4)
             first = member.peer_connections[0]
-            await first.goaway(3)  # 1 and 3 run, 5 and 7 never did
+            await first.goaway(3)  # streams 1 and 3 run, 5 and 7 never did
             await member.wait_until(lambda _: len(member.requests) == 6)
             for number in (1, 3):
                 await first.answer(number)
         assert answers == [200] * 4
         assert member.connections == 2
-        await member.wait_until(
-            lambda peer: peer.closed == 1
-        )  # it never closes: we do, once its streams have ended
-        assert len({came["request-id"] for came in member.requests}) == 4
+        # The member never closes; the node does, once the streams have ended.
+        await member.wait_until(lambda peer: peer.closed == 1)
+        assert len({received["request-id"] for received in member.requests}) == 4
 
 
 async def test_a_connection_that_dies_ends_each_attempt_once_by_its_class() -> None:
@@ -177,17 +179,17 @@
                     await anyio.sleep(0.001)
             for member in members:
                 member.steps.clear()
-            struck = [member for member in members if member.requests]
-            for member in struck:
+            disconnected = [member for member in members if member.requests]
+            for member in disconnected:
                 for connection in member.peer_connections:
                     await anyio.aclose_forcefully(connection.stream)
         assert answers["code-redeem"] == [502] * 3
         assert answers["page-fetch"] == [200] * 3
         ran = [
-            came["request-id"]
+            received["request-id"]
             for member in members
-            for came in member.requests
-            if "code-redeem" in came[":path"]
+            for received in member.requests
+            if "code-redeem" in received[":path"]
         ]
         assert len(ran) == len(set(ran)) == 3
         assert not on.node.host.open_requests and not on.node.host.unanswered
@@ -205,7 +207,7 @@
         assert member.connections == 1 and not on.node.host.unanswered
 
 
-async def test_a_silent_connection_is_found_before_the_deadlines_of_what_is_out(
+async def test_a_dead_connection_is_found_before_the_deadlines_of_its_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("millfront.http2.members.PING_AFTER_US", 100_000)
@@ -224,10 +226,10 @@
         await member.wait_until(lambda peer: peer.closed == 1)
         assert anyio.current_time() - began < 1.5
         with anyio.fail_after(TEST_TIMEOUT_S):
-            assert status(await client.receive()) == 200  # a page may be fetched again
+            assert status(await client.receive()) == 200  # page-fetch may be repeated
 
 
-async def test_one_told_draining_gets_no_new_stream_and_finishes_those_it_has() -> None:
+async def test_a_draining_member_gets_no_new_stream_and_finishes_those_it_has() -> None:
     member, other = H2Peer(never_answer), H2Peer(never_answer)
     async with running_h2_members_node(member, other) as on:
         client = await on.client()
@@ -238,8 +240,8 @@
         drains, stays = (member, other) if member.requests else (other, member)
         stays.steps.clear()
         name = "s-0" if drains is member else "s-1"
-        told = {"seq": 42, "whole": False, "hosts": [row(name, drains.address, "Terminating")]}
-        on.node.pool.apply_list(told)
+        update = {"seq": 42, "whole": False, "hosts": [row(name, drains.address, "Terminating")]}
+        on.node.pool.apply_list(update)
         for _ in range(5):
             assert status(await on.ask(request())) == 200
         assert len(drains.requests) == 1 and len(stays.requests) == 5
@@ -262,7 +264,7 @@
 # ---- without sockets
 
 
-def seen(
+def state(
     open_: int = 0, allowed: int = 4, draining: bool = False, born: int = 0, used: int = 0
 ) -> ConnectionState:
     return ConnectionState(open_, allowed, draining, born, used, 0)
@@ -274,10 +276,10 @@
         ([], 0, 0, Action.CONNECT, -1),
         ([], 1, 3, Action.WAIT, -1),
         ([], 1, 4, Action.CONNECT, -1),
-        ([seen(1), seen(3), seen(2)], 0, 0, Action.USE, 1),
-        ([seen(4), seen(1, draining=True)], 0, 0, Action.CONNECT, -1),
-        ([seen(4), seen(4)], 0, 0, Action.FULL, -1),
-        ([seen(4, draining=True), seen(4)], 0, 0, Action.CONNECT, -1),
+        ([state(1), state(3), state(2)], 0, 0, Action.USE, 1),
+        ([state(4), state(1, draining=True)], 0, 0, Action.CONNECT, -1),
+        ([state(4), state(4)], 0, 0, Action.FULL, -1),
+        ([state(4, draining=True), state(4)], 0, 0, Action.CONNECT, -1),
     ],
 )
 def test_the_fullest_with_room_carries_the_next(
@@ -289,12 +291,14 @@
 
 def test_old_and_unused_connections_retire_and_one_idle_is_kept() -> None:
     now = MAX_AGE_US
-    idle = [seen(used=now - IDLE_TIMEOUT_US - i, born=now) for i in (5, 1, 9)]
-    assert find_retirable([*idle, seen(2, born=now)], now) == [0, 2]
-    assert find_retirable([seen(3, born=-1)], now) == [0]
+    idle = [state(used=now - IDLE_TIMEOUT_US - i, born=now) for i in (5, 1, 9)]
+    assert find_retirable([*idle, state(2, born=now)], now) == [0, 2]
+    assert find_retirable([state(3, born=-1)], now) == [0]
 
 
-@given(st.lists(st.builds(seen, st.integers(0, 4), st.just(4), st.booleans()), max_size=6), st.integers(0, 3))
+@given(
+    st.lists(st.builds(state, st.integers(0, 4), st.just(4), st.booleans()), max_size=6), st.integers(0, 3)
+)
 def test_no_stream_goes_to_a_draining_or_a_full_one(
     connections: list[ConnectionState], connecting: int
 ) -> None:
@@ -307,7 +311,7 @@
 
 
 class Booked:
-    """A flow that counts how it ended."""
+    """A ResponseHandler that counts how often it ended."""
 
     streaming = False
 
@@ -342,7 +346,7 @@
 
 
 class Socketless:
-    """What a connection asks of its link, its pool and its member."""
+    """Stands for a connection's link, pool, member and clock."""
 
     closed, max_connections, max_streams, ready, host, address = False, 4, 32, True, "s-0", "127.0.0.1:1"
     connection_count = 1
