--- a/millfront/http2/clients.py
+++ b/millfront/http2/clients.py
@@ -115,7 +115,7 @@
         self.ending = Ending.CLOSED
         self.closed = False
         self.had_request = False  # a request arrived whole
-        self.finished_us = 0  # since when no more streams are served; 0: they are
+        self.finished_us = 0  # when linger() began; 0: it did not
         self.idle_since_us = now
         # Always 0: each stream has its own started_us for an incomplete request.
         self.request_started_us = 0
