--- a/millfront/node/counter.py
+++ b/millfront/node/counter.py
@@ -1,4 +1,4 @@
-"""The counter (tally desk): calls pipelined on one connection, answers matched in order."""
+"""Client of the shared counter: calls are pipelined on one connection, answers matched in order."""
 
 import math
 import re
@@ -18,13 +18,9 @@
 log = Log(__name__)
 
 MAX_LINE_BYTES = 256
-TOTAL = re.compile(rb"[-+]?[0-9]+(?:\.[0-9]*)?(?:[eE][-+]?[0-9]+)?")  # float() alone would read 1_0 and nan
-CONNECTION_LOST_US = (
-    250_000  # an answer so late after its call ended: this connection may be cut off, a new one not
-)
-IDLE_TIMEOUT_US = (
-    3_000_000  # the counter closes after some seconds: a call that crossed the close might be added or not
-)
+TOTAL = re.compile(rb"[-+]?[0-9]+(?:\.[0-9]*)?(?:[eE][-+]?[0-9]+)?")  # float() also accepts 1_0 and nan
+CONNECTION_LOST_US = 250_000  # past a call's timeout: this connection may be cut off, a new one not
+IDLE_TIMEOUT_US = 3_000_000  # the counter closes after some seconds: a call sent then may be added or not
 
 
 @dataclass(slots=True, eq=False)
@@ -42,8 +38,8 @@
         self.address = address
         self.timeout_us = timeout_us
         self.connect_timeout_us = connect_timeout_us
-        self._queued: deque[Call] = deque()  # not written yet
-        self._written: deque[Call] = deque()  # in the order of their answers, also those that ended before
+        self._queued: deque[Call] = deque()  # not yet written
+        self._written: deque[Call] = deque()  # in the order of their answers, also those that timed out
         self._wakeup = anyio.Event()
         self._last_write_us = 0
         self._retired = False
@@ -56,8 +52,8 @@
         self.host.timers.after(self.timeout_us, lambda: self._on_timeout(call))
 
     def retire(self, successor: "CounterClient") -> None:
-        """The counter has moved: what is not written yet is the successor's, what is written gets its answer
-        here, and run() ends with the last one."""
+        """The counter has moved: calls not yet written go to the successor. The others get their answers
+        here, and run() returns after the last one."""
         self._retired = True
         while self._queued:
             successor._enqueue(self._queued.popleft())
@@ -68,7 +64,7 @@
         self._wakeup.set()
 
     def _on_timeout(self, call: Call) -> None:
-        """Past its time. Written, it may have been added, and its answer is still to be consumed."""
+        """Timed out. If written, it may have been added, and its answer is still to be consumed."""
         self._end(call, Ending.TIMED_OUT if call.written else Ending.CONNECT_FAILED)
 
     def _end(self, call: Call, ending: Ending, total: float = 0.0) -> None:
@@ -77,7 +73,7 @@
             self.host.counter_answered(api.CounterAnswered(call.name, COUNT_OUTCOMES[ending], total))
 
     async def run(self) -> None:
-        """Connect when there are calls, until retired."""
+        """Connects when there are calls, until retired."""
         while not self._retired:
             await self._wait_for_calls()
             if not self._queued:
@@ -99,9 +95,9 @@
                     self._end(self._written.popleft(), Ending.BROKEN)
 
     async def _wait_for_calls(self) -> None:
-        """Until there are some that still count, or this counter is retired."""
+        """Waits for calls that have not timed out, or for retire()."""
         while True:
-            while self._queued and self._queued[0].ended:  # it waited for a connection past its time
+            while self._queued and self._queued[0].ended:  # it timed out waiting for a connection
                 self._queued.popleft()
             if self._queued or self._retired:
                 return
@@ -115,12 +111,10 @@
                 await self._wait_for_calls()
             now = self.host.clock.now()
             if self._retired:
-                await anyio.sleep(
-                    self.timeout_us / 1e6
-                )  # by then each call has its answer, or has ended without
+                await anyio.sleep(self.timeout_us / 1e6)  # by then each call has its answer or has timed out
                 return
             if not self._queued and not self._written and now - self._last_write_us >= IDLE_TIMEOUT_US:
-                return  # idle: closed from this side, before the counter does
+                return  # idle: close before the counter does
             if self._written and now - self._written[0].created_us > self.timeout_us + CONNECTION_LOST_US:
                 return
             calls = [call for call in self._queued if not call.ended]
@@ -134,7 +128,7 @@
             try:
                 await stream.send(b"".join(call.line for call in calls))
             except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-                for call in calls:  # failed before their last byte was written: nothing added
+                for call in calls:  # the last byte was not written: nothing added
                     self._end(call, Ending.CONNECT_FAILED)
                 return
 
@@ -146,24 +140,24 @@
                 for line in lines:
                     self._handle_answer(line.strip())
                 if len(remainder) > MAX_LINE_BYTES:
-                    raise ExchangeError(Ending.MALFORMED, "a line too long")
+                    raise ExchangeError(Ending.MALFORMED, f"line of more than {MAX_LINE_BYTES} bytes")
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             pass
         except ExchangeError as error:
-            log.warning("the counter answered nonsense", why=error)
+            log.warning("malformed answer from the counter", why=error)
         scope.cancel()
 
     def _handle_answer(self, line: bytes) -> None:
         if not self._written:
-            raise ExchangeError(Ending.MALFORMED, f"an answer to no call: {line[:40]!r}")
+            raise ExchangeError(Ending.MALFORMED, f"answer without a call: {line[:40]!r}")
         status, _, total = line.partition(b" ")
         ending, value = Ending.NOT_STARTED, 0.0
         if status == b"ok":
             if not TOTAL.fullmatch(total) or not math.isfinite(value := float(total)):
-                raise ExchangeError(Ending.MALFORMED, f"no total: {line[:40]!r}")
+                raise ExchangeError(Ending.MALFORMED, f"expected 'ok' and a number, got {line[:40]!r}")
             ending = Ending.SERVED
         elif status == b"error":
             ending = Ending.ERRORED
         elif status != b"busy":
-            raise ExchangeError(Ending.MALFORMED, f"no answer: {line[:40]!r}")
+            raise ExchangeError(Ending.MALFORMED, f"expected ok, error or busy, got {line[:40]!r}")
         self._end(self._written.popleft(), ending, value)
--- a/millfront/node/host.py
+++ b/millfront/node/host.py
@@ -187,7 +187,7 @@
         self._processing = False
 
     def post_event(self, event: api.Event) -> None:
-        """Queues an event. Events are processed one at a time, also those posted while actions are executed."""
+        """Queues an event. Events are processed one at a time, also if posted while an action is executed."""
         self._events.append(event)
         if self._processing:
             return
@@ -321,8 +321,8 @@
         return True
 
     def _schedule_overdue_check(self, request: int, after_us: int) -> None:
-        """Checks the request once, after this time. Checks within one DEADLINE_CHECK_US share a timer. Only the
-        request's number is kept, so that its message can be freed before then."""
+        """Checks the request once, after this time. Checks within one DEADLINE_CHECK_US share a timer. Only
+        the request's number is kept, so that its message can be freed before then."""
         now = self.clock.now()
         tick = (now + after_us) // DEADLINE_CHECK_US + 1
         if tick in self._deadline_checks:
--- a/millfront/node/members.py
+++ b/millfront/node/members.py
@@ -1,4 +1,4 @@
-"""The pool members (page servers): who they are, and the connections to them."""
+"""The pool members (page servers) and the connections to them."""
 
 import asyncio
 import socket
@@ -15,15 +15,15 @@
 from millfront.node.http1 import LAST_CHUNK, ResponseParser, encode_chunk, request_bytes
 from millfront.node.link import ConnectAttempt, Link
 
-IDLE_SHARE = 0.5  # of KeepaliveUs: a request written after the member closed would count as a reset
-MAX_BROKEN_SHARE = 0.15  # of the requests on connections idle for so long that broke
-MIN_BROKEN = 3.0  # before that share says anything
-BUCKETS = 32  # up to half an hour
-DECAY = 0.99  # of what was seen, each sweep: after a minute or so the same idle time is tried again
+IDLE_SHARE = 0.5  # of KeepaliveUs: a request written after the member has closed counts as a reset
+MAX_BROKEN_SHARE = 0.15  # of the requests on connections that were idle for a given time
+MIN_BROKEN = 3.0  # broken requests; below that the share is not significant
+BUCKETS = 32  # of idle times, up to half an hour
+DECAY = 0.99  # of the counts, each sweep: an idle time is tried again after a minute or so
 SWEEP_INTERVAL_S = 0.5
 
 
-MemberId = int | str  # a number of the list's, or the name of one life of a server
+MemberId = int | str  # a number from the list, or the name of one incarnation of a server
 
 
 @dataclass(eq=False, slots=True)
@@ -31,25 +31,25 @@
     id: MemberId
     host: str
     address: Address
-    ready: bool = True  # not told draining or gone
+    ready: bool = True  # neither draining nor gone, as far as the list says
     stopped_us: int = 0
-    idle_connections: "list[MemberConnection]" = field(default_factory=list)  # the last used at the end
+    idle_connections: "list[MemberConnection]" = field(default_factory=list)  # the most recently used last
 
 
 class ResponseHandler(Protocol):
-    """Whoever waits for an answer on a connection."""
+    """Handles the response to a request on a connection."""
 
-    streaming: bool  # an answer has begun to go on
+    streaming: bool  # a response is being forwarded
 
     def on_partial_response(self) -> None: ...
     def on_response_head(self, answer: Message) -> None:
-        """An answer too long to be gathered: its head, and what came of its body."""
+        """A response too long to buffer: its head, and what has arrived of its body."""
 
     def on_body(self, data: bytes, last: bool) -> None:
-        """What came next of it."""
+        """The next part of its body."""
 
     def on_body_progress(self) -> None:
-        """The request's body goes on, or is whole with the kernel."""
+        """All that was written of the request's body so far is with the kernel."""
 
     def on_response(self, answer: Message) -> None: ...
     def on_malformed(self, why: str) -> None: ...
@@ -57,52 +57,52 @@
 
 
 class Exchange(Protocol):
-    """What carries one request to a member and its answer back: a connection, or a stream of one."""
+    """Carries one request to a member and its response back: a connection, or a stream on one."""
 
     flow: ResponseHandler | None
 
     def request(
         self, start: tuple[bytes, bytes], fields: Fields, body: bytes, upload: Upload | None = None
     ) -> None:
-        """Write it, and what follows of its body. Raises ExchangeError: CONNECT_FAILED, nothing of it ran."""
+        """Writes it, and its body as it arrives. Raises ExchangeError: CONNECT_FAILED, nothing of it ran."""
 
     def pause(self) -> None:
-        """Bring no more of an answer under way until resumed."""
+        """Delivers no more of a response until resumed."""
 
     def resume(self) -> None: ...
 
     def deliver_buffered(self) -> None:
-        """Tell what came with an answer's beginning, or while paused."""
+        """Delivers what arrived together with a response's head, or while paused."""
 
     def deliver_partial(self) -> None:
-        """Tell the beginning of an answer without a length, whatever there is of it."""
+        """Delivers what has arrived so far of a response without a length."""
 
     def request_flushed(self) -> bool:
-        """Nothing of the request waits for the member."""
+        """Whether nothing of the request is waiting to be accepted by the member."""
         ...
 
     def release(self) -> bool:
-        """The answer is whole; False where nothing more can go over it, and drop() is owed."""
+        """The response is complete. False: not reusable, and the caller must drop() it."""
         ...
 
     def drop(self) -> None:
-        """Given up: the member is told."""
+        """Gives the exchange up, which the member can tell."""
 
     def record_outcome(self, ok: bool) -> None:
-        """How it did with the request that was written on it."""
+        """Records whether the request that was written on it succeeded, for IdleReuseStats."""
 
 
 ConnectCallback = Callable[[Exchange | None, ExchangeError | None], None]
 
 
 class SharedConnections(Protocol):
-    """Exchanges on connections that carry several at once."""
+    """Connections that carry several exchanges at once. See Members.obtain()."""
 
     def obtain(self, member: PoolMember, on_connected: ConnectCallback) -> Exchange | Callable[[], None]: ...
 
 
 class MemberConnection:
-    """One connection, one request at a time."""
+    """One HTTP/1.1 connection, one request at a time."""
 
     __slots__ = (
         "address",
@@ -113,7 +113,7 @@
         "member",
         "members",
         "parser",
-        "request_bytes",
+        "request_size",
         "request_written",
         "upload",
     )
@@ -125,10 +125,10 @@
         self.parser = ResponseParser()
         self.flow: ResponseHandler | None = None
         self.request_written = False  # the request's last byte is with the kernel
-        self.request_bytes = 0  # bytes of the request that were given to the link
-        self.upload: Upload | None = None  # the rest of its body
+        self.request_size = 0  # bytes of the request that were passed to the link
+        self.upload: Upload | None = None  # the rest of the request's body
         self.idle_since_us = 0
-        self.idle_us = 0  # how long it lay idle before it was taken up; 0: it is new
+        self.idle_us = 0  # how long it was idle before this request; 0: new
         self.link = Link(sock, self, asyncio.get_running_loop())
 
     def request(
@@ -145,7 +145,7 @@
             fields = [*fields, (b"Content-Length", b"%d" % len(body))]
         request = request_bytes(start, fields, body)
         self.parser.expect(start[0])
-        self.request_written, self.upload, self.request_bytes = False, upload, len(request)
+        self.request_written, self.upload, self.request_size = False, upload, len(request)
         try:
             self.link.write(request)
         except OSError as error:
@@ -156,7 +156,7 @@
             self.request_written = not self.link.unsent
 
     def write_body(self, data: bytes, last: bool) -> bool:
-        """More of the request's body. A break is told by the link's reading side."""
+        """Writes more of the request's body. The link's reading side reports a broken connection."""
         upload = self.upload
         if upload is None or self.link.closed:
             return True
@@ -164,7 +164,7 @@
             data = encode_chunk(data) + (LAST_CHUNK if last else b"")
         try:
             if data:
-                self.request_bytes += len(data)
+                self.request_size += len(data)
                 self.link.write(data)
         except OSError as error:
             self.ended(repr(error))
@@ -204,7 +204,7 @@
 
     def received(self, data: bytes) -> None:
         flow = self.flow
-        if flow is None:  # nothing was asked: the next answer on it could not be trusted
+        if flow is None:  # no request is open: the next response could not be trusted
             self.members.connection_lost(self)
             return
         try:
@@ -224,7 +224,7 @@
             flow.on_response(answer)
 
     def deliver_buffered(self) -> None:
-        """What came with an answer's beginning, once that is passed on."""
+        """Delivers what arrived with the response's head, once the head has been forwarded."""
         if self.flow is not None and self.parser.body_pending and not self.link.closed:
             try:
                 data = self.parser.read_body(b"")
@@ -234,7 +234,7 @@
             self.flow.on_body(data, not self.parser.body_pending)
 
     def deliver_partial(self) -> None:
-        """An answer without a length has waited long enough: what there is of it goes on."""
+        """Delivers what has arrived of a response without a length."""
         if self.flow is not None and (answer := self.parser.partial_response()) is not None:
             self.flow.on_response_head(answer)
 
@@ -244,7 +244,7 @@
             self.members.connection_lost(self)
             return
         if not self.request_written:
-            partially_sent = self.link.unsent < self.request_bytes
+            partially_sent = self.link.unsent < self.request_size
             flow.on_broken(
                 ExchangeError(
                     Ending.CONNECT_FAILED, why or "ended", retryable=True, partially_sent=partially_sent
@@ -273,9 +273,9 @@
 
 
 class IdleReuseStats:
-    """How requests fared on kept connections, by how long these had lain idle, in powers of two. Guards
-    against members, or what lies between, that drop an idle connection without a word and sooner than the
-    settings say: the next request on it breaks, and may have run."""
+    """Outcomes of requests on reused connections, by the connection's idle time in powers of two. Guards
+    against members, or middleboxes, that silently drop an idle connection sooner than the settings say: the
+    next request on it fails, and may have run."""
 
     def __init__(self) -> None:
         self._broken, self._all = [0.0] * BUCKETS, [0.0] * BUCKETS
@@ -306,17 +306,16 @@
         self.max_connections = max_connections
         self.idle_reuse = IdleReuseStats()
         self.connection_count = 0
-        self.shared: SharedConnections | None = None  # members speak a protocol of several streams
+        self.shared: SharedConnections | None = None  # set if members speak HTTP/2
         self._by_id: dict[MemberId, PoolMember] = {}
-        self._idle: OrderedDict[MemberConnection, None] = (
-            OrderedDict()
-        )  # of all members, the longest idle first
+        # Of all members, the longest idle first
+        self._idle: OrderedDict[MemberConnection, None] = OrderedDict()
 
     def set_timeouts(self, connect_timeout_us: int, keepalive_us: int) -> None:
         self.connect_timeout_us = connect_timeout_us
         self.max_idle_us = int(keepalive_us * IDLE_SHARE)
 
-    # ---- the pool tells ----------------------------------------------------------------------
+    # ---- updates from the pool ---------------------------------------------------------------
 
     def get(self, member: MemberId) -> PoolMember | None:
         return self._by_id.get(member)
@@ -327,7 +326,7 @@
             self._by_id[member] = PoolMember(member, host, address)
             return
         entry.ready = True
-        entry.address = address  # connections to the old address are not taken up again
+        entry.address = address  # connections to the old address are not reused
 
     def set_stopped(self, member: MemberId) -> None:
         entry = self._by_id.get(member)
@@ -335,7 +334,7 @@
             entry.ready, entry.stopped_us = False, self.clock.now()
 
     def forget(self, before_us: int) -> None:
-        """Drop those that stopped before that time; flows still out keep theirs."""
+        """Forgets the members that stopped before that time. Flows in progress keep theirs."""
         for member in list(self._by_id.values()):
             if not member.ready and member.stopped_us < before_us and not member.idle_connections:
                 del self._by_id[member.id]
@@ -346,21 +345,22 @@
     # ---- connections -------------------------------------------------------------------------
 
     def obtain(self, member: PoolMember, on_connected: ConnectCallback) -> Exchange | Callable[[], None]:
-        """An exchange at once; or one is set up and told to `up`, and this returns what gives that up.
+        """An exchange if one is available. Otherwise sets one up, calls `on_connected` with it, and returns a
+        function that cancels this.
 
-        :raises ExchangeError: there is none to be had
+        :raises ExchangeError: none can be had
         """
         if self.shared is not None:
             return self.shared.obtain(member, on_connected)
         return self.take_idle(member) or self.connect(member, on_connected)
 
     def take_idle(self, member: PoolMember) -> MemberConnection | None:
-        """The idle one used last that can be trusted, or none."""
+        """The most recently used idle connection that is fit for reuse, or None."""
         while member.idle_connections:
             found = member.idle_connections.pop()
             del self._idle[found]
-            # Nothing may lie unread on it: a second answer or noise would be taken for the next one's. The
-            # caller writes without a pause, so nothing can come in between.
+            # Nothing may be unread on it: a second response or noise would be taken for the next request's
+            # response. The caller writes at once, so nothing can arrive in between.
             found.idle_us = self.clock.now() - found.idle_since_us
             if (
                 found.address == member.address
@@ -372,7 +372,7 @@
         return None
 
     def connect(self, member: PoolMember, on_connected: ConnectCallback) -> Callable[[], None]:
-        """Set up a new one for one request at a time; returns what gives it up."""
+        """Sets up a new HTTP/1.1 connection; returns a function that cancels this."""
 
         def on_socket(sock: socket.socket | None, error: ExchangeError | None) -> None:
             on_connected(MemberConnection(self, member, sock) if sock is not None else None, error)
@@ -382,15 +382,19 @@
     def connect_socket(
         self, member: PoolMember, on_done: Callable[[socket.socket | None, ExchangeError | None], None]
     ) -> Callable[[], None]:
-        """A socket to the member; returns what gives it up. `done` is told once, unless it is given up.
+        """Connects a socket to the member; returns a function that cancels this. Unless cancelled, `on_done`
+        is called once.
 
-        :raises ExchangeError: NOT_SENT where descriptors are wanting, CONNECT_FAILED where it failed at once
+        :raises ExchangeError: NOT_SENT if connections or descriptors run out, CONNECT_FAILED if it fails at
+            once
         """
         while self.connection_count >= self.max_connections and self._idle:
-            # descriptors are bounded: the longest idle gives way
+            # descriptors are limited: close the connection that has been idle longest
             self._drop_idle(next(iter(self._idle)))
         if self.connection_count >= self.max_connections:
-            raise ExchangeError(Ending.NOT_SENT, "all connections are in use")
+            raise ExchangeError(
+                Ending.NOT_SENT, f"all {self.max_connections} connections to pool members are in use"
+            )
         address = member.address
 
         def on_connected(sock: socket.socket | None, error: OSError | None) -> None:
@@ -416,12 +420,12 @@
         return give_up
 
     def release(self, connection: MemberConnection) -> bool:
-        """Back to the idle ones; False if it can't carry another request."""
+        """Returns a connection to the idle ones; False if it can't carry another request."""
         member = connection.member
         if not member.ready or connection.address != member.address:
             return False
         if not connection.parser.reusable or not connection.request_written:
-            return False  # also one that was answered before its body's end
+            return False  # or the response came before the request's end
         connection.idle_since_us = self.clock.now()
         member.idle_connections.append(connection)
         self._idle[connection] = None
@@ -432,7 +436,7 @@
         connection.link.close()
 
     def connection_lost(self, connection: MemberConnection) -> None:
-        """Something came on an idle one, or its member has ended it."""
+        """An idle connection received data, or its member has closed it."""
         if connection in self._idle:
             self._drop_idle(connection)
         else:
@@ -448,7 +452,7 @@
             self._drop_idle(connection)
 
     async def run(self) -> None:
-        """Close what has been idle for long, what a member has ended, and what leads to one that stopped."""
+        """Closes idle connections that are too old or unreliable, and those to stopped members."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.idle_reuse.decay()
--- a/millfront/node/pool.py
+++ b/millfront/node/pool.py
@@ -1,4 +1,4 @@
-"""The pool: discovery's list of page servers, as it was known and as it changes."""
+"""The pool: the list of page servers from discovery, initially from the configuration, then kept current."""
 
 import itertools
 import json
@@ -24,10 +24,8 @@
     "Gone": api.BackendState.GONE,
 }
 MIN_RETRY_S, MAX_RETRY_S = 0.05, 1.0
-WATCH_TIMEOUT_S = 5.0  # a watch brings a line every 2 s: silent for longer, it may be cut off without a word
-STOPPED_RETENTION_US = (
-    60_000_000  # after a member stopped: successors come under new names, and the table must not grow
-)
+WATCH_TIMEOUT_S = 5.0  # a watch sends a line every 2 s; without one it may be silently cut off
+STOPPED_RETENTION_US = 60_000_000  # successors have new names; the table must not grow
 MAX_LINE_BYTES = 4 * 1024 * 1024
 CONNECT_TIMEOUT_US = 1_000_000
 
@@ -37,24 +35,25 @@
         self.host = host
         self.members = members
         self.discovery = discovery
-        self._needs_full_list = (
-            False  # the list held is another discovery's: its version means nothing to this one
-        )
+        self._needs_full_list = False  # the list is from another discovery, whose seq means nothing here
         self._follow_scope = anyio.CancelScope()
         self.connect_timeout_us = node.connect_timeout_us or CONNECT_TIMEOUT_US
         self.seq = 0
         self._next_id = itertools.count(1)
-        self._ids: dict[str, int] = {}  # hosts are names, the module's backends numbers
+        self._ids: dict[str, int] = {}  # host names to the decision module's numbers
         self._zones = dict(node.zones)
         self._kinds = dict(node.kinds)
 
     def apply_list(self, message: Any, cached: bool = False) -> None:
-        """One object of discovery, whole or changes: to the members first, which guard the drain rule."""
+        """Applies a list or a change from discovery: to the members first, which enforce the drain rule.
+
+        :raises ExchangeError: MALFORMED, and nothing is applied
+        """
         try:
             full, seq = bool(message["whole"]), int(message["seq"])
             entries = [(self._entry(row), row["host"], self._address_of(row)) for row in message["hosts"]]
         except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
-            raise ExchangeError(Ending.MALFORMED, f"a list that can't be read: {error!r}") from None
+            raise ExchangeError(Ending.MALFORMED, f"invalid server list: {error!r}") from None
         if full:
             listed = {entry.backend for entry, _, _ in entries}
             for backend in self._ids.values():
@@ -83,7 +82,7 @@
         )
 
     def backend_ids(self) -> dict[str, int]:
-        """The module's number of each member's name."""
+        """The decision module's number of each member, by name."""
         return dict(self._ids)
 
     def _id_of(self, name: str) -> int:
@@ -93,22 +92,22 @@
 
     def _address_of(self, row: dict[str, Any]) -> Address:
         if row["health"] == "Gone":
-            return Address("", 0)  # nothing is sent there any more
+            return Address("", 0)  # nothing is sent to it any more
         return Address.parse(row["dial"], "dial")
 
     def set_discovery(self, discovery: Address) -> None:
-        """Discovery is elsewhere from now on: nothing that the old one still says is believed."""
+        """Switches to another discovery; whatever the old one still sends is ignored."""
         self.discovery, self._needs_full_list = discovery, True
         self._follow_scope.cancel()
 
     async def watch(self) -> None:
-        """Follow the changes for ever."""
+        """Follows the changes until cancelled."""
         while True:
             with anyio.CancelScope() as self._follow_scope:
                 await self._follow(self.discovery)
 
     async def _follow(self, discovery: Address) -> None:
-        """A watch that ends is asked for anew, later each time in vain."""
+        """Repeats a watch that has ended, after a delay that grows while nothing arrives."""
         wait_s, last_error = MIN_RETRY_S, ""
         while True:
             before = self.seq
@@ -117,8 +116,8 @@
                     await self._fetch_list(discovery)
                 await self._watch_once(discovery)
             except ExchangeError as error:
-                if str(error) != last_error:  # a discovery that is down for hours is said once
-                    log.warning("discovery ended", why=error)
+                if str(error) != last_error:  # log a discovery that is down for hours only once
+                    log.warning("watch of discovery failed", why=error)
                 last_error = str(error)
             wait_s = MIN_RETRY_S if self.seq != before else min(wait_s * 2, MAX_RETRY_S)
             await anyio.sleep(wait_s)
@@ -156,7 +155,7 @@
                 with anyio.move_on_after(WATCH_TIMEOUT_S):
                     event = await connection.next_event()
                     if discovery != self.discovery:
-                        return  # a line can cross the move
+                        return  # a line may arrive after the switch
                     self._handle_event(event, buffer)
                     if isinstance(event, h11.EndOfMessage):
                         return
@@ -172,7 +171,7 @@
             return
         buffer += event.data
         if len(buffer) > MAX_LINE_BYTES:
-            raise ExchangeError(Ending.MALFORMED, f"a line of over {MAX_LINE_BYTES} bytes")
+            raise ExchangeError(Ending.MALFORMED, f"line of more than {MAX_LINE_BYTES} bytes")
         *lines, rest = bytes(buffer).split(b"\n")
         buffer[:] = rest
         for text in lines:
