--- a/millfront/node/config.py
+++ b/millfront/node/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a node: NODE_* and the JSON file that NODE_CONFIG names."""
+"""Configuration from the platform: NODE_* variables and the JSON file that NODE_CONFIG names."""
 
 import hashlib
 import json
@@ -10,19 +10,16 @@
 from millfront import interface as api
 from millfront.settings import NodeSettings, SettingsError, node_settings_from, settings_from
 
-# Of the limit: standard streams, the loop's own, the pool's, the counter's, the operators' callers, an accept
-# at hand.
+# Of the descriptor limit: standard streams, the event loop's, the pool's, the counter's, the callers on the
+# operators' line, one for accept().
 RESERVED_SOCKETS = 72
 
-DEFAULT_MEMORY_MB = 32  # where the configuration names no limit
-PER_GATEKEEPER_KEYS = (
-    "Me",
-    "MyZone",
-)  # settings that tell one gatekeeper from another, not the rules they act on
+DEFAULT_MEMORY_MB = 32  # if the configuration sets no limit
+PER_GATEKEEPER_KEYS = ("Me", "MyZone")  # settings that identify a gatekeeper, as opposed to rules
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text names the field."""
+    """The configuration is invalid; the message names the field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,42 +44,45 @@
     listen: Address
     discovery: Address
     counter: Address | None
-    admin: Address | None  # the operators' line
+    admin: Address | None  # listen address of the operators' line
     seed: int
     sockets: int
     memory_mb: int
     initial_list: dict[str, Any]
     settings: api.Settings
     node: NodeSettings
-    folder: str | None = None  # that processes of one gatekeeper share: $TMPDIR
-    keys: frozenset[str] = frozenset()  # that stand in the file
-    version: str = ""  # of the settings: a hash of their content, the same wherever they are the same
+    folder: str | None = None  # shared by the processes of one gatekeeper: $TMPDIR
+    keys: frozenset[str] = frozenset()  # present in the file
+    version: str = ""  # hash of the settings' content
 
     @property
     def max_clients(self) -> int:
-        """Client connections held at once: three fifths of what is not spare."""
+        """Client connections at once: three fifths of the descriptors that are not reserved."""
         return max(1, (self.sockets - RESERVED_SOCKETS) * 3 // 5)
 
     @property
     def max_member_connections(self) -> int:
-        """Connections to pool members held at once: the rest."""
+        """Connections to pool members at once: the rest."""
         return max(1, self.sockets - RESERVED_SOCKETS - self.max_clients)
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """On starting: NODE_* win over the file."""
+    """At start: NODE_* override the file.
+
+    :raises ConfigError: it is invalid
+    """
     config = _load_file(environment, "name", "listen", "discovery", "admin_addr")
     return replace(config, folder=environment.get("TMPDIR") or None)
 
 
 def reload(environment: Mapping[str, str], before: Config) -> Config:
-    """On SIGHUP: the environment is still that of the start, so where discovery is now stands in the file.
+    """On SIGHUP: the environment is still that of the start, so the file's address of discovery counts.
 
-    :raises ConfigError: also where a key is missing that stood in the file before: it was cut or mistyped
+    :raises ConfigError: invalid, or a key that was in the file is missing: it was truncated or mistyped
     """
     config = _load_file(environment, "name", "listen", "admin_addr")
     if missing := sorted(before.keys - config.keys):
-        raise ConfigError(f"{missing[0]}: is missing, and was there before")
+        raise ConfigError(f"{missing[0]}: is missing, but was in the file before")
     return replace(config, folder=before.folder)
 
 
@@ -97,7 +97,7 @@
     except ValueError as error:
         raise ConfigError(f"NODE_CONFIG: {path} is not JSON: {error}") from None
     if not isinstance(data, dict):
-        raise ConfigError(f"NODE_CONFIG: {path} holds no object")
+        raise ConfigError(f"NODE_CONFIG: {path} is not a JSON object")
     for field in ("name", "listen", "discovery", "admin_addr"):
         value = environment.get(f"NODE_{field.upper()}")
         if value and (field in over_file or data.get(field) is None):
@@ -106,7 +106,10 @@
 
 
 def from_json(data: dict[str, Any]) -> Config:
-    """The file's object, checked field by field; unknown fields are ignored."""
+    """Checks the file's object field by field; unknown fields are ignored.
+
+    :raises ConfigError: a field is invalid
+    """
     settings = _object(data, "settings")
     limits = _object(data, "limits")
     known = data.get("known") or {"seq": 0, "whole": True, "hosts": []}
@@ -118,12 +121,12 @@
         raise ConfigError(f"settings: {error}") from None
     sockets = limits.get("sockets")
     if not isinstance(sockets, int) or sockets <= RESERVED_SOCKETS + 2:
-        raise ConfigError(f"limits.sockets: {sockets!r} is no whole number above {RESERVED_SOCKETS + 2}")
+        raise ConfigError(f"limits.sockets: {sockets!r} is not an integer above {RESERVED_SOCKETS + 2}")
     counter = None
     if data.get("counter") is not None:
         counter = Address.parse(data["counter"], "counter")
     elif module.counter:
-        raise ConfigError("counter: is missing, and the settings have SharedCounter")
+        raise ConfigError("counter: is missing, but the settings have SharedCounter")
     return Config(
         name=str(data.get("name") or "node"),
         listen=Address.parse(data.get("listen"), "listen"),
@@ -142,14 +145,14 @@
 
 
 def version_of(document: object) -> str:
-    """A document's identity by its content: 16 hex digits of BLAKE2b over its canonical JSON. Two gatekeepers
-    that report one version act on the same document, however its file was laid out."""
+    """A document's identity by content: 16 hex digits of BLAKE2b over its canonical JSON. Gatekeepers that
+    report the same version act on the same document, however its file is formatted."""
     canonical = json.dumps(document, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
     return hashlib.blake2b(canonical.encode(), digest_size=8).hexdigest()
 
 
 def _keys(data: object, path: str = "") -> set[str]:
-    """The paths of all keys; in a list of objects those that all of them have."""
+    """The dotted paths of all keys; of a list of objects, those that all of them have."""
     if isinstance(data, list):
         return set.intersection(*(_keys(entry, path) for entry in data)) if data else set()
     if not isinstance(data, dict):
@@ -168,4 +171,4 @@
     try:
         return int(value, 16) if isinstance(value, str) else int(str(value))
     except ValueError:
-        raise ConfigError(f"seed: {value!r} is not a hex number") from None
+        raise ConfigError(f"seed: {value!r} is neither an integer nor a hex string") from None
--- a/millfront/node/service.py
+++ b/millfront/node/service.py
@@ -1,4 +1,4 @@
-"""A node put together: the peers round the host, and its planned end."""
+"""A gateway node: connects the host of the decisions with its peers, applies settings, drains and stops."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -37,8 +37,8 @@
 log = Log(__name__)
 
 FINAL_READ_TIMEOUT_S = 0.5
-TASK_RESTART_DELAY_S = 0.1  # before a task that failed is started anew
-DRAIN_CHECK_INTERVAL_S = 0.02  # between two looks at who is still to be sent away
+TASK_RESTART_DELAY_S = 0.1
+DRAIN_CHECK_INTERVAL_S = 0.02
 
 
 class Node:
@@ -71,26 +71,26 @@
             self.clock, self.host, self.request_parser, self.admit, self.ready, config.max_clients
         )
         self.server.buffer_budget = BufferBudget(config.memory_mb * 1024 * 1024 // RESPONSES_MEMORY_DIVISOR)
-        self.servers = [self.server]  # and what is switched on beside it
+        self.servers = [self.server]  # and those of optional parts
         self.parts = Parts()
         self.drain = Drain()
         self.operators_line = OperatorsLine(
             {"check": self.check, "drain-on": self.drain_on, "drain-off": self.drain_off}
         )
         self.handover: Handover | None = None
-        # What the settings in force are made into before the module has them: agreement's interim, where on.
+        # Adjusts the settings in force for the decision module; set by the agreement part if that is enabled.
         self.interim: Callable[[api.Settings], api.Settings] | None = None
         self._tasks: TaskGroup
         self._drain_started = anyio.Event()
 
     def ready(self) -> bool:
-        """What the front is told: this gatekeeper is able to serve, and clients are wanted here."""
+        """Health as reported to the front: a pool member is ready, and no drain is on."""
         return self.members.any_ready() and self.drain.accepts_clients
 
-    # ---- what operators ask, by a signal or on their line ----------------------------------------
+    # ---- commands of operators, by signal or on their line ---------------------------------------
 
     def stop(self) -> None:
-        """Send clients away and end. For good."""
+        """Drains clients, then stops. Can't be revoked."""
         self._start_drain(Reason.END)
 
     def check(self) -> str:
@@ -109,17 +109,20 @@
             raise CommandRefused("ends")
         if not self.drain.accepts_clients:
             self.drain.remove_reason(Reason.OPERATORS)
-            log.info("drain off")
+            log.info("drain ended")
         return "clients are taken"
 
     def _start_drain(self, reason: Reason) -> None:
         if reason not in self.drain.reasons:
             self.drain.add_reason(reason, self.clock.now())
-            log.info("clients are sent away", why=reason.name)
+            log.info("drain started", why=reason.name)
         self._drain_started.set()
 
     async def run(self, *, task_status: TaskStatus[Address] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serve until stop() and everything taken is answered."""
+        """Serves until stop() is called and every accepted request is answered.
+
+        :raises ConfigError: it can't listen at a configured address
+        """
         config = self.config
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
@@ -134,7 +137,7 @@
             try:
                 self.pool.apply_list(config.initial_list, cached=True)
             except ExchangeError as error:
-                log.warning("the known list can't be used", why=error)
+                log.warning("initial server list can't be used", why=error)
             if (folder := config.folder) is not None:
                 self.handover = Handover(folder, config.name, self._dump_state, self._on_peer_exit)
                 self._load_state(await self.handover.fetch_state())
@@ -158,15 +161,15 @@
             tasks.cancel_scope.cancel()
 
     def _load_state(self, text: bytes | None) -> None:
-        """Begin with what a predecessor told, if that can be used."""
+        """Starts with a predecessor's state, if there is one and it is valid."""
         if text is None:
             return
         gateway, names = self.host.gateway, self.pool.backend_ids()
         try:
             known = takeover.load_state(gateway, text, self.active_settings.plans, names, self.clock.now())
         except takeover.InvalidState as error:
-            log.warning("what the predecessor told can't be used: a plain start", why=error)
-            takeover.halve_shares(gateway)  # it runs beside this one all the same
+            log.warning("predecessor's state can't be used; starting without it", why=error)
+            takeover.halve_shares(gateway)  # the predecessor is running all the same
             return
         log.info("takes over", customers=known)
 
@@ -177,7 +180,7 @@
         return takeover.dump_state(gateway, self.active_settings.plan_names, members)
 
     def _on_peer_exit(self) -> None:
-        if not self.drain.ending:  # an ending process leaves its half to the other
+        if not self.drain.ending:  # a stopping process leaves its half to the other one
             takeover.restore_shares(self.host.gateway)
 
     def _open_operators_line(self, address: Address) -> None:
@@ -187,8 +190,8 @@
             raise ConfigError(f"admin_addr: {address}: {error.strerror}") from None
 
     def apply_config(self, config: Config) -> None:
-        """A new configuration, checked as a whole: go over to it, and serve on meanwhile. Addresses to listen
-        at and limits take effect at the next start."""
+        """Switches to a new configuration, already checked as a whole, while serving. Listen addresses and
+        limits take effect at the next start."""
         previous, self.config = self.config, config
         self.set_addresses(config.discovery, config.counter)
         if (config.settings, config.node) == (previous.settings, previous.node):
@@ -206,11 +209,12 @@
         )
 
     def resend_settings(self) -> None:
-        """The settings in force told to the module again: what makes them into the interim has changed."""
+        """Sends the settings in force to the decision module again, after a change in what `interim` makes of
+        them."""
         self._apply_settings(api.Retuned(self.active_settings.settings))
 
     def _apply_settings(self, retuned: api.Retuned) -> None:
-        """By the configuration in force: an overlap may end after another one has come."""
+        """Takes limits from the configuration in force: an overlap may end after a newer one has begun."""
         if self.interim is not None:
             retuned = replace(retuned, settings=self.interim(retuned.settings))
         config, node = self.config, self.config.node
@@ -224,10 +228,10 @@
 
     def set_addresses(self, discovery: Address, counter: Address | None) -> None:
         if discovery != self.pool.discovery:
-            log.info("discovery moves", before=self.pool.discovery, now=discovery)
+            log.info("discovery address changed", before=self.pool.discovery, now=discovery)
             self.pool.set_discovery(discovery)
         if self.counter is not None and counter is not None and counter != self.counter.address:
-            log.info("the counter moves", before=self.counter.address, now=counter)
+            log.info("counter address changed", before=self.counter.address, now=counter)
             self._use_counter(counter)
 
     def _use_counter(self, address: Address) -> None:
@@ -242,16 +246,16 @@
         self._tasks.start_soon(self._supervise, self.counter.run)
 
     async def _supervise(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
-        """Guards the task group: one task's fault must not end the others, nor itself for good."""
+        """Restarts a task that fails: its fault must neither end the task group nor the task for good."""
         while True:
             try:
                 return await task(*args)
             except Exception:
-                log.exception("a task failed and starts anew")
+                log.exception("task failed; restarting it")
             await anyio.sleep(TASK_RESTART_DELAY_S)
 
     async def _run_drain(self) -> None:
-        """Do what the drain says, until it ends with the gatekeeper and nobody new is brought."""
+        """Applies the drain to the servers, until a planned stop no longer accepts clients."""
         while True:
             now = self.clock.now()
             for server in self.servers:
@@ -276,7 +280,7 @@
             await anyio.sleep(DRAIN_CHECK_INTERVAL_S)
         for server in self.servers:
             server.close_idle()
-        with anyio.move_on_after(FINAL_READ_TIMEOUT_S):  # clients are still reading their last answers
+        with anyio.move_on_after(FINAL_READ_TIMEOUT_S):  # clients may still be reading their last responses
             while any(server.connection_count() for server in self.servers):
                 await anyio.sleep(0.02)
         for what, endings in (
