--- a/millfront/__main__.py
+++ b/millfront/__main__.py
@@ -1,13 +1,12 @@
-"""`python -m millfront`: without arguments one gatekeeper, as the platform starts it; else a command."""
+"""`python -m millfront`: without arguments runs a gatekeeper, as the platform starts it; else a command."""
 
 import os
 import sys
 
 
 def main() -> int:
-    if (
-        sys.argv[1:2] == ["gatekeeper"] and "--help" not in sys.argv
-    ):  # a role of the whole system: it starts without the commands' imports
+    # The system's gatekeeper process starts without the imports of the other commands
+    if sys.argv[1:2] == ["gatekeeper"] and "--help" not in sys.argv:
         from millfront.gatekeeper import start
 
         return start.run(os.environ, sys.argv[2:])
--- a/millfront/daemon.py
+++ b/millfront/daemon.py
@@ -1,4 +1,4 @@
-"""One gatekeeper as a process: from its configuration to its planned end."""
+"""One gatekeeper process: reads its configuration, handles signals, serves until it is stopped."""
 
 import gc
 import os
@@ -43,11 +43,12 @@
 
 
 def reload(node: Node) -> None:
-    """Read whole before anything moves: guards a gatekeeper that serves against a file that can't be used."""
+    """Reads and checks the whole file before it changes anything: an invalid file must not harm a running
+    gatekeeper."""
     try:
         node.apply_config(config.reload(os.environ, node.config))
     except Exception as error:
-        log.error("SIGHUP: the configuration stays as it was", why=error)
+        log.error("SIGHUP: configuration unchanged", why=error)
     node.parts.reload()
 
 
@@ -61,7 +62,7 @@
 def run(environment: Mapping[str, str]) -> int:
     """Serve until SIGTERM or SIGINT.
 
-    :returns: the exit code: 0 after a planned end, 2 where a configuration can't be used
+    :returns: the exit code: 0 after a planned stop, 2 if the configuration is invalid
     """
     logs.start()
     operators: Operators | None = None
@@ -75,10 +76,10 @@
     except config.ConfigError as error:
         return report_unusable(error)
     gc.collect()
-    gc.freeze()  # what the imports made stays: walking it again would stop the loop for 4 ms each time
+    gc.freeze()  # objects of the imports: each later walk over them would stop the event loop for 4 ms
     exit_code = 0
     try:
         anyio.run(serve, settings, operators, backend_options={"use_uvloop": True})
-    except* config.ConfigError as group:  # seen only on starting: an address that can't be listened on
+    except* config.ConfigError as group:  # only at start: can't listen at an address
         exit_code = report_unusable(group)
     return exit_code
--- a/millfront/logs.py
+++ b/millfront/logs.py
@@ -1,19 +1,19 @@
-"""The log: an event and its fields, written by the standard library or, where switched on, by structlog.
+"""Logging of events with fields, through the standard library or, if enabled, structlog.
 
-A message is a constant event and named fields, so that it can be counted and searched. structlog is imported
-by structured() alone: a gatekeeper without an operators' file does without it.
+A message is a constant event and named fields, so that it can be counted and searched. Only use_structlog()
+imports structlog: a gatekeeper without an operators' file runs without it.
 """
 
 import logging
 import sys
 from typing import Any
 
-JSON_TYPES = (str, int, float, bool, list, dict, type(None))  # values that stay as they are
+JSON_TYPES = (str, int, float, bool, list, dict, type(None))  # logged without conversion to text
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
 class Log:
-    """A logger of one module. No call raises; none is made for each request."""
+    """The logger of a module. No call raises. It is not called for each request."""
 
     def __init__(self, name: str) -> None:
         self._logger = logging.getLogger(name)
@@ -37,7 +37,7 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """One warning of a kind a second: guards the log against a line a request while a peer misbehaves."""
+    """Passes one warning of a kind per second: a misbehaving peer must not cause a log line per request."""
 
     INTERVAL_S = 1.0
 
@@ -54,19 +54,19 @@
 
 
 class PlainFormatter(logging.Formatter):
-    """A line for people: time, level, module, event, then field=value."""
+    """A line of text: time, level, module, event, then field=value."""
 
     def __init__(self) -> None:
-        super().__init__("%(asctime)s %(levelname)s %(name)s: %(message)s%(told)s")
+        super().__init__("%(asctime)s %(levelname)s %(name)s: %(message)s%(fields_text)s")
 
     def format(self, record: logging.LogRecord) -> str:
         fields: dict[str, object] = getattr(record, "fields", {})
-        record.told = "".join(f" {name}={value}" for name, value in fields.items())
+        record.fields_text = "".join(f" {name}={value}" for name, value in fields.items())
         return super().format(record)
 
 
 def start() -> None:
-    """The log as it is without an operators' file: lines on standard error, from level info."""
+    """Sets up logging without an operators' file: lines on standard error, from level info."""
     handler = logging.StreamHandler()
     handler.addFilter(RateLimitFilter())
     handler.setFormatter(PlainFormatter())
@@ -74,10 +74,10 @@
 
 
 def use_structlog(form: str, level: str) -> None:
-    """The log on structlog from here on.
+    """Switches logging to structlog.
 
-    :param form: ``json``, an object a line, or ``console``, for people at a terminal
-    :param level: a name of LEVELS; what is below it is not written
+    :param form: ``json``, one object per line, or ``console``, for a terminal
+    :param level: a name in LEVELS; lower levels are not written
     """
     import structlog
 
--- a/millfront/node/handover.py
+++ b/millfront/node/handover.py
@@ -1,7 +1,8 @@
-"""From one process of a gatekeeper to its successor: a Unix socket in $TMPDIR, one question, one answer.
+"""State transfer from one process of a gatekeeper to its successor: one request and one answer over a Unix
+socket in $TMPDIR.
 
-The connection stays up as long as both processes run: its end tells either of them that the other has ended.
-Where there is no such folder, or no Unix sockets, a successor starts as after a restart.
+The connection stays open while both processes run; its end tells each that the other has ended. Without the
+folder, or without Unix sockets, a successor starts as after a restart.
 """
 
 from collections.abc import Callable
@@ -17,12 +18,12 @@
 
 REQUEST_LINE = b"millfront 1\n"
 MAX_STATE_BYTES = 16 * 1024 * 1024
-TIMEOUT_S = 1.5  # for the whole answer: a plain start is better than a late one
-MAX_PATH_BYTES = 100  # bytes that the system takes as such a socket's name
+TIMEOUT_S = 1.5  # for the whole answer: a start without state is better than a late one
+MAX_PATH_BYTES = 100  # limit of the system for a Unix socket's path
 
 
 class Handover:
-    """One end or the other, and both in turn: a successor becomes a predecessor when it is alone."""
+    """Both ends: a successor becomes a predecessor once it is the only process."""
 
     def __init__(
         self,
@@ -31,8 +32,8 @@
         dump_state: Callable[[], bytes],
         on_peer_exit: Callable[[], None],
     ) -> None:
-        """:param tell: divides what this process holds, and words the other half
-        :param alone: told when the other process has ended
+        """:param dump_state: halves what this process holds, and serialises the other half
+        :param on_peer_exit: called when the other process has ended
         """
         safe_name = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:40]
         self.path = Path(folder) / f"millfront-{safe_name}.sock"
@@ -42,11 +43,11 @@
         self._scope = anyio.CancelScope()
 
     def stop(self) -> None:
-        """This process takes no more: the other one is alone from now on."""
+        """Ends the handover: this process stops, the other one remains alone."""
         self._scope.cancel()
 
     async def fetch_state(self) -> bytes | None:
-        """What a predecessor tells; None: there is none that can be understood."""
+        """A predecessor's state; None if there is no predecessor that answers."""
         if len(str(self.path).encode()) > MAX_PATH_BYTES or not self.path.exists():
             return None
         try:
@@ -59,13 +60,13 @@
                     await anyio.aclose_forcefully(stream)
                     raise
         except (OSError, TimeoutError, anyio.BrokenResourceError, anyio.EndOfStream) as error:
-            log.info("no predecessor answers", why=repr(error))
+            log.info("no answer from a predecessor", why=repr(error))
             return None
         self._predecessor = stream
         return text
 
     async def run(self) -> None:
-        """Until left: wait for the predecessor's end, then for successors, one at a time."""
+        """Until stop(): waits for the predecessor's end, then serves successors, one at a time."""
         with self._scope:
             await self._run()
 
@@ -81,7 +82,7 @@
             self.path.unlink(missing_ok=True)
             listener = await anyio.create_unix_listener(self.path, mode=0o600, backlog=1)
         except OSError as error:
-            log.info("no successor can be told anything", why=error.strerror)
+            log.info("can't listen for successors", why=error.strerror)
             return
         async with listener:
             while True:
@@ -93,7 +94,7 @@
     async def _hand_over(self, stream: SocketStream) -> None:
         with anyio.fail_after(TIMEOUT_S):
             if await _read_line(stream) != REQUEST_LINE.strip():
-                return  # another version: it starts as after a restart
+                return  # another protocol version: it starts as after a restart
         log.info("a successor has come up")
         try:
             with anyio.fail_after(TIMEOUT_S):
@@ -109,7 +110,7 @@
     while not data.endswith(b"\n"):
         data += await stream.receive()
         if len(data) > MAX_STATE_BYTES:
-            raise TimeoutError("too long")
+            raise TimeoutError(f"line of more than {MAX_STATE_BYTES} bytes")
     return bytes(data[:-1])
 
 
--- a/millfront/node/operators_line.py
+++ b/millfront/node/operators_line.py
@@ -1,6 +1,6 @@
-"""The operators' line (`admin_addr`): a call is one line in, one line out, and a close.
+"""The operators' line (`admin_addr`): a call is one line in, one line out, then the connection is closed.
 
-It has nothing to do with the HTTP admin API of operators/admin.py; both ask the node, which owns every act.
+Independent of the HTTP admin API in operators/admin.py; both call the node, which implements every command.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 log = Log(__name__)
 
 MAX_LINE_BYTES = 256
-MAX_CALLERS = 24  # at once; each costs a descriptor of those that the configuration keeps back
-CALLER_TIMEOUT_S = 5.0  # a caller that says nothing, or half a call: they may stay 4 s
-LINGER_S = 0.5  # for a caller to read its answer: closed at once, a reset could overtake it
+MAX_CALLERS = 24  # at once; each takes one of the descriptors that the configuration reserves
+CALLER_TIMEOUT_S = 5.0  # without a complete call; callers may take up to 4 s
+LINGER_S = 0.5  # to read the answer: after an immediate close a reset could overtake it
 ACCEPT_RETRY_S = 0.05
 
-Commands = dict[str, Callable[[], str]]  # a call's name to its act: what it says, or CommandRefused
+Commands = dict[str, Callable[[], str]]  # by name; each returns its answer or raises CommandRefused
 
 
 class CommandRefused(Exception):
-    """A call that can't be carried out now, and why."""
+    """The command can't be executed now; the message says why."""
 
 
 class OperatorConnection:
-    """One connection of an operator."""
+    """A connection of an operator."""
 
     def __init__(self, line: "OperatorsLine", sock: socket.socket) -> None:
         self.line = line
@@ -39,7 +39,7 @@
 
     def received(self, data: bytes) -> None:
         if self.answered:
-            return  # read away, so that the close is no reset
+            return  # drained, so that the close does not become a reset
         self.buffer += data
         text, end, _ = self.buffer.partition(b"\n")
         if end or len(self.buffer) > MAX_LINE_BYTES:
@@ -57,8 +57,8 @@
         self.timer = self.line.loop.call_later(LINGER_S, self.close)
 
     def ended(self, why: str) -> None:
-        """It has ended its sending: half a call is no call, and one that leaves before its answer is
-        nothing."""
+        """The caller has shut down its sending side: an incomplete call is refused. After an error or without
+        a call, just closes."""
         if self.buffer and not self.answered and not why:
             self.answer("FAILURE the line has no end")
         else:
@@ -76,13 +76,13 @@
 class OperatorsLine:
     def __init__(self, calls: Commands) -> None:
         self.commands = calls
-        self.callers: dict[OperatorConnection, None] = {}  # the one that has been there longest first
+        self.callers: dict[OperatorConnection, None] = {}  # oldest first
         self.address: Address | None = None
         self.loop: asyncio.AbstractEventLoop
         self._listener: socket.socket | None = None
 
     def listen(self, address: Address) -> Address:
-        """Answer from now on; returns where. Raises OSError."""
+        """Starts to listen; returns the bound address. Raises OSError."""
         self.loop = asyncio.get_running_loop()
         self._listener = create_listener(address.host, address.port, MAX_CALLERS)
         self.loop.add_reader(self._listener.fileno(), self._on_acceptable)
@@ -90,7 +90,7 @@
         return self.address
 
     def answer(self, line: bytes) -> str:
-        """What one line gets, whatever it is; the line's end, CRLF or LF, is off."""
+        """The answer to one line, without its line end (LF; a CR is removed here)."""
         line = line.removesuffix(b"\r")
         if len(line) >= MAX_LINE_BYTES:
             return f"FAILURE a call has fewer than {MAX_LINE_BYTES} bytes"
@@ -103,17 +103,16 @@
             return f"SUCCESS {self.commands[name]()}"
         except CommandRefused as why:
             return f"FAILURE {why}"
-        except Exception:  # a call's fault is the call's
-            log.exception("a call of the operators failed", call=name)
+        except Exception:  # a fault ends this call only
+            log.exception("operators' call failed by an internal error", call=name)
             return "FAILURE a fault of our own: see the log"
 
     def _on_acceptable(self) -> None:
         assert self._listener is not None
         for _ in range(MAX_CALLERS):
             if len(self.callers) >= MAX_CALLERS:
-                next(
-                    iter(self.callers)
-                ).close()  # guards the others against callers that stay and say nothing
+                # Silent callers must not keep others out: close the oldest
+                next(iter(self.callers)).close()
             try:
                 sock = accept(self._listener)
             except (BlockingIOError, InterruptedError):
@@ -122,7 +121,7 @@
                 if error.errno in RESOURCE_ERRNOS and self.callers:
                     next(iter(self.callers)).close()
                     continue
-                if error.errno in RESOURCE_ERRNOS:  # the loop would ask again at once, and spin
+                if error.errno in RESOURCE_ERRNOS:  # the event loop would call again at once, and spin
                     self.loop.remove_reader(self._listener.fileno())
                     self.loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
                     return
--- a/millfront/node/parts.py
+++ b/millfront/node/parts.py
@@ -1,4 +1,4 @@
-"""Parts that the operators switch on: started before the first client, wound down after the last answer."""
+"""Optional parts, enabled by operators: started before the first client, stopped after the last response."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -10,21 +10,21 @@
 
 
 class Part(Protocol):
-    """One subsystem beside the gatekeeper's own work; each has its faults to itself."""
+    """An optional subsystem of a gatekeeper; its faults do not affect others."""
 
     name: str
 
     async def start(self) -> None:
-        """Before the gatekeeper listens. A ConfigError ends the start; it names the field."""
+        """Called before the gatekeeper listens. A ConfigError, which names the field, aborts the start."""
 
     async def run(self) -> None:
-        """Until cancelled; started anew after a fault."""
+        """Runs until cancelled; restarted after a fault."""
 
     async def stop(self) -> None:
-        """After the last answer, in the reverse order of the starts."""
+        """Called after the last response, in the reverse order of the starts."""
 
     def reload(self) -> None:
-        """On SIGHUP; must not wait."""
+        """Called on SIGHUP; must not block."""
 
 
 class Parts:
@@ -36,7 +36,7 @@
         self._parts.append(part)
 
     async def start(self, supervise: Callable[[Callable[[], Awaitable[None]]], object]) -> None:
-        """In the order in which they were added: each may use those before it."""
+        """Starts the parts in the order of add(): each may use those before it."""
         for part in self._parts:
             try:
                 await part.start()
@@ -47,17 +47,17 @@
             log.info("part started", part=part.name)
 
     async def stop(self) -> None:
-        """One part's fault must not keep the others from ending well."""
+        """Stops the parts; a fault in one does not keep the others from stopping."""
         while self._started:
             part = self._started.pop()
             try:
                 await part.stop()
             except Exception:
-                log.exception("a part did not end well", part=part.name)
+                log.exception("part failed to stop", part=part.name)
 
     def reload(self) -> None:
         for part in self._started:
             try:
                 part.reload()
             except Exception:
-                log.exception("a part did not reload", part=part.name)
+                log.exception("part failed to reload", part=part.name)
--- a/millfront/takeover.py
+++ b/millfront/takeover.py
@@ -1,8 +1,9 @@
-"""Two processes of one gatekeeper: what each holds while both run, and what the later begins with. No I/O.
+"""Two processes of one gatekeeper: how they share limits, and the state that the later one starts with. No
+I/O.
 
-While both run they count as two gateways of each customer: shares, levels and ceilings are halved at both, so
-that together they let in what one would. When one has ended, the other counts as one again and fills up from
-what it holds; what the ended one had not used is lost, never doubled.
+While both run they count as two gateways of each customer: shares, levels and ceilings are halved in both, so
+that together they admit what one would. When one has ended, the other counts as one again and refills from
+what it holds. What the ended one had not used is lost, never doubled.
 """
 
 import json
@@ -16,7 +17,7 @@
 from millfront.interface import stable_hash
 
 VERSION = 1
-MAX_CUSTOMERS = 20_000  # the last seen: bounds the text to some 5 MB
+MAX_CUSTOMERS = 20_000  # the most recently active; limits the state to about 5 MB
 HALVED = ("bucket", "ceiling", "share", "mean_open")
 COPIED = ("refill_rate", "global_bucket", "global_ceiling", "price", "others_rate")
 COUNTER_TOTALS = ("epoch", "sent_total", "demand_total")  # of the counter's totals
@@ -32,11 +33,11 @@
 
 
 class InvalidState(Exception):
-    """What was told can't be begun with; nothing of it is taken."""
+    """The state can't be used; nothing of it has been applied."""
 
 
 def halve_shares(gateway: Gateway) -> None:
-    """Another process of this gatekeeper has come up."""
+    """Another process of this gatekeeper has started."""
     gateway.processes = 2
     for customer in gateway.customers.values():
         customer.gateways *= 2
@@ -46,7 +47,7 @@
 
 
 def restore_shares(gateway: Gateway) -> None:
-    """It has ended."""
+    """The other process has ended."""
     if gateway.processes == 1:
         return
     gateway.processes = 1
@@ -56,10 +57,10 @@
 
 
 def dump_state(gateway: Gateway, plans: list[str], members: Mapping[int, str]) -> bytes:
-    """What a successor begins with, after divide().
+    """The state that a successor starts with, as JSON; call halve_shares() first.
 
     :param plans: names by place
-    :param members: names by the module's number
+    :param members: names by the decision module's number
     """
     recent = [c for c in gateway.customers.values() if c.live_plan_state is None]
     recent.sort(key=lambda c: -c.active_us)
@@ -82,14 +83,14 @@
 def load_state(
     gateway: Gateway, text: bytes, plans: Mapping[str, int], members: Mapping[str, int], now: int
 ) -> int:
-    """Begin with what a predecessor told; returns the number of customers.
+    """Starts with a predecessor's state; returns the number of customers.
 
-    :raises InvalidState: it is cut, of another version, or holds what can't be: a plain start is owed
+    :raises InvalidState: truncated, another version, or invalid values; the caller starts without it
     """
     try:
         state = json.loads(text)
         if state["version"] != VERSION:
-            raise InvalidState(f"version {state['version']!r}")
+            raise InvalidState(f"version: expected {VERSION}, got {state['version']!r}")
         customers = [_load_customer(gateway, row, plans, now) for row in state["customers"][:MAX_CUSTOMERS]]
         backend_values = {
             members[name]: _check_numbers(row, BACKEND_FIELDS)
@@ -123,22 +124,22 @@
     if row[1] not in plans:
         return None
     for name in ("refilled_us", "active_us", "total_read_us"):
-        values[name] = min(values[name], now)  # clocks differ a little: no time runs back
+        values[name] = min(values[name], now)  # clocks differ slightly; no time may lie in the future
     next_call_us = now + stable_hash(values["key"], gateway.settings.me) % COUNTER_PERIOD_US
     return Customer(plan=gateway.settings.plans[plans[row[1]]], next_call_us=next_call_us, **values)
 
 
 def _update_backend(backend: Backend, values: dict[str, Any]) -> None:
     if values["started_us"] < backend.started_us:
-        return  # it has started anew since
+        return  # it has restarted since
     for name, value in values.items():
         setattr(backend, name, value)
-    backend.credit = 0.0  # what may go to a cold member now is the other's
+    backend.credit = 0.0  # the other process has the current credit for a cold member
 
 
 def _check_numbers(row: list[Any], names: tuple[str, ...]) -> dict[str, Any]:
     values = dict(zip(names, row, strict=True))
     for name, value in values.items():
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-            raise InvalidState(f"{name}: {value!r}")
+            raise InvalidState(f"{name}: expected a finite number, got {value!r}")
     return values
