--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Start and end of the run command: a bad field is named, a good configuration serves until SIGTERM."""
+"""The run command: errors name the invalid field, a valid configuration serves until SIGTERM."""
 
 import json
 import logging
@@ -20,7 +20,7 @@
 
 
 def command(*words: str, given: str = "") -> subprocess.CompletedProcess[str]:
-    """The command line, to its end."""
+    """Runs the command line to completion."""
     line = [sys.executable, "-B", "-m", "millfront", *words]
     return subprocess.run(line, cwd=ROOT, capture_output=True, text=True, input=given, timeout=60)
 
@@ -131,15 +131,15 @@
 
 
 def test_a_version_names_the_rules_not_the_gatekeeper_nor_the_layout() -> None:
-    """Against two gatekeepers on one document reported apart, or two documents reported as one."""
+    """Gatekeepers with one document must report one version, and different documents different versions."""
     from millfront.node.config import version_of
 
-    told = settings()
-    same = {key: told[key] for key in reversed(list(told))}
-    assert version_of(told) == version_of(same)
-    other = told | {"Allowed": told["Allowed"] | {"MostTries": 2}}
-    assert version_of(told) != version_of(other)
-    data = configuration([], "127.0.0.1:1", told)
-    mine, yours = from_json(data), from_json(data | {"settings": told | {"Me": 1, "MyZone": 0}})
+    document = settings()
+    same = {key: document[key] for key in reversed(list(document))}
+    assert version_of(document) == version_of(same)
+    other = document | {"Allowed": document["Allowed"] | {"MostTries": 2}}
+    assert version_of(document) != version_of(other)
+    data = configuration([], "127.0.0.1:1", document)
+    mine, yours = from_json(data), from_json(data | {"settings": document | {"Me": 1, "MyZone": 0}})
     assert mine.version == yours.version
     assert mine.version != from_json(data | {"settings": other}).version
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""The counter's stories: what it was told, and what the host heard."""
+"""The counter client against a scripted counter: the calls it sends and the outcomes that the host gets."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -24,8 +24,8 @@
     return "asyncio", {"use_uvloop": True}
 
 
-class Heard:
-    """A host that only listens."""
+class RecordingHost:
+    """A host that records the outcomes of calls."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -45,32 +45,34 @@
 
 
 @asynccontextmanager
-async def calling(desk: CounterPeer, address: str = "") -> AsyncIterator[tuple[Heard, CounterClient]]:
-    async with listening(desk):
-        heard = Heard()
-        counter = CounterClient(heard, Address.parse(address or desk.address, "counter"), WAIT_US, 250_000)  # type: ignore[arg-type]
+async def calling(
+    server: CounterPeer, address: str = ""
+) -> AsyncIterator[tuple[RecordingHost, CounterClient]]:
+    async with listening(server):
+        host = RecordingHost()
+        counter = CounterClient(host, Address.parse(address or server.address, "counter"), WAIT_US, 250_000)  # type: ignore[arg-type]
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(heard.timers.run)
+            tasks.start_soon(host.timers.run)
             tasks.start_soon(counter.run)
-            yield heard, counter
+            yield host, counter
             tasks.cancel_scope.cancel()
 
 
 async def test_calls_are_pipelined_and_matched_in_order() -> None:
-    desk = CounterPeer(sends(b"ok 5\r\nbusy\r\nok 2.5e3\r\ner"), sends(b"ror\r\nok -1\r\n"))
-    async with calling(desk) as (heard, counter):
+    server = CounterPeer(sends(b"ok 5\r\nbusy\r\nok 2.5e3\r\ner"), sends(b"ror\r\nok -1\r\n"))
+    async with calling(server) as (host, counter):
         for name in (0xABC, 2, 3):
             counter.call(api.Count(name, 2.5, 4_000_500))
-        await desk.wait_until(lambda peer: len(peer.seen) == 1)
-        assert desk.seen[0].splitlines()[0] == b"add abc 2.5 4001"
-        await heard.until(3)
+        await server.wait_until(lambda peer: len(peer.seen) == 1)
+        assert server.seen[0].splitlines()[0] == b"add abc 2.5 4001"
+        await host.until(3)
         for name in (4, 5):
             counter.call(api.Count(name, -1.0, 1))
-        await heard.until(5)
-    assert [answer[0] for answer in heard.answers] == [0xABC, 2, 3, 4, 5]
-    assert [answer[2] for answer in heard.answers] == [5.0, 0.0, 2500.0, 0.0, -1.0]
-    assert [answer[1] for answer in heard.answers[1::2]] == [Outcome.FULL, Outcome.ERROR]
-    assert desk.connections == 1
+        await host.until(5)
+    assert [answer[0] for answer in host.answers] == [0xABC, 2, 3, 4, 5]
+    assert [answer[2] for answer in host.answers] == [5.0, 0.0, 2500.0, 0.0, -1.0]
+    assert [answer[1] for answer in host.answers[1::2]] == [Outcome.FULL, Outcome.ERROR]
+    assert server.connections == 1
 
 
 async def test_a_late_answer_is_consumed_and_not_taken_for_the_next_calls() -> None:
@@ -80,14 +82,14 @@
         await go_on.wait()
         await stream.send(b"ok 1\r\n")
 
-    desk = CounterPeer(late, sends(b"ok 2\r\n"))
-    async with calling(desk) as (heard, counter):
+    server = CounterPeer(late, sends(b"ok 2\r\n"))
+    async with calling(server) as (host, counter):
         counter.call(api.Count(1, 1.0, 1000))
-        await heard.until(1)
+        await host.until(1)
         counter.call(api.Count(2, 1.0, 1000))
         go_on.set()
-        await heard.until(2)
-    assert heard.answers == [(1, Outcome.TIMEOUT, 0.0), (2, Outcome.OK, 2.0)]
+        await host.until(2)
+    assert host.answers == [(1, Outcome.TIMEOUT, 0.0), (2, Outcome.OK, 2.0)]
 
 
 @pytest.mark.parametrize(
@@ -99,26 +101,26 @@
         (sends(b"ok nan\r\n"), Outcome.RESET),
         (sends(b"ok 1_0\r\n"), Outcome.RESET),
         (sends(b"x" * 400), Outcome.RESET),
-        (sends(b"busy\r\n"), Outcome.FULL),  # surely not added, as is what was never written
+        (sends(b"busy\r\n"), Outcome.FULL),  # certainly not added, like a call that was never written
     ],
 )
 async def test_how_a_call_ends_and_the_next_one_is_answered(ends: Step, outcome: Outcome) -> None:
-    desk = CounterPeer(ends)
-    async with calling(desk) as (heard, counter):
+    server = CounterPeer(ends)
+    async with calling(server) as (host, counter):
         counter.call(api.Count(1, 1.0, 1000))
-        await heard.until(1)
-        desk.script.clear()
-        for count in range(2, 60):  # a connection that fell silent is given up after a second
+        await host.until(1)
+        server.script.clear()
+        for count in range(2, 60):  # a silent connection is given up after a second
             counter.call(api.Count(2, 1.0, 1000))
-            await heard.until(count)
-            if heard.answers[-1][1] is Outcome.OK:
+            await host.until(count)
+            if host.answers[-1][1] is Outcome.OK:
                 break
-    assert heard.answers[0] == (1, outcome, 0.0)
-    assert heard.answers[-1] == (2, Outcome.OK, 7.0)
+    assert host.answers[0] == (1, outcome, 0.0)
+    assert host.answers[-1] == (2, Outcome.OK, 7.0)
 
 
 async def test_nobody_there_means_nothing_added() -> None:
-    async with calling(CounterPeer(), "127.0.0.1:1") as (heard, counter):
+    async with calling(CounterPeer(), "127.0.0.1:1") as (host, counter):
         counter.call(api.Count(1, 1.0, 1000))
-        await heard.until(1)
-    assert heard.answers == [(1, Outcome.CONNECT_FAILED, 0.0)]
+        await host.until(1)
+    assert host.answers == [(1, Outcome.CONNECT_FAILED, 0.0)]
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings on SIGHUP: taken whole or not at all, and open requests keep what they came under."""
+"""New settings on SIGHUP: applied completely or not at all; open requests keep those of their arrival."""
 
 import copy
 import json
@@ -36,49 +36,49 @@
 
 
 def changed(*classes: tuple[str, str], MostTries: int) -> dict[str, Any]:
-    told = settings(MostTries=MostTries)
-    like = told["Classes"][0]
-    told["Classes"] = [like | {"Name": name, "Repeat": repeat} for name, repeat in classes]
-    return told
+    document = settings(MostTries=MostTries)
+    like = document["Classes"][0]
+    document["Classes"] = [like | {"Name": name, "Repeat": repeat} for name, repeat in classes]
+    return document
 
 
-def read(told: dict[str, Any]) -> tuple[api.Settings, NodeSettings]:
-    return settings_from(json.dumps(told).encode()), node_settings_from(told)
+def read(document: dict[str, Any]) -> tuple[api.Settings, NodeSettings]:
+    return settings_from(json.dumps(document).encode()), node_settings_from(document)
 
 
 NAMES = st.sampled_from(["page-fetch", "issue-buy", "print"])
 REPEATS = st.sampled_from(["safe", "keyed", "unsafe"])
-TOLD = st.tuples(st.dictionaries(NAMES, REPEATS, min_size=1), st.integers(1, 5), st.integers(0, 2_000_000))
+CHANGES = st.tuples(st.dictionaries(NAMES, REPEATS, min_size=1), st.integers(1, 5), st.integers(0, 2_000_000))
 
 
-@given(st.lists(TOLD, max_size=6))
+@given(st.lists(CHANGES, max_size=6))
 def test_a_place_means_the_same_for_ever_and_old_names_hold_for_the_overlap(
     steps: list[tuple[dict[str, str], int, int]],
 ) -> None:
-    tuning = ActiveSettings(*read(changed(("page-fetch", "safe"), MostTries=3)))
-    now, seen, settles, most = 0, dict(enumerate(tuning.settings.classes)), [0], [(0, 3)]
+    active = ActiveSettings(*read(changed(("page-fetch", "safe"), MostTries=3)))
+    now, seen, settles, most = 0, dict(enumerate(active.settings.classes)), [0], [(0, 3)]
     for classes, tries, later in steps:
         now += later
         for due in [at for at in settles if at <= now]:
             settles.remove(due)
-            tuning.end_overlap(due)
-        before = tuning.accepted_classes()
-        tuning.update(*read(changed(*classes.items(), MostTries=tries)), now)
+            active.end_overlap(due)
+        before = active.accepted_classes()
+        active.update(*read(changed(*classes.items(), MostTries=tries)), now)
         settles.append(now + OVERLAP_US)
         most = [(until, was) for until, was in most if until > now] + [(now + OVERLAP_US, most[-1][1])]
         most.append((now + OVERLAP_US, tries))
-        for place, entry in enumerate(tuning.settings.classes):
+        for place, entry in enumerate(active.settings.classes):
             assert seen.setdefault(place, entry) == entry
         for name, repeat in classes.items():
-            assert tuning.settings.classes[tuning.accepted_classes()[name][0]].repeat.value == repeat
+            assert active.settings.classes[active.accepted_classes()[name][0]].repeat.value == repeat
         for name, places in before.items():
-            assert places[0] in tuning.accepted_classes()[name]
-        assert tuning.settings.allowed.max_attempts <= min(tries, most[-2][1])
+            assert places[0] in active.accepted_classes()[name]
+        assert active.settings.allowed.max_attempts <= min(tries, most[-2][1])
     for due in sorted(settles):
-        tuning.end_overlap(due)
-    assert all(len(places) == 1 for places in tuning.accepted_classes().values())
-    assert set(tuning.accepted_classes()) == set(tuning.classes)
-    assert tuning.settings.allowed.max_attempts == (steps[-1][1] if steps else 3)
+        active.end_overlap(due)
+    assert all(len(places) == 1 for places in active.accepted_classes().values())
+    assert set(active.accepted_classes()) == set(active.classes)
+    assert active.settings.allowed.max_attempts == (steps[-1][1] if steps else 3)
 
 
 @pytest.mark.anyio
@@ -95,29 +95,29 @@
 
     one, other = Peer(breaks_late), Peer(breaks_late)
     async with running_node(one, other) as on, await on.client() as waiting:
-        node, told = on.node, settings()
+        node, document = on.node, settings()
 
-        def retune(told: dict[str, Any]) -> None:
-            node.apply_config(config.from_json(configuration([], str(node.config.discovery), told)))
+        def apply(document: dict[str, Any]) -> None:
+            node.apply_config(config.from_json(configuration([], str(node.config.discovery), document)))
 
-        told["Classes"][0]["Repeat"] = "unsafe"  # what is out was safe when it came
-        told["Classes"][1]["Name"] = "print"
+        document["Classes"][0]["Repeat"] = "unsafe"  # the open request was safe when it arrived
+        document["Classes"][1]["Name"] = "print"
         await waiting.send(request())
         with anyio.fail_after(TEST_TIMEOUT_S):
             while len(one.seen) + len(other.seen) < 1:
                 await anyio.sleep(0.001)
-        retune(told)
+        apply(document)
         go_on.set()
-        assert status(await on.ask(b"", waiting)) == 200  # sent again, as its class allowed
+        assert status(await on.ask(b"", waiting)) == 200  # resent, as its class allowed
         assert len(one.seen) + len(other.seen) == 2
         new = request("issue-buy").replace(b"/issue-buy/", b"/print/")
         assert status(await on.ask(new)) == 200
-        assert status(await on.ask(request("issue-buy"))) == 200  # clients may not know yet
-        assert status(await on.ask(request())) == 200  # a GET, as the old one has it
+        assert status(await on.ask(request("issue-buy"))) == 200  # during the overlap
+        assert status(await on.ask(request())) == 200  # a GET, as in the old class
         redeem = request("code-redeem").replace(b"/code-redeem/", b"/page-fetch/")
         one.script.append(disconnects)
         other.script.append(disconnects)
-        assert status(await on.ask(redeem)) == 502  # a POST: the new one, which may not run again
+        assert status(await on.ask(redeem)) == 502  # a POST: the new class, which may not be repeated
         one.script.clear()
         other.script.clear()
         with anyio.fail_after(TEST_TIMEOUT_S):
@@ -125,13 +125,13 @@
                 await anyio.sleep(0.01)
         assert status(await on.ask(request("issue-buy"))) == 404
         assert status(await on.ask(request())) == 405
-        retune(settings())  # brought back
+        apply(settings())  # the class is restored
         assert status(await on.ask(request("issue-buy"))) == 200
         assert len(node.active_settings.settings.classes) == 5
         overlaps: list[Callable[[], None]] = []
         monkeypatch.setattr(node.host.timers, "after", lambda _, call: overlaps.append(call))
-        retune(settings(MaxOpen=7))  # two in a moment: the first one's overlap ends under the second
-        retune(settings(MaxOpen=9))
+        apply(settings(MaxOpen=7))  # the first change's overlap ends under the second
+        apply(settings(MaxOpen=9))
         overlaps[0]()
         assert node.admit.max_open == 9
 
@@ -141,22 +141,22 @@
     member = Peer(*[answer(200, b"page")] * 100)
     async with running_node(member) as on:
         first = [status(await on.ask(request(Plan="spent", Quota_Info="units=0.04,spread=1,first=0")))]
-        told = settings()
-        told["Packages"][1]["MostAtOnce"] = 0.2
+        document = settings()
+        document["Packages"][1]["MostAtOnce"] = 0.2
         node = on.node
-        node.apply_config(config.from_json(configuration([], str(node.config.discovery), told)))
+        node.apply_config(config.from_json(configuration([], str(node.config.discovery), document)))
         for _ in range(6):
             first.append(
                 status(await on.ask(request(Plan="spent", Quota_Info="units=0.04,spread=1,first=0")))
             )
-        assert first.count(200) <= 3  # 0.1 units at once, and what fills up meanwhile
+        assert first.count(200) <= 3  # a burst of 0.1 units, and the refill meanwhile
 
 
-def cut(data: dict[str, Any]) -> str:
+def truncated(data: dict[str, Any]) -> str:
     return json.dumps(data)[:-200]
 
 
-def without(*path: str) -> Callable[[dict[str, Any]], str]:
+def without_key(*path: str) -> Callable[[dict[str, Any]], str]:
     def faulty(data: dict[str, Any]) -> str:
         at: Any = data
         for key in path[:-1]:
@@ -167,7 +167,7 @@
     return faulty
 
 
-def told_as(value: object, *path: str) -> Callable[[dict[str, Any]], str]:
+def with_value(value: object, *path: str) -> Callable[[dict[str, Any]], str]:
     def faulty(data: dict[str, Any]) -> str:
         at: Any = data
         for key in path[:-1]:
@@ -182,17 +182,17 @@
     ("fault", "named"),
     [
         (lambda _: "", "is not JSON"),
-        (cut, "is not JSON"),
-        (without("seed"), "seed"),
-        (without("name"), "name"),
-        (without("settings"), "settings"),
-        (without("settings", "Kinds"), "Kinds"),
-        (without("settings", "Classes", "Worth"), "Worth"),
-        (without("settings", "FamilyInfo", "UnitsTop"), "UnitsTop"),
-        (told_as(0, "settings", "Classes", "HardLimitUs"), "classes.deadline_us"),
-        (told_as(-4, "settings", "Allowed", "MostTries"), "allowed.max_attempts"),
-        (told_as("soon", "settings", "Classes", "AimUs"), "AimUs"),
-        (told_as([], "settings", "Classes"), "classes"),
+        (truncated, "is not JSON"),
+        (without_key("seed"), "seed"),
+        (without_key("name"), "name"),
+        (without_key("settings"), "settings"),
+        (without_key("settings", "Kinds"), "Kinds"),
+        (without_key("settings", "Classes", "Worth"), "Worth"),
+        (without_key("settings", "FamilyInfo", "UnitsTop"), "UnitsTop"),
+        (with_value(0, "settings", "Classes", "HardLimitUs"), "classes.deadline_us"),
+        (with_value(-4, "settings", "Allowed", "MostTries"), "allowed.max_attempts"),
+        (with_value("soon", "settings", "Classes", "AimUs"), "AimUs"),
+        (with_value([], "settings", "Classes"), "classes"),
     ],
 )
 def test_a_broken_file_is_refused_by_name(
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""A new version beside the old one: what both hold together, and a start from whatever was told."""
+"""A new process beside the old one: what both hold together, and a start from any transferred state."""
 
 import json
 import os
@@ -30,7 +30,7 @@
     return bench, bench.gateway
 
 
-def begun(gateway: Gateway, text: bytes, now: int) -> int:
+def load(gateway: Gateway, text: bytes, now: int) -> int:
     numbers = {name: number for number, name in MEMBERS.items()}
     return takeover.load_state(gateway, text, {"casual": 0}, numbers, now)
 
@@ -42,7 +42,7 @@
     takeover.halve_shares(old)
     text = takeover.dump_state(old, PLANS, MEMBERS)
     new = Bench().gateway
-    assert begun(new, text, bench.now) == len(before)
+    assert load(new, text, bench.now) == len(before)
     later = bench.now + later_us
     for key, (bucket, ceiling, share, gateways) in before.items():
         halves = old.customers[key], new.customers[key]
@@ -64,7 +64,7 @@
     text = takeover.dump_state(old, PLANS, MEMBERS)
     state = json.loads(text)
     new = Bench().gateway
-    odd = data.draw(
+    replacement = data.draw(
         st.sampled_from([None, True, "x", [], {}, float("inf"), 7, [[1, "casual"]], {"s-0": [1]}])
     )
     field = data.draw(st.sampled_from(["version", "customers", "members", "window", "call_rate"]))
@@ -72,25 +72,25 @@
         st.one_of(
             st.binary(max_size=40),
             st.integers(0, len(text) - 1).map(lambda size: text[:size]),
-            st.just(json.dumps(state | {field: odd}).encode()),
+            st.just(json.dumps(state | {field: replacement}).encode()),
         )
     )
     try:
-        begun(new, broken, bench.now)
+        load(new, broken, bench.now)
     except takeover.InvalidState:
         assert not new.customers and new.processes == 1
 
 
 def process(folder: Path, port: int, admin: int) -> subprocess.Popen[str]:
     file = folder / f"{admin}.json"
-    told = good() | {"listen": f"127.0.0.1:{port}", "admin_addr": f"127.0.0.1:{admin}"}
-    file.write_text(json.dumps(told))
+    document = good() | {"listen": f"127.0.0.1:{port}", "admin_addr": f"127.0.0.1:{admin}"}
+    file.write_text(json.dumps(document))
     given = os.environ | {"NODE_CONFIG": str(file), "TMPDIR": str(folder)}
     command = [sys.executable, "-B", "-m", "millfront"]
     return subprocess.Popen(command, cwd=ROOT, env=given, stderr=subprocess.PIPE, text=True)
 
 
-def until(started: subprocess.Popen[str], said: str) -> str:
+def wait_for_line(started: subprocess.Popen[str], said: str) -> str:
     assert started.stderr is not None
     return next((line for line in started.stderr if said in line), "")
 
@@ -107,21 +107,21 @@
     port, *admins = ports(5)
     (tmp_path / "millfront-n0.sock").write_bytes(b"left over")
     first = process(tmp_path, port, admins[0])
-    assert until(first, "serves ")
+    assert wait_for_line(first, "serves ")
     dies = process(tmp_path, port, admins[1])
-    assert until(dies, "takes over customers=0")
-    assert until(first, "a successor has come up")
+    assert wait_for_line(dies, "takes over customers=0")
+    assert wait_for_line(first, "a successor has come up")
     dies.kill()
-    assert until(first, "the successor has ended")
+    assert wait_for_line(first, "the successor has ended")
     second = process(tmp_path, port, admins[2])
-    assert until(second, "takes over") and until(second, "serves ")
+    assert wait_for_line(second, "takes over") and wait_for_line(second, "serves ")
     first.send_signal(signal.SIGTERM)
-    assert until(second, "the predecessor has ended")
+    assert wait_for_line(second, "the predecessor has ended")
     assert first.wait(timeout=20) == 0
-    third = process(tmp_path, port, admins[3])  # the second is asked in its turn
-    assert until(third, "takes over") and until(third, "serves ")
+    third = process(tmp_path, port, admins[3])  # gets its state from the second
+    assert wait_for_line(third, "takes over") and wait_for_line(third, "serves ")
     second.kill()
-    assert until(third, "the predecessor has ended")
+    assert wait_for_line(third, "the predecessor has ended")
     with socket.create_connection(("127.0.0.1", port), timeout=5) as client:
         client.sendall(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
         assert client.recv(100).startswith(b"HTTP/1.1 200 OK")
