--- a/millfront/node/counter.py
+++ b/millfront/node/counter.py
@@ -19,7 +19,7 @@
 
 MAX_LINE_BYTES = 256
 TOTAL = re.compile(rb"[-+]?[0-9]+(?:\.[0-9]*)?(?:[eE][-+]?[0-9]+)?")  # float() also accepts 1_0 and nan
-CONNECTION_LOST_US = 250_000  # past a call's timeout: this connection may be cut off, a new one not
+CONNECTION_LOST_US = 250_000  # an answer overdue by this: this connection may be cut off, a new one not
 IDLE_TIMEOUT_US = 3_000_000  # the counter closes after some seconds: a call sent then may be added or not
 
 
--- a/millfront/node/host.py
+++ b/millfront/node/host.py
@@ -108,8 +108,8 @@
 class UsageRecorder(Protocol):
     """Notified of each request once when it is first sent, and once when it is over with all its attempts."""
 
-    def request_sent(self, opened: "OpenRequest", standing: api.Standing) -> None: ...
-    def request_settled(self, opened: "OpenRequest") -> None: ...
+    def request_sent(self, open_request: "OpenRequest", standing: api.Standing) -> None: ...
+    def request_settled(self, open_request: "OpenRequest") -> None: ...
 
 
 class Flow(Protocol):
@@ -217,16 +217,18 @@
             case api.Send():
                 self._send(action)
             case api.Refuse(request, retry_after_us):
-                if opened := self._finish(request):
-                    opened.caller.rejected(min(retry_after_us, self.settings.allowed.max_retry_after_us))
+                if open_request := self._finish(request):
+                    open_request.caller.rejected(
+                        min(retry_after_us, self.settings.allowed.max_retry_after_us)
+                    )
             case api.Fail(request):
-                if opened := self._finish(request):
-                    opened.caller.failed()
+                if open_request := self._finish(request):
+                    open_request.caller.failed()
             case api.Cancel(request, attempt):
-                if (opened := self.open_requests.get(request)) and attempt in opened.flows:
-                    if opened.streaming_flow == attempt and not opened.finished:
+                if (open_request := self.open_requests.get(request)) and attempt in open_request.flows:
+                    if open_request.streaming_flow == attempt and not open_request.finished:
                         return  # its response is being sent to the client
-                    opened.flows[attempt].cancel()
+                    open_request.flows[attempt].cancel()
             case api.SetTimer(delay_us, token):
                 self.timers.after(delay_us, lambda: self.post_event(api.TimerFired(token)))
             case api.Count():
@@ -274,19 +276,19 @@
         self.post_event(retuned)
 
     def add_request(self, arrival: Arrival, caller: Caller, body_received: bool = True) -> OpenRequest:
-        opened = OpenRequest(
+        open_request = OpenRequest(
             next(self._ids), arrival, caller, body_received=body_received, arrived_us=arrival.arrived_us
         )
-        opened.max_attempts = self.settings.allowed.max_attempts
-        self.open_requests[opened.id] = opened
+        open_request.max_attempts = self.settings.allowed.max_attempts
+        self.open_requests[open_request.id] = open_request
         self._open_request_ids.add(arrival.request_id)
         self.unanswered += 1
-        left_us = opened.deadline_us - self.clock.now()
+        left_us = open_request.deadline_us - self.clock.now()
         if body_received:
-            self._schedule_overdue_check(opened.id, left_us + DEADLINE_GRACE_US)
+            self._schedule_overdue_check(open_request.id, left_us + DEADLINE_GRACE_US)
         self.post_event(
             api.RequestArrived(
-                opened.id,
+                open_request.id,
                 arrival.cls,
                 arrival.plan,
                 arrival.customer,
@@ -299,25 +301,25 @@
                 body_received,
             )
         )
-        return opened
+        return open_request
 
-    def body_complete(self, opened: OpenRequest) -> None:
+    def body_complete(self, open_request: OpenRequest) -> None:
         """The request's last byte has arrived: its time starts now."""
-        opened.body_received, opened.arrived_us = True, self.clock.now()
-        if opened.finished:
+        open_request.body_received, open_request.arrived_us = True, self.clock.now()
+        if open_request.finished:
             return
-        self._schedule_overdue_check(opened.id, opened.arrival.timeout_us + DEADLINE_GRACE_US)
-        for flow in list(opened.flows.values()):
+        self._schedule_overdue_check(open_request.id, open_request.arrival.timeout_us + DEADLINE_GRACE_US)
+        for flow in list(open_request.flows.values()):
             flow.body_complete()
-        self.post_event(api.RequestWhole(opened.id, opened.arrival.timeout_us))
+        self.post_event(api.RequestWhole(open_request.id, open_request.arrival.timeout_us))
 
-    def begin_stream(self, opened: OpenRequest, number: int, answer: Any, source: Source) -> bool:
+    def begin_stream(self, open_request: OpenRequest, number: int, answer: Any, source: Source) -> bool:
         """Starts streaming an attempt's response to the client; False: no response is owed any more."""
-        if opened.finished or opened.streaming_flow >= 0:
+        if open_request.finished or open_request.streaming_flow >= 0:
             return False
-        opened.streaming_flow = number
-        self.post_event(api.StreamStarted(opened.id, number))
-        opened.caller.begin_response(answer, source)
+        open_request.streaming_flow = number
+        self.post_event(api.StreamStarted(open_request.id, number))
+        open_request.caller.begin_response(answer, source)
         return True
 
     def _schedule_overdue_check(self, request: int, after_us: int) -> None:
@@ -338,58 +340,62 @@
     def is_open(self, request_id: bytes) -> bool:
         return request_id in self._open_request_ids
 
-    def client_left(self, opened: OpenRequest) -> None:
+    def client_left(self, open_request: OpenRequest) -> None:
         """The client has disconnected: no response is owed any more."""
-        if self._finish(opened.id):
-            self.post_event(api.RequestGone(opened.id))
+        if self._finish(open_request.id):
+            self.post_event(api.RequestGone(open_request.id))
 
     def _fail_overdue(self, request: int) -> None:
         """Ensures the final response if the decision module has forgotten the request."""
-        opened = self.open_requests.get(request)
-        if opened is not None and opened.streaming_flow >= 0:
+        open_request = self.open_requests.get(request)
+        if open_request is not None and open_request.streaming_flow >= 0:
             return  # its response is being streamed
-        if opened := self._finish(request):
+        if open_request := self._finish(request):
             log.error("no decision for a request by its deadline; failing it")
-            opened.caller.failed()
-            self.post_event(api.RequestGone(opened.id))
+            open_request.caller.failed()
+            self.post_event(api.RequestGone(open_request.id))
 
     def _finish(self, request: int) -> OpenRequest | None:
         """Marks the request as finished; returns it if its final response was still owed."""
-        opened = self.open_requests.get(request)
-        if opened is None or opened.finished:
+        open_request = self.open_requests.get(request)
+        if open_request is None or open_request.finished:
             return None
-        opened.finished = True
+        open_request.finished = True
         self.unanswered -= 1
-        self._remove_if_done(opened)
-        return opened
+        self._remove_if_done(open_request)
+        return open_request
 
-    def _remove_if_done(self, opened: OpenRequest) -> None:
-        if opened.finished and not opened.flows and opened.id in self.open_requests:
-            del self.open_requests[opened.id]
-            self._open_request_ids.discard(opened.arrival.request_id)
-            if opened.usage_mark is not None and self.usage_recorder is not None:
-                self.usage_recorder.request_settled(opened)
+    def _remove_if_done(self, open_request: OpenRequest) -> None:
+        if open_request.finished and not open_request.flows and open_request.id in self.open_requests:
+            del self.open_requests[open_request.id]
+            self._open_request_ids.discard(open_request.arrival.request_id)
+            if open_request.usage_mark is not None and self.usage_recorder is not None:
+                self.usage_recorder.request_settled(open_request)
 
     # ---- attempts ----------------------------------------------------------------------------
 
     def _send(self, send: api.Send) -> None:
-        opened = self.open_requests.get(send.request)
-        number = opened.attempts if opened else 0
-        if opened:
-            opened.attempts += 1
-        late = opened is None or opened.finished or self.clock.now() >= opened.deadline_us
-        if opened is None or late or number >= opened.max_attempts:
+        open_request = self.open_requests.get(send.request)
+        number = open_request.attempts if open_request else 0
+        if open_request:
+            open_request.attempts += 1
+        late = open_request is None or open_request.finished or self.clock.now() >= open_request.deadline_us
+        if open_request is None or late or number >= open_request.max_attempts:
             self._report_attempt_ended(
-                send.request, number, send.backend, api.Outcome.MOOT, opened is None or opened.finished
+                send.request,
+                number,
+                send.backend,
+                api.Outcome.MOOT,
+                open_request is None or open_request.finished,
             )
             return
-        if self.usage_recorder is not None and opened.usage_mark is None:
-            self.usage_recorder.request_sent(opened, send.standing)
-        self.start_flow(opened, number, send)
+        if self.usage_recorder is not None and open_request.usage_mark is None:
+            self.usage_recorder.request_sent(open_request, send.standing)
+        self.start_flow(open_request, number, send)
 
     def flow_ended(
         self,
-        opened: OpenRequest,
+        open_request: OpenRequest,
         number: int,
         send: api.Send,
         outcome: api.Outcome,
@@ -398,16 +404,20 @@
         units: float = 0.0,
     ) -> None:
         """Reports the end of an attempt, once. The first success is the request's final response."""
-        opened.flows.pop(number, None)
-        opened.may_have_run = opened.may_have_run or outcome not in NEVER_RAN
-        opened.true_units = opened.true_units or units
-        if outcome is api.Outcome.OK and opened.streaming_flow in (-1, number) and self._finish(opened.id):
-            opened.caller.served(answer)
-        elif opened.streaming_flow == number and self._finish(opened.id):
-            opened.caller.abort_response()
-        self._remove_if_done(opened)
+        open_request.flows.pop(number, None)
+        open_request.may_have_run = open_request.may_have_run or outcome not in NEVER_RAN
+        open_request.true_units = open_request.true_units or units
+        if (
+            outcome is api.Outcome.OK
+            and open_request.streaming_flow in (-1, number)
+            and self._finish(open_request.id)
+        ):
+            open_request.caller.served(answer)
+        elif open_request.streaming_flow == number and self._finish(open_request.id):
+            open_request.caller.abort_response()
+        self._remove_if_done(open_request)
         self._report_attempt_ended(
-            opened.id, number, send.backend, outcome, opened.finished, latency_us, units
+            open_request.id, number, send.backend, outcome, open_request.finished, latency_us, units
         )
 
     def _report_attempt_ended(
--- a/millfront/node/pool.py
+++ b/millfront/node/pool.py
@@ -47,7 +47,7 @@
     def apply_list(self, message: Any, cached: bool = False) -> None:
         """Applies a list or a change from discovery: to the members first, which enforce the drain rule.
 
-        :raises ExchangeError: MALFORMED, and nothing is applied
+        :raises ExchangeError: MALFORMED; the members are unchanged
         """
         try:
             full, seq = bool(message["whole"]), int(message["seq"])
--- a/millfront/node/retune.py
+++ b/millfront/node/retune.py
@@ -81,7 +81,7 @@
 
     def accepted_classes(self) -> dict[str, tuple[int, ...]]:
         """The class names that clients may use, with their places; the place in force comes first."""
-        forms: dict[str, tuple[int, ...]] = {name: (place,) for name, place in self.classes.items()}
+        accepted: dict[str, tuple[int, ...]] = {name: (place,) for name, place in self.classes.items()}
         for _, name, place in reversed(self._old_names):
-            forms[name] = (*forms.get(name, ()), place)
-        return forms
+            accepted[name] = (*accepted.get(name, ()), place)
+        return accepted
--- a/millfront/node/service.py
+++ b/millfront/node/service.py
@@ -166,12 +166,14 @@
             return
         gateway, names = self.host.gateway, self.pool.backend_ids()
         try:
-            known = takeover.load_state(gateway, text, self.active_settings.plans, names, self.clock.now())
+            customer_count = takeover.load_state(
+                gateway, text, self.active_settings.plans, names, self.clock.now()
+            )
         except takeover.InvalidState as error:
             log.warning("predecessor's state can't be used; starting without it", why=error)
             takeover.halve_shares(gateway)  # the predecessor is running all the same
             return
-        log.info("takes over", customers=known)
+        log.info("takes over", customers=customer_count)
 
     def _dump_state(self) -> bytes:
         gateway = self.host.gateway
