--- a/benchmarks/catching_up.py
+++ b/benchmarks/catching_up.py
@@ -21,16 +21,16 @@
 from millfront.register.deltas import apply_chain, difference, wire_size
 from millfront.register.values import Value
 from millfront.storage.disk import Disk
-from millfront.transport.connections import decoded, encoded
+from millfront.transport.connections import decode_message, encode_message
 from tests.system_world import Node
-from tests.test_catching_up import Watched, held_by, long
+from tests.test_catching_up import CatchUpWorld, held_by, long
 
 LINE = 2e6 / 8  # bytes a second
 LARGE = 21_000  # routes of a document of 6 MB
 configuration.compiled = lru_cache(4)(configuration.compiled)  # type: ignore[assignment]  # once for all gatekeepers of a world
 
 
-class Lines(Watched):
+class Lines(CatchUpWorld):
     """A world whose lines take time by length, while `measured` is set."""
 
     measured = -1  # whose
@@ -38,12 +38,12 @@
     held_up = 0.0  # the longest that a message to it waited for those before it on its line
     busy: dict[tuple[int, int], float]  # until when
 
-    def carry(self, sender: Node, address: str, give: Callable[[Any, Any], None], message: Any) -> None:
+    def deliver(self, sender: Node, address: str, give: Callable[[Any, Any], None], message: Any) -> None:
         to = self.by_address.get(address)
         if to is None or to.number != self.measured:
-            super().carry(sender, address, give, message)
+            super().deliver(sender, address, give, message)
             return
-        length = len(encoded(message))
+        length = len(encode_message(message))
         datagram = "r" not in message and message["t"] not in ("news", "rest", "list")
         self.came += 0 if datagram else length
         pair = (sender.number, to.number)
@@ -53,18 +53,18 @@
 
         def later() -> Generator[Any, Any, None]:
             yield self.env.timeout(free - self.env.now)
-            super(Lines, self).carry(sender, address, give, message)
+            super(Lines, self).deliver(sender, address, give, message)
 
         self.env.process(later())
 
     def measure(self, number: int, within: float = 120.0) -> tuple[float, int, float]:
         """Until it has caught up, the bytes on lines to it, and the longest that a message waited."""
         self.measured, self.came, self.held_up, self.busy = number, 0, 0.0, {}
-        self.returns(number)
-        self.caught_up(within)
+        self.bring_back(number)
+        self.wait_until_caught_up(within)
         self.run(2.0)
         self.measured = -1
-        return self.took[number], self.came, self.held_up
+        return self.catch_up_s[number], self.came, self.held_up
 
 
 def after(changes: int) -> None:
@@ -76,9 +76,9 @@
             Archive.record_change = lambda *_: None  # type: ignore[method-assign]
         world = Lines(7, 6, 1)
         world.start().run(4.0)
-        world.changes(1, 6, 0.6)
+        world.put_changes(1, 6, 0.6)
         world.nodes[1].kill()
-        world.changes(changes - 1, 6, 0.06)
+        world.put_changes(changes - 1, 6, 0.06)
         for number, kind, missed in (
             (2, "restarted, 1 change", 1),
             (3, "restarted, 20 changes", 20),
@@ -87,7 +87,7 @@
         ):
             if missed:
                 world.nodes[number].kill()
-                world.changes(missed, 6, 0.06)
+                world.put_changes(missed, 6, 0.06)
             elif number == 4:
                 world.wipe(4)
             world.run(1.0)
@@ -95,7 +95,7 @@
             print(f"{name:12} {kind:24} {took:6.2f} {came:8} {held_up:6.2f}")
             assert held_by(world.nodes[number]) == world.acknowledged
         Archive.record_change = replaced  # type: ignore[method-assign]
-    packed = len(encoded({"t": "", "v": text}))
+    packed = len(encode_message({"t": "", "v": text}))
     print(f"{changes} changes of {len(text)} characters, {packed} bytes packed")
     print(f"ran {time.monotonic() - began:.0f} s")
 
@@ -120,7 +120,7 @@
         took, came, held_up = world.measure(4)
         print(f"{name:12} {'wiped':24} {took:6.2f} {came:8} {held_up:6.2f}")
         chunks.CHUNK_CHARS = before
-    print(f"{len(text)} characters, {len(encoded({'t': '', 'v': text}))} bytes packed")
+    print(f"{len(text)} characters, {len(encode_message({'t': '', 'v': text}))} bytes packed")
 
 
 def processor() -> None:
@@ -132,9 +132,9 @@
         ("the whole", text),
     ):
         began = time.process_time()
-        line = encoded({"t": "piece", "x": part})
+        line = encode_message({"t": "piece", "x": part})
         packed = time.process_time()
-        decoded(line)
+        decode_message(line)
         print(
             f"{name}: {len(line)} bytes, made in {1000 * (packed - began):.1f} ms, "
             f"read in {1000 * (time.process_time() - packed):.1f} ms"
--- a/millfront/gatekeeper/process.py
+++ b/millfront/gatekeeper/process.py
@@ -1,4 +1,4 @@
-"""One gatekeeper as a process: the loop, its connections and its disk round the pure parts, and its end."""
+"""One gatekeeper as a process: the event loop, connections and disk around the pure parts, and shutdown."""
 
 import asyncio
 import gc
@@ -18,24 +18,24 @@
 from millfront.dataplane.proxy import Proxy
 from millfront.discovery.platform_client import PlatformError, read_list
 from millfront.discovery.server_list import PlatformList, ReadFailure
-from millfront.environment import VARIABLE, Settings, load
+from millfront.environment import CONFIG_VARIABLE, Settings, load
 from millfront.gatekeeper import api
-from millfront.gatekeeper.node import BEAT_S, Gatekeeper
+from millfront.gatekeeper.node import TICK_S, Gatekeeper
 from millfront.node.config import Address
 from millfront.operations.store import Batch
 from millfront.register.replica import PersistRequest
 from millfront.register.values import Value
-from millfront.transport.connections import Line, Message, Transport
+from millfront.transport.connections import Connection, Message, Transport
 
 if TYPE_CHECKING:
     from millfront.storage.disk import Disk
     from millfront.storage.operations_disk import OperationsDisk
 
-LOOK_BEATS = 8  # between two looks at the settings file, 2 s
-LEAVE_S = 0.6  # of the grace, from SIGTERM until clients are no longer taken on
-LAST_S = 0.3  # before the grace ends
-LOOK_S = 0.02  # between two looks at whether anything is under way
-LAST_LOOKS = 6
+SETTINGS_CHECK_TICKS = 8  # between checks of the settings file, 2 s
+DRAIN_SHARE = 0.6  # of the grace period: 0.8 of this after SIGTERM no new clients are accepted
+END_MARGIN_S = 0.3  # the process ends so long before the grace period does
+IDLE_CHECK_S = 0.02  # between checks whether any work is open
+IDLE_CHECKS = 6  # in a row without open work, after which the process ends
 
 
 class GatekeeperProcess:
@@ -44,90 +44,92 @@
     def __init__(
         self,
         settings: Settings,
-        kept: dict[str, Value] | None,
+        stored: dict[str, Value] | None,
         disk: "Disk | None",
         metrics_port: int = 0,
         operations_disk: "OperationsDisk | None" = None,
-        kept_operations: dict[str, str] | None = None,
-        settings_of: int | None = None,
+        stored_operations: dict[str, str] | None = None,
+        settings_modified_ns: int | None = None,
     ) -> None:
-        """:param settings_of: when the settings file was changed last before it was read, in ns
-        :param metrics_port: where metrics are scraped besides ``ctl``; 0: nowhere"""
+        """:param stored: the register's values on disk; None: this process has no replica
+        :param metrics_port: an additional port for metrics besides ``ctl``; 0: none
+        :param stored_operations: the rows of operation keys on disk
+        :param settings_modified_ns: modification time of the settings file before it was read, in ns"""
         self.settings, self.disk, self.metrics_port = settings, disk, metrics_port
         self.operations_disk = operations_disk
         self.loop = asyncio.get_running_loop()
-        seed = int.from_bytes(os.urandom(6))  # of this incarnation alone: a clock may step back
+        seed = int.from_bytes(os.urandom(6))  # unique to this incarnation, as the clock may step back
         incarnation = time.time_ns() // 1_000_000
-        self.gatekeeper = Gatekeeper(settings, self, kept, self.now(), incarnation, seed, kept_operations)
+        self.gatekeeper = Gatekeeper(settings, self, stored, self.now(), incarnation, seed, stored_operations)
         self.proxy = Proxy(self.gatekeeper, seed, self.now)
-        self.wire = Transport(
-            lambda line, message: self.gatekeeper.message(self.now(), line, message),
-            lambda back, message: self.gatekeeper.datagram(self.now(), back, message),
+        self.transport = Transport(
+            lambda via, message: self.gatekeeper.handle_message(self.now(), via, message),
+            lambda back, message: self.gatekeeper.handle_datagram(self.now(), back, message),
             settings.listen_ip,
         )
-        self.threads, self.readers = ThreadPoolExecutor(1), ThreadPoolExecutor(1)
-        self.operations_threads = ThreadPoolExecutor(1)
+        self.disk_executor, self.check_executor = ThreadPoolExecutor(1), ThreadPoolExecutor(1)
+        self.operations_executor = ThreadPoolExecutor(1)
         self.control_apis: list[api.ControlApi] = []
         self.ending = asyncio.Event()
-        self.file_of = settings_of  # when the settings file was changed, as far as it was read
+        self.settings_modified_ns = settings_modified_ns  # modification time of the file as last read
         self.tasks: set[asyncio.Task[None]] = set()
 
     def now(self) -> float:
-        """Seconds on the steady clock."""
+        """Seconds on the monotonic clock."""
         return time.monotonic()
 
-    # ---- what the gatekeeper asks for (NodeIO) ---------------------------------------------------
+    # ---- NodeIO ----------------------------------------------------------------------------------
 
-    def datagram(self, address: str, message: Message) -> None:
+    def send_datagram(self, address: str, message: Message) -> None:
         """Send one datagram to ``host:port``; it may be lost."""
-        self.wire.datagram(address, message)
+        self.transport.send_datagram(address, message)
 
-    def line(self, address: str, message: Message) -> None:
-        """Send on the held connection to ``host:port``; lost where it can't be had."""
-        self.wire.line(address, message)
+    def send(self, address: str, message: Message) -> None:
+        """Send on the persistent connection to ``host:port``; lost if it can't be opened."""
+        self.transport.send(address, message)
 
-    def back(self, via: Any, message: Message) -> None:
-        """Send on the connection that something came on; ``via`` is its `Line`."""
-        assert isinstance(via, Line)
+    def reply(self, via: Any, message: Message) -> None:
+        """Send on the `Connection` ``via`` that a message arrived on."""
+        assert isinstance(via, Connection)
         via.send(message)
 
     def persist(self, persist: PersistRequest) -> None:
-        """Sync it in the disk's thread, then tell `Gatekeeper.synced` whether it held."""
-        self.start(self._persist(persist))
+        """Sync the values in the disk's thread, then call `Gatekeeper.synced` with the outcome."""
+        self.start_task(self._persist(persist))
 
     def persist_operations(self, batch: Batch) -> None:
-        """Sync it in a thread, then tell `Operations.synced` whether it held."""
-        self.start(self._persist_operations(batch))
+        """Sync the batch in a thread, then call `Operations.synced` with the outcome."""
+        self.start_task(self._persist_operations(batch))
 
-    def poll(self, number: int) -> None:
-        """Ask the platform for its list, then tell `Gatekeeper.polled`."""
-        self.start(self._poll(number))
+    def poll_platform(self, number: int) -> None:
+        """Fetch the platform's list of servers, then call `Gatekeeper.polled`."""
+        self.start_task(self._poll(number))
 
-    def say(self, part: str, text: str) -> None:
+    def log(self, part: str, text: str) -> None:
         """Write a line to the log."""
         logger.info("{}: {}", part, text)
 
-    def later(self, seconds: float, then: Callable[[], None]) -> None:
-        """Call that after so long."""
+    def call_later(self, seconds: float, then: Callable[[], None]) -> None:
+        """Call `then` after that many seconds."""
         self.loop.call_later(seconds, then)
 
-    def start(self, work: Any) -> None:
-        """A task whose fault is its own."""
+    def start_task(self, work: Any) -> None:
+        """Run a coroutine as a task; its exception is logged and affects nothing else."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._task_done)
 
-    def _done(self, task: "asyncio.Task[None]") -> None:
+    def _task_done(self, task: "asyncio.Task[None]") -> None:
         self.tasks.discard(task)
-        if not task.cancelled() and (wrong := task.exception()) is not None:
-            logger.opt(exception=wrong).error("gatekeeper: a task failed")
+        if not task.cancelled() and (error := task.exception()) is not None:
+            logger.opt(exception=error).error("gatekeeper: background task failed")
 
     async def _persist(self, persist: PersistRequest) -> None:
         from millfront.storage.lmdb_folder import DiskError
 
         assert self.disk is not None
         try:
-            await self.loop.run_in_executor(self.threads, self.disk.store, persist.values, persist.drop)
+            await self.loop.run_in_executor(self.disk_executor, self.disk.store, persist.values, persist.drop)
         except DiskError as fault:
             logger.warning("disk: {}", fault)
             self.gatekeeper.synced(self.now(), persist, False)
@@ -141,20 +143,22 @@
         if self.operations_disk is not None:
             store = self.operations_disk.store
             try:
-                await self.loop.run_in_executor(self.operations_threads, store, batch.rows, batch.drop)
+                await self.loop.run_in_executor(self.operations_executor, store, batch.rows, batch.drop)
             except DiskError as fault:
                 logger.warning("disk: {}", fault)
                 well = False
         self.gatekeeper.now = self.now()
         self.gatekeeper.operations.synced(batch, well)
 
-    def check(self, text: str, then: Callable[[Result[Configuration, ConfigurationError]], None]) -> None:
-        """Read a long configuration in a thread, so that traffic goes on."""
+    def check_configuration(
+        self, text: str, then: Callable[[Result[Configuration, ConfigurationError]], None]
+    ) -> None:
+        """Parse and check a long configuration in a thread, so that traffic is not held up."""
 
         async def checking() -> None:
-            then(await self.loop.run_in_executor(self.readers, checked, text))
+            then(await self.loop.run_in_executor(self.check_executor, checked, text))
 
-        self.start(checking())
+        self.start_task(checking())
 
     async def _poll(self, number: int) -> None:
         found: PlatformList | ReadFailure = ReadFailure.UNREACHABLE
@@ -162,94 +166,98 @@
             found = await read_list(self.settings.cloud)
         except PlatformError as fault:
             found = fault.failure
-            logger.info("discovery: the platform's list can't be had: {}", fault)
+            logger.info("discovery: cannot fetch the platform's list of servers: {}", fault)
         finally:
             self.gatekeeper.polled(self.now(), number, found)
 
     # ---- lifecycle ---------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Listen, serve until SIGTERM or SIGINT, then end within the grace period.
+        """Listen, serve until SIGTERM or SIGINT, then shut down within the grace period.
 
-        :raises OSError: an address can't be listened at
+        :raises OSError: an address to listen at is not available
         """
         settings = self.settings
-        await self.wire.listen(settings.listen_ip or settings.ip, settings.port)
-        self.control_apis = api.of(self.gatekeeper, self.now, settings.bindings, self.check)
+        await self.transport.listen(settings.listen_ip or settings.ip, settings.port)
+        self.control_apis = api.create_apis(
+            self.gatekeeper, self.now, settings.bindings, self.check_configuration
+        )
         if self.metrics_port:
-            self._listen_for_scrapes()
+            self._listen_for_metrics()
         if "plain" in settings.bindings:
             self.proxy.server.listen(Address.parse(settings.bindings["plain"], "plain"))
-        for made in (self.proxy.server, *(c.server for c in self.control_apis)):
-            self.start(made.sweep())
-        self.start(self.proxy.members.run())
+        for server in (self.proxy.server, *(c.server for c in self.control_apis)):
+            self.start_task(server.sweep())
+        self.start_task(self.proxy.members.run())
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.ending.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         logger.info("gatekeeper: {} serves {}", settings.name, " ".join(settings.serves))
-        beat = self.loop.create_task(self._beat())
+        ticking = self.loop.create_task(self._tick_loop())
         await self.ending.wait()
-        await self._end()
-        beat.cancel()
+        await self._shut_down()
+        ticking.cancel()
 
-    def _listen_for_scrapes(self) -> None:
-        """A process serves also where its metrics can't be had."""
+    def _listen_for_metrics(self) -> None:
+        """Serve metrics on their own port; if it is not available the process runs without."""
         address = f"{self.settings.ip}:{self.metrics_port}"
         try:
-            self.control_apis += api.of(self.gatekeeper, self.now, {"metrics": address}, self.check)
+            self.control_apis += api.create_apis(
+                self.gatekeeper, self.now, {"metrics": address}, self.check_configuration
+            )
         except OSError as fault:
-            logger.warning("metrics: can't be had at {}: {}", address, fault)
+            logger.warning("metrics: cannot listen at {}: {}", address, fault)
 
-    async def _beat(self) -> None:
+    async def _tick_loop(self) -> None:
         due = self.loop.time()
         while True:
             try:
-                self.gatekeeper.beat(self.now())
+                self.gatekeeper.tick(self.now())
                 self.proxy.update_cold_owners()
-                if self.gatekeeper.beats % LOOK_BEATS == 0:
-                    self.look()
-            except Exception:  # one beat's fault must not stop all others
-                logger.exception("gatekeeper: a beat failed")
-            due = max(due + BEAT_S, self.loop.time() - BEAT_S)
+                if self.gatekeeper.ticks % SETTINGS_CHECK_TICKS == 0:
+                    self.check_settings_file()
+            except Exception:  # a fault in one tick must not stop the later ones
+                logger.exception("gatekeeper: tick failed")
+            due = max(due + TICK_S, self.loop.time() - TICK_S)
             await asyncio.sleep(max(0.01, due - self.loop.time()))
 
-    def look(self) -> None:
-        """The settings file may change without a signal."""
-        changed = _changed_at(os.environ)
-        if changed is not None and changed != self.file_of:
-            if self.file_of is not None:
+    def check_settings_file(self) -> None:
+        """Reload the settings file if its modification time has changed: it may change without a signal."""
+        modified_ns = _modified_ns(os.environ)
+        if modified_ns is not None and modified_ns != self.settings_modified_ns:
+            if self.settings_modified_ns is not None:
                 self.reload()
-            self.file_of = changed
+            self.settings_modified_ns = modified_ns
 
     def reload(self) -> None:
-        """The settings file has changed: its seeds hold from now on; a torn one changes nothing."""
+        """Reload the settings file and apply its seeds; an invalid or half-written file changes nothing."""
         match load(os.environ):
             case Err(fault):
-                logger.warning("settings: the file stays unread: {}", fault)
-            case Ok(told):
-                self.gatekeeper.reseed(told.seeds)
-                logger.info("settings: read anew")
-
-    async def _end(self) -> None:
-        """Say so to all, go on while clients come, send them away, finish what is open; stay a member
-        of the core, and vote, until the core has changed."""
+                logger.warning("settings: reload rejected, the old settings stay in force: {}", fault)
+            case Ok(settings):
+                self.gatekeeper.set_seeds(settings.seeds)
+                logger.info("settings: reloaded, seeds applied")
+
+    async def _shut_down(self) -> None:
+        """Announce the shutdown, serve on while clients still arrive, then close their connections and finish
+        open requests. A core member keeps voting until the core has replaced it."""
         grace = self.settings.bounds.grace_period
-        end = self.now() + grace - LAST_S
-        logger.info("gatekeeper: ends")
+        end = self.now() + grace - END_MARGIN_S
+        logger.info("gatekeeper: shutting down")
         self.gatekeeper.reconfiguration.leave(self.now())
         server = self.proxy.server
-        await asyncio.sleep(LEAVE_S * grace * 0.5)
+        await asyncio.sleep(DRAIN_SHARE * grace * 0.5)
         server.set_closing(True)
-        await asyncio.sleep(LEAVE_S * grace * 0.3)
+        await asyncio.sleep(DRAIN_SHARE * grace * 0.3)
         server.stop_accepting()
-        looks = 0  # in a row at which nothing was under way: a request may still come on a kept connection
-        while self.now() < end and looks < LAST_LOOKS:
+        idle_checks = 0  # in a row; a request may still arrive on a kept-alive connection
+        while self.now() < end and idle_checks < IDLE_CHECKS:
             server.close_idle()
-            looks = 0 if self._under_way() else looks + 1
-            await asyncio.sleep(LOOK_S)
+            idle_checks = 0 if self._has_open_work() else idle_checks + 1
+            await asyncio.sleep(IDLE_CHECK_S)
 
-    def _under_way(self) -> bool:
-        """Whether something is open that is to end before this process does."""
+    def _has_open_work(self) -> bool:
+        """Whether something is open that must end before this process does."""
         server = self.proxy.server
         if self.proxy.open_requests > 0 or server.unanswered_count() or server.unsent_count():
             return True
@@ -258,12 +266,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Disks:
-    """What a machine with a disk keeps, and what was there at the start."""
+    """The disk stores of a machine, and what they held at the start; all None without a disk."""
 
     register: "Disk | None" = None
-    kept: dict[str, Value] | None = None
+    stored: dict[str, Value] | None = None
     operations: "OperationsDisk | None" = None
-    kept_operations: dict[str, str] | None = None
+    stored_operations: dict[str, str] | None = None
 
 
 def _open_disks(settings: Settings) -> Disks:
@@ -275,31 +283,31 @@
 
     register, operations = Disk(settings.state_dir), OperationsDisk(settings.state_dir)
     try:
-        kept, why = register.load()
+        stored, damage = register.load()
     except DiskError as fault:
-        logger.warning("disk: nothing can be kept here: {}", fault)
+        logger.warning("disk: register not usable, this process runs without a replica: {}", fault)
         return Disks()
-    kept_operations, why_not = operations.load()
-    for wrong in (why, why_not):
-        if wrong:
-            logger.warning("disk: what was kept can't be read and is set aside: {}", wrong)
-    return Disks(register, kept, operations, kept_operations)
+    stored_operations, operations_damage = operations.load()
+    for reason in (damage, operations_damage):
+        if reason:
+            logger.warning("disk: unreadable data set aside: {}", reason)
+    return Disks(register, stored, operations, stored_operations)
 
 
-def _changed_at(environment: Mapping[str, str]) -> int | None:
-    """When the settings file was changed last, in ns; None where it can't be told."""
+def _modified_ns(environment: Mapping[str, str]) -> int | None:
+    """Modification time of the settings file in ns; None if it can't be read."""
     try:
-        return os.stat(environment.get(VARIABLE, "")).st_mtime_ns
+        return os.stat(environment.get(CONFIG_VARIABLE, "")).st_mtime_ns
     except OSError:
         return None
 
 
 def run(environment: Mapping[str, str], metrics_port: int = 0) -> int:
-    """Serve until SIGTERM. Exit code 0 after a planned end, 2 where the settings can't be used.
+    """Serve until SIGTERM. Returns exit code 0 after a shutdown, 2 if the settings are invalid.
 
-    :param metrics_port: where metrics are scraped besides ``ctl``; 0: nowhere
+    :param metrics_port: an additional port for metrics besides ``ctl``; 0: none
     """
-    settings_of = _changed_at(environment)
+    settings_modified_ns = _modified_ns(environment)
     match load(environment):
         case Err(fault):
             print(f"millfront: {fault}", file=sys.stderr)
@@ -307,8 +315,8 @@
         case Ok(settings):
             pass
     logger.remove()
-    form = "{time:HH:mm:ss.SSS} {level} {message}"
-    logger.add(sys.stderr, format=form, level=settings.log_level, serialize=settings.log_json)
+    log_format = "{time:HH:mm:ss.SSS} {level} {message}"
+    logger.add(sys.stderr, format=log_format, level=settings.log_level, serialize=settings.log_json)
     disks = _open_disks(settings)
     gc.collect()
     gc.freeze()
@@ -316,12 +324,12 @@
     async def serve() -> None:
         await GatekeeperProcess(
             settings,
-            disks.kept,
+            disks.stored,
             disks.register,
             metrics_port,
             disks.operations,
-            disks.kept_operations,
-            settings_of,
+            disks.stored_operations,
+            settings_modified_ns,
         ).run()
 
     asyncio.run(serve())
