--- a/tests/system_world.py
+++ b/tests/system_world.py
@@ -1,6 +1,5 @@
-"""A world in simulated time for the gatekeepers of the whole system: the very `Gatekeeper` that the daemon
-runs, between links with delay, loss and cuts, processes that are killed, and disks that sync, refuse and are
-wiped."""
+"""A simulation in virtual time of the whole system: it runs the daemon's own `Gatekeeper` class over links
+with delay, loss and partitions, with processes that are killed or frozen and disks that fail or are wiped."""
 
 import json
 import random
@@ -20,9 +19,9 @@
 ZONES = {"aa": "a", "ab": "a", "ba": "b", "bb": "b"}
 PORT = 7000
 SYNC_S = 0.002
-CUT_CHECK_S = 0.2  # at most so long after a cut what it held up comes
-MAX_WAIT_S = 0.16  # a request for a token, at most
-MIN_LEAVE_S = 2.9  # what a process that ends does for its clients
+CUT_CHECK_S = 0.2  # messages that a cut delayed arrive at most so long after it
+MAX_WAIT_S = 0.16  # of a request for a token
+MIN_LEAVE_S = 2.9  # from SIGTERM until a process has drained its clients
 
 
 def document(
@@ -32,8 +31,7 @@
     limits: dict[str, Any] | None = None,
     kind: str = "effectful",
 ) -> str:
-    """A configuration with one route of that kind, tenants with these keys and, where they are given,
-    limits."""
+    """A configuration with one route of that kind, tenants with these API keys and, if given, limits."""
     spec = {
         "host": "a.example", "path_prefix": "/p/", "variant_tag": kind, "deadline": "4s",
         "target_time": "1s", "rank": 1, "target": "shop", "max_tries": 2, "home_regions": [],
@@ -52,12 +50,12 @@
         "spec": {"warmup": "3s", "warmup_rate_s": 2.0},
     }
     route = {"variant": "routes", "meta": {"name": "r"}, "spec": spec}
-    more = [{"variant": "limits", "meta": {}, "spec": limits}] if limits else []
-    return json.dumps({"revision": f"{version:08x}", "resources": [route, service, *tenants, *more]})
+    extra = [{"variant": "limits", "meta": {}, "spec": limits}] if limits else []
+    return json.dumps({"revision": f"{version:08x}", "resources": [route, service, *tenants, *extra]})
 
 
 class Node:
-    """One machine: its disk outlives its process."""
+    """One machine, the `NodeIO` of its gatekeeper; its disk outlives the process."""
 
     def __init__(self, world: "World", number: int, disk: bool) -> None:
         self.world, self.number = world, number
@@ -66,19 +64,19 @@
         self.ip = f"10.0.0.{number + 1}"
         self.address, self.plain = f"{self.ip}:{PORT}", f"{self.ip}:80"
         self.disk: dict[str, Value] | None = {} if disk else None
-        self.operation_rows: dict[str, str] = {}  # on the same disk
+        self.operation_rows: dict[str, str] = {}  # of operation keys, on the same disk
         self.disk_refuses = False
         self.gatekeeper: Gatekeeper | None = None
         self.incarnation = 0
-        self.versions: list[int] = []  # that were in force, in this life
+        self.versions: list[int] = []  # of the configuration that were in force in this incarnation
         self.clock_behind_s = 0.0
         self.extra_delay_s = 0.0  # of each message to or from it
-        self.backlog: list[Callable[[], None]] | None = None  # of a frozen one: what it gets when it goes on
+        self.backlog: list[Callable[[], None]] | None = None  # while frozen: events to run when thawed
 
     def now(self) -> float:
         return float(self.world.env.now) + 100.0 * self.number - self.clock_behind_s
 
-    # ---- doors ---------------------------------------------------------------------------------
+    # ---- NodeIO --------------------------------------------------------------------------------
 
     def send_datagram(self, address: str, message: dict[str, Any]) -> None:
         to = self.world.by_address.get(address)
@@ -100,7 +98,7 @@
     def persist(self, persist: PersistRequest) -> None:
         incarnation = self.incarnation
 
-        def syncing() -> Generator[Any, Any, None]:
+        def sync() -> Generator[Any, Any, None]:
             yield self.world.env.timeout(SYNC_S)
             self.run_or_defer(synced)
 
@@ -113,12 +111,12 @@
                         self.disk.pop(key, None)
                 self.gatekeeper.synced(self.now(), persist, not self.disk_refuses)
 
-        self.world.env.process(syncing())
+        self.world.env.process(sync())
 
     def persist_operations(self, batch: Batch) -> None:
         incarnation = self.incarnation
 
-        def syncing() -> Generator[Any, Any, None]:
+        def sync() -> Generator[Any, Any, None]:
             yield self.world.env.timeout(SYNC_S)
             self.run_or_defer(synced)
 
@@ -131,21 +129,21 @@
                 self.gatekeeper.now = self.now()
                 self.gatekeeper.operations.synced(batch, not self.disk_refuses)
 
-        self.world.env.process(syncing())
+        self.world.env.process(sync())
 
     def poll_platform(self, number: int) -> None:
         incarnation = self.incarnation
 
-        def asking() -> Generator[Any, Any, None]:
-            told = yield from self.world.platform.listed(ZONES[self.zone])
-            self.run_or_defer(lambda: polled(told))
+        def read_list() -> Generator[Any, Any, None]:
+            answer = yield from self.world.platform.listed(ZONES[self.zone])
+            self.run_or_defer(lambda: polled(answer))
 
-        def polled(told: Any) -> None:
+        def polled(answer: Any) -> None:
             if self.gatekeeper is not None and self.incarnation == incarnation:
                 self.world.polls += 1
-                self.gatekeeper.polled(self.now(), number, told)
+                self.gatekeeper.polled(self.now(), number, answer)
 
-        self.world.env.process(asking())
+        self.world.env.process(read_list())
 
     def log(self, part: str, text: str) -> None:
         pass
@@ -153,22 +151,22 @@
     def call_later(self, seconds: float, then: Callable[[], None]) -> None:
         incarnation = self.incarnation
 
-        def waiting() -> Generator[Any, Any, None]:
+        def wait() -> Generator[Any, Any, None]:
             yield self.world.env.timeout(seconds)
             if self.gatekeeper is not None and self.incarnation == incarnation:
                 self.run_or_defer(then)
 
-        self.world.env.process(waiting())
+        self.world.env.process(wait())
 
     def request(self, tenant: str, then: Callable[[Decision], None]) -> None:
-        """A client's request with that tenant's key comes; `then` is told once what becomes of it."""
+        """A client's request of that tenant arrives; `then` is called once with the decision."""
         assert self.gatekeeper is not None and self.gatekeeper.configuration is not None
         limit = self.gatekeeper.configuration.by_name[tenant]
         decision = self.gatekeeper.admission.admit(self.now(), limit, MAX_WAIT_S, then)
         if decision is not None:
             then(decision)
 
-    # ---- a life --------------------------------------------------------------------------------
+    # ---- start and end -------------------------------------------------------------------------
 
     def start(self, fresh: bool = False) -> None:
         self.incarnation += 1
@@ -180,12 +178,12 @@
             bindings={"plain": self.plain, "ctl": f"{self.ip}:81"}, zones=ZONES, cloud="10.0.1.1:1",
             cloud_rate=40.0, cloud_lag=0.8, bounds=self.world.bounds,
         )  # fmt: skip
-        kept = dict(self.disk) if self.disk is not None else None
+        stored = dict(self.disk) if self.disk is not None else None
         incarnation = int(self.world.env.now * 1000) + 1
         self.gatekeeper = Gatekeeper(
             settings,
             self,
-            kept,
+            stored,
             self.now(),
             incarnation,
             self.number * 1000 + self.incarnation,
@@ -207,7 +205,7 @@
             yield self.world.env.timeout(TICK_S * (0.97 + 0.06 * self.world.random.random()))
 
     def leave(self, end: float = 5.7) -> None:
-        """SIGTERM: it ends in order, after what the daemon waits for at least, and at most until `end`."""
+        """SIGTERM: shut down as the daemon does, after `MIN_LEAVE_S` and at most after `end` seconds."""
         gatekeeper, incarnation = self.gatekeeper, self.incarnation
         assert gatekeeper is not None
         gatekeeper.reconfiguration.leave(self.now())
@@ -233,7 +231,7 @@
         self.backlog = None
 
     def freeze(self) -> None:
-        """It does nothing, its clock goes on, and what is sent to it waits in its buffers (SIGSTOP)."""
+        """SIGSTOP: it does nothing, its clock runs on, and messages to it wait in its buffers."""
         self.backlog = []
 
     def thaw(self) -> None:
@@ -242,7 +240,7 @@
             event()
 
     def run_or_defer(self, event: Callable[[], None]) -> None:
-        """Now, or when it is thawed."""
+        """Run an event now, or when the process is thawed."""
         if self.backlog is None:
             event()
         else:
@@ -254,8 +252,8 @@
 
 
 class World:
-    """n machines, the first `disks` of them with a disk, over two regions of two zones; behind them `spares`
-    with a disk that don't start with the others."""
+    """n machines, the first `disks` of them with a disk, in two regions of two zones each; then `spares` more
+    with a disk, which `start` leaves out."""
 
     def __init__(
         self, n: int = 11, disks: int = 4, seed: int = 1, bounds: Bounds | None = None, spares: int = 0
@@ -274,30 +272,30 @@
         self.seeds = tuple(f"{node.ip}:81" for node in self.nodes[:3])
         self.by_address = {node.address: node for node in self.nodes}
 
-    def deliver(self, sender: Node, address: str, give: Callable[[Any, Any], None], message: Any) -> None:
+    def deliver(self, sender: Node, address: str, handle: Callable[[Any, Any], None], message: Any) -> None:
         to, text = self.by_address.get(address), json.dumps(message)
         if to is None or (self.cut(sender, to) and not self.delays_cut_messages):
             return
         incarnation, sender_incarnation = to.incarnation, sender.incarnation
 
-        def way() -> Generator[Any, Any, None]:
+        def travel() -> Generator[Any, Any, None]:
             near = ZONES[sender.zone] == ZONES[to.zone]
-            way = (0.001 if near else 0.02) * (1.0 + self.random.random())
-            yield self.env.timeout(way + sender.extra_delay_s + to.extra_delay_s)
+            delay = (0.001 if near else 0.02) * (1.0 + self.random.random())
+            yield self.env.timeout(delay + sender.extra_delay_s + to.extra_delay_s)
             while self.delays_cut_messages and self.cut(sender, to):
                 yield self.env.timeout(CUT_CHECK_S)
             if not self.cut(sender, to):
-                to.run_or_defer(come)
+                to.run_or_defer(arrive)
 
-        def come() -> None:
+        def arrive() -> None:
             if to.gatekeeper is not None and to.incarnation == incarnation:
-                give(to, json.loads(text))
+                handle(to, json.loads(text))
 
         if sender.incarnation == sender_incarnation:
-            self.env.process(way())
+            self.env.process(travel())
 
     def start(self, but: tuple[int, ...] = ()) -> "World":
-        """All together, for the first time."""
+        """Start all machines but the spares and those given, for the first time."""
         for node in self.nodes:
             if node.number not in but and node.number not in self.spares:
                 node.start(fresh=True)
@@ -320,25 +318,25 @@
         return [node.gatekeeper for node in self.nodes if node.gatekeeper is not None]
 
     def call(
-        self, number: int, does: Callable[[Gatekeeper, float, Callable[[int, str], None]], None]
+        self, number: int, request: Callable[[Gatekeeper, float, Callable[[int, str], None]], None]
     ) -> list[Any]:
-        """A call to one gatekeeper; the list holds (status, text, when) once it is answered."""
+        """Call one gatekeeper; the list gets (status, text, time) once the call is answered."""
         node = self.nodes[number]
         answers: list[Any] = []
         assert node.gatekeeper is not None
 
-        def come() -> None:
+        def arrive() -> None:
             if node.gatekeeper is not None:
-                does(node.gatekeeper, node.now(), lambda *told: answers.append((*told, self.env.now)))
+                request(node.gatekeeper, node.now(), lambda *answer: answers.append((*answer, self.env.now)))
 
-        node.run_or_defer(come)
+        node.run_or_defer(arrive)
         return answers
 
     def put(self, number: int, text: str) -> list[Any]:
         return self.call(number, lambda gatekeeper, now, done: gatekeeper.put(now, text, done))
 
     def read(self, number: int) -> Any:
-        """What GET answers, asked again as an operator does."""
+        """The document that GET returns, retried as an operator would; None after eight failures."""
         for _ in range(8):
             answers = self.call(number, lambda gatekeeper, now, done: gatekeeper.read(now, done))
             self.run(2.5)
@@ -357,7 +355,7 @@
 
 
 def members(world: World) -> set[tuple[int, ...]]:
-    """The cores in force, by their machines' numbers; one that still changes is told with its old members."""
+    """The cores in force, by machine numbers; a core that still changes includes its old members."""
     numbers = {node.name: node.number for node in world.nodes}
     cores = [gatekeeper.subscriber.core for gatekeeper in world.gatekeepers()]
     return {tuple(sorted(numbers[name] for name in core.all_members)) for core in cores if core is not None}
