--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -377,7 +377,7 @@
     with two requests, the first of which meets the fault."""
     chance = random.Random(seed)
     made = History()
-    async with calls.running_gatekeeper(tmp_path, [], servers=3, made=made):
+    async with calls.running_gatekeeper(tmp_path, [], servers=3, system=made):
         assert await made.put(routes()) == 200
         proxy = instrument(made, patch)
         todo = list(product(cases, KINDS, (False, True)))
@@ -531,7 +531,7 @@
             writer.write(calls.answer(head, b"short", more=calls.SEAL))
 
         made = calls.RunningGatekeeper()
-        async with calls.running_gatekeeper(tmp_path, [first, second, calls.serves], made=made):
+        async with calls.running_gatekeeper(tmp_path, [first, second, calls.serves], system=made):
             assert await made.put(routes()) == 200
             proxy = made.service.proxy
             monkeypatch.setattr(proxy, "retry_budget", lambda _: UnlimitedBudget())
--- a/tests/test_gatekeeper_calls.py
+++ b/tests/test_gatekeeper_calls.py
@@ -1,5 +1,5 @@
-"""One gatekeeper on loopback between a stand-in platform, scripted servers and raw clients: what goes over
-each wire."""
+"""One gatekeeper on loopback between a simulated platform, scripted servers and raw clients: the bytes that
+clients, servers and operators see."""
 
 import asyncio
 import json
@@ -40,15 +40,15 @@
     head: bytes, body: bytes = b"page", status: str = "200 OK", more: str = "", own: bytes = b""
 ) -> bytes:
     name = own or field(head, "Millfront-Attempt-Id")
-    said = f"HTTP/1.1 {status}\r\nMillfront-Attempt-Id: ".encode() + name
-    return said + f"\r\n{more}Content-Length: {len(body)}\r\n\r\n".encode() + body
+    start = f"HTTP/1.1 {status}\r\nMillfront-Attempt-Id: ".encode() + name
+    return start + f"\r\n{more}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 SEAL = "Millfront-Server-Seal: 1\r\n"
 
 
 class RunningGatekeeper:
-    """The stand-ins, and what servers have seen."""
+    """A gatekeeper, its platform and servers, and the requests that the servers received."""
 
     def __init__(self) -> None:
         self.service: GatekeeperProcess
@@ -57,22 +57,22 @@
         self.instances: dict[str, Any] = {}
         self.plain = self.ctl = ""
         self.servers: list[asyncio.Server] = []
-        self.came = asyncio.Event()
-        self.broken = asyncio.Event()
+        self.request_started = asyncio.Event()
+        self.connection_lost = asyncio.Event()
 
     async def serve(self, number: int) -> str:
-        """A server that reads whole requests and answers by the script in force."""
+        """Start a server that reads complete requests and answers each by the script in force."""
 
         async def serving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 while True:
                     head = await reader.readuntil(b"\r\n\r\n")
-                    self.came.set()
+                    self.request_started.set()
                     body = await reader.readexactly(int(field(head, "Content-Length") or 0))
                     self.seen.append((number, head, body))
                     await self.scripts[min(len(self.seen), len(self.scripts)) - 1](head, writer, number)
             except (asyncio.IncompleteReadError, ConnectionError):
-                self.broken.set()
+                self.connection_lost.set()
             finally:
                 writer.close()
 
@@ -95,7 +95,7 @@
     async def ask(
         self, method: str, path: str, body: bytes = b"", at: str = "", more: str = ""
     ) -> tuple[int, bytes, bytes]:
-        """A call on a connection of its own: status, head, body."""
+        """Make a request on a new connection; returns status, head, body."""
         host, _, port = (at or self.plain).rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
@@ -132,50 +132,51 @@
 
 @asynccontextmanager
 async def running_gatekeeper(
-    tmp_path: Path, scripts: list[Script], servers: int = 2, made: RunningGatekeeper | None = None
+    tmp_path: Path, scripts: list[Script], servers: int = 2, system: RunningGatekeeper | None = None
 ) -> AsyncIterator[RunningGatekeeper]:
-    made = made or RunningGatekeeper()
-    made.scripts = scripts
+    system = system or RunningGatekeeper()
+    system.scripts = scripts
     for number in range(servers):
-        made.instances[f"i-{number}"] = {"target": "shop", "address": await made.serve(number), "zone": "aa",
-                                         "revision": "v1", "capacity": 3, "phase": "ready",
-                                         "warm_left": "0ms"}  # fmt: skip
-    cloud, port = await made.platform(), free_port()
-    made.plain, made.ctl = (f"127.0.0.1:{free_port()}" for _ in range(2))
-    control_apis = dict.fromkeys(("ctl", "lookup", "readiness"), made.ctl)
+        system.instances[f"i-{number}"] = {"target": "shop", "address": await system.serve(number),
+                                           "zone": "aa",
+                                           "revision": "v1", "capacity": 3, "phase": "ready",
+                                           "warm_left": "0ms"}  # fmt: skip
+    cloud, port = await system.platform(), free_port()
+    system.plain, system.ctl = (f"127.0.0.1:{free_port()}" for _ in range(2))
+    control_apis = dict.fromkeys(("ctl", "lookup", "readiness"), system.ctl)
     settings = Settings(
         name="n", ip="127.0.0.1", zone="aa", region="a", fresh=True, counts_loss=True,
         state_dir=str(tmp_path),
         serves=("edge", "control", "directory"), ram_mb=100, fd_limit=1000, port=port,
-        seeds=(made.ctl,), bindings={"plain": made.plain} | control_apis,
+        seeds=(system.ctl,), bindings={"plain": system.plain} | control_apis,
         zones={"aa": "a", "ba": "b"}, cloud=cloud, cloud_rate=9.0, cloud_lag=0.5, bounds=Bounds(),
     )  # fmt: skip
     from millfront.storage.disk import Disk
     from millfront.storage.operations_disk import OperationsDisk
 
     disk, operations = Disk(str(tmp_path)), OperationsDisk(str(tmp_path))
-    kept, _ = disk.load()
+    stored, _ = disk.load()
     rows, _ = operations.load()
-    made.service = GatekeeperProcess(settings, kept, disk, 0, operations, rows)
-    running = asyncio.get_running_loop().create_task(made.service.run())
+    system.service = GatekeeperProcess(settings, stored, disk, 0, operations, rows)
+    running = asyncio.get_running_loop().create_task(system.service.run())
     try:
         await asyncio.sleep(0)
-        made.service.gatekeeper.membership.heard_any = True  # nobody else is there to be waited for
-        await made.until(lambda: made.service.gatekeeper.subscriber.core is not None)
-        assert await made.put(document(1)) == 200
-        await made.until(lambda: made.service.gatekeeper.ready(made.service.now()))
-        yield made
+        system.service.gatekeeper.membership.heard_any = True  # there are no other members to wait for
+        await system.until(lambda: system.service.gatekeeper.subscriber.core is not None)
+        assert await system.put(document(1)) == 200
+        await system.until(lambda: system.service.gatekeeper.ready(system.service.now()))
+        yield system
     finally:
         running.cancel()
-        for server in made.servers:
+        for server in system.servers:
             server.close()
-        made.service.disk_executor.shutdown()
-        made.service.operations_executor.shutdown()
+        system.service.disk_executor.shutdown()
+        system.service.operations_executor.shutdown()
 
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A core of one needs not wait for others."""
+    """A core of one does not need to wait for others."""
     monkeypatch.setattr(reconfiguration, "BOOTSTRAP_MIN_S", 0.0)
     monkeypatch.setattr(reconfiguration, "BOOTSTRAP_SETTLE_S", 0.0)
 
@@ -200,25 +201,26 @@
 
 
 def test_the_code_answers_what_the_openapi_file_names(tmp_path: Path) -> None:
-    told = json.loads(OPENAPI.read_text())
+    openapi = json.loads(OPENAPI.read_text())
 
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            for path, calls in told["paths"].items():
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            for path, calls in openapi["paths"].items():
                 for method in ("get", "put", "post", "delete"):
                     target = path.replace("{zone}", "ba")
                     body = document(2).encode() if method == "put" else b""
-                    status, _, got = await made.ask(method.upper(), target, body, made.ctl)
+                    status, _, got = await system.ask(method.upper(), target, body, system.ctl)
                     named = calls.get(method, {"responses": {"404": {}}})["responses"]
                     assert str(status) in named, (method, path, status)
                     if status == 200 and "content" in named["200"]:
                         json.loads(got)
-            assert (await made.ask("PUT", "/v1/config", b'{"revision":"0', made.ctl))[0] == 400
-            assert (await made.ask("POST", "/v1/evacuation/nowhere", b"", made.ctl))[0] == 404
-            got = (await made.ask("GET", "/v1/resolve?region=a", b"", made.ctl))[2]
-            assert json.loads(got) == {"addresses": [made.plain], "valid": "2s"}
+            assert (await system.ask("PUT", "/v1/config", b'{"revision":"0', system.ctl))[0] == 400
+            assert (await system.ask("POST", "/v1/evacuation/nowhere", b"", system.ctl))[0] == 404
+            got = (await system.ask("GET", "/v1/resolve?region=a", b"", system.ctl))[2]
+            assert json.loads(got) == {"addresses": [system.plain], "valid": "2s"}
             assert (
-                json.loads((await made.ask("GET", "/v1/config", b"", made.ctl))[2])["revision"] == "00000002"
+                json.loads((await system.ask("GET", "/v1/config", b"", system.ctl))[2])["revision"]
+                == "00000002"
             )
 
     run_scenario(scenario)
@@ -228,46 +230,50 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def asked(ctl: str, *words: str) -> tuple[int, str]:
-        """One of the commands, in a thread beside the loop."""
+        """Run one of the commands; in a thread beside the event loop."""
         with pytest.raises(SystemExit) as ended:
             cli.group([*words[:1], "--at", ctl, *words[1:]])
         return int(ended.value.code or 0), capsys.readouterr().out
 
     async def scenario() -> None:
         file = tmp_path / "snapshot.json"
-        async with running_gatekeeper(tmp_path / "one", [serves]) as made:
-            code, told = await asyncio.to_thread(asked, made.ctl, "show", "--json")
-            assert (code, json.loads(told)["roster"][0]["version"]) == (0, "00000001")
-            assert json.loads(told)["replica"]["held"]["config"] == 1
-            code, told = await asyncio.to_thread(asked, made.ctl, "why", "--part", "register")
-            assert code == 0 and "configuration 00000001 is in force" in told and "founds a core of 1" in told
-            assert await made.put(document(8, {"t": ["key-1"]}, rate=1.0)) == 200
-            assert (await made.ask("POST", "/p/a1", b"x", more=KEY))[0] == 200
-            granter = made.service.gatekeeper.quotas.granter
-            granter.grant(made.service.now(), "t", 1000.0)  # others have let in all there was
-            assert (await made.ask("POST", "/p/a2", b"x", more=KEY))[0] == 429
-            code, told = await asyncio.to_thread(asked, made.ctl, "tenant", "t")
-            assert code == 0 and "1 with no token left anywhere" in told
-            assert (await asyncio.to_thread(asked, made.ctl, "tenant", "nobody"))[0] == 1
-            assert await made.put(document(9)) == 200
-            assert (await asyncio.to_thread(asked, made.ctl, "export", str(file)))[0] == 0
-        async with running_gatekeeper(tmp_path / "two", [serves]) as made:
-            assert (await asyncio.to_thread(asked, made.ctl, "import", str(file)))[0] == 0
-            await made.until(lambda: made.service.gatekeeper.configuration.version == 9)  # type: ignore[union-attr]
+        async with running_gatekeeper(tmp_path / "one", [serves]) as system:
+            code, output = await asyncio.to_thread(asked, system.ctl, "show", "--json")
+            assert (code, json.loads(output)["roster"][0]["version"]) == (0, "00000001")
+            assert json.loads(output)["replica"]["held"]["config"] == 1
+            code, output = await asyncio.to_thread(asked, system.ctl, "why", "--part", "register")
+            assert (
+                code == 0
+                and "configuration 00000001 is in force" in output
+                and "founds a core of 1" in output
+            )
+            assert await system.put(document(8, {"t": ["key-1"]}, rate=1.0)) == 200
+            assert (await system.ask("POST", "/p/a1", b"x", more=KEY))[0] == 200
+            granter = system.service.gatekeeper.quotas.granter
+            granter.grant(system.service.now(), "t", 1000.0)  # other processes have used all tokens
+            assert (await system.ask("POST", "/p/a2", b"x", more=KEY))[0] == 429
+            code, output = await asyncio.to_thread(asked, system.ctl, "tenant", "t")
+            assert code == 0 and "1 with no token left anywhere" in output
+            assert (await asyncio.to_thread(asked, system.ctl, "tenant", "nobody"))[0] == 1
+            assert await system.put(document(9)) == 200
+            assert (await asyncio.to_thread(asked, system.ctl, "export", str(file)))[0] == 0
+        async with running_gatekeeper(tmp_path / "two", [serves]) as system:
+            assert (await asyncio.to_thread(asked, system.ctl, "import", str(file)))[0] == 0
+            await system.until(lambda: system.service.gatekeeper.configuration.version == 9)  # type: ignore[union-attr]
             file.write_text(file.read_text().replace("0000000", "0000001", 1))
-            assert (await asyncio.to_thread(asked, made.ctl, "import", str(file)))[0] == 2
-            assert (await made.ask("PUT", "/v1/register", file.read_bytes(), made.ctl))[0] == 400
+            assert (await asyncio.to_thread(asked, system.ctl, "import", str(file)))[0] == 2
+            assert (await system.ask("PUT", "/v1/register", file.read_bytes(), system.ctl))[0] == 400
 
     run_scenario(scenario)
 
 
 def test_a_request_goes_on_with_its_tenant_and_without_its_key(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
+        async with running_gatekeeper(tmp_path, [serves]) as system:
             more = KEY + "Millfront-Tenant-Name: forged\r\nX-Own: 7\r\n"
-            status, head, body = await made.ask("POST", "/p/a1?q=2", b"order", more=more)
+            status, head, body = await system.ask("POST", "/p/a1?q=2", b"order", more=more)
             assert (status, body) == (200, b"page") and field(head, "Millfront-Server-Seal") == b"1"
-            number, head, body = made.seen[0]
+            number, head, body = system.seen[0]
             assert head.startswith(b"POST /p/a1?q=2 HTTP/1.1\r\n") and body == b"order"
             assert field(head, "Millfront-Tenant-Name") == b"t" and field(head, "X-Own") == b"7"
             assert field(head, "Millfront-Target-Instance") == b"i-%d" % number
@@ -277,56 +283,56 @@
     run_scenario(scenario)
 
 
-def test_what_no_configuration_allows_is_told_so_and_reaches_nobody(tmp_path: Path) -> None:
+def test_a_request_that_no_configuration_allows_is_refused_and_reaches_no_server(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            assert (await made.ask("GET", "/other/a1", more=KEY))[0] == 404
-            assert (await made.ask("GET", "/p/a1"))[0] == 401
-            assert (await made.ask("GET", "/p/a1", more=KEY.replace("key-1", "key-2")))[0] == 401
-            assert made.seen == []
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            assert (await system.ask("GET", "/other/a1", more=KEY))[0] == 404
+            assert (await system.ask("GET", "/p/a1"))[0] == 401
+            assert (await system.ask("GET", "/p/a1", more=KEY.replace("key-1", "key-2")))[0] == 401
+            assert system.seen == []
 
     run_scenario(scenario)
 
 
-def test_a_process_out_of_touch_refuses_no_route_and_no_key_for_good(tmp_path: Path) -> None:
+def test_a_process_with_unconfirmed_state_answers_503_instead_of_refusing(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            told = json.loads(document(2, {"t": ["key-1"]}))
-            told["resources"].append(json.loads(json.dumps(told["resources"][0])))
-            told["resources"][-1]["meta"]["name"] = "open"
-            told["resources"][-1]["spec"] |= {"path_prefix": "/open/", "public": True}
-            assert await made.put(json.dumps(told)) == 200
-            made.service.gatekeeper.subscriber.replicas.clear()  # nobody confirms that this is the newest
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            fields = json.loads(document(2, {"t": ["key-1"]}))
+            fields["resources"].append(json.loads(json.dumps(fields["resources"][0])))
+            fields["resources"][-1]["meta"]["name"] = "open"
+            fields["resources"][-1]["spec"] |= {"path_prefix": "/open/", "public": True}
+            assert await system.put(json.dumps(fields)) == 200
+            system.service.gatekeeper.subscriber.replicas.clear()  # nobody confirms that this is the newest
             unknown = KEY.replace("key-1", "key-2")
             for path, key in (("/other/a1", KEY), ("/p/a1", unknown), ("/p/a1", ""), ("/p/a1", KEY)):
-                status, head, _ = await made.ask("GET", path, more=key)
+                status, head, _ = await system.ask("GET", path, more=key)
                 assert status == 503 and float(field(head, "Retry-After")) > 0, (path, key)
-            status, head, _ = await made.ask("GET", "/v1/readiness", b"", made.ctl)
+            status, head, _ = await system.ask("GET", "/v1/readiness", b"", system.ctl)
             assert status == 503 and field(head, "Retry-After")
-            assert made.seen == []
-            assert (await made.ask("GET", "/open/a2"))[0] == 200  # public ones go on
+            assert system.seen == []
+            assert (await system.ask("GET", "/open/a2"))[0] == 200  # public routes are still served
 
     run_scenario(scenario)
 
 
 def test_an_evacuation_whose_operator_has_hung_up_is_not_begun(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            service, held = made.service, list[Any]()
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            service, held = system.service, list[Any]()
             sync = service.persist
             service.persist = held.append  # type: ignore[method-assign, assignment]
-            host, _, port = made.ctl.rpartition(":")
+            host, _, port = system.ctl.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"POST /v1/evacuation/ba HTTP/1.1\r\nHost: a\r\n\r\n")
-            await made.until(lambda: bool(held))
+            await system.until(lambda: bool(held))
             writer.close()
-            await made.until(lambda: not any(api.server.unanswered_count() for api in service.control_apis))
+            await system.until(lambda: not any(api.server.unanswered_count() for api in service.control_apis))
             service.persist = sync  # type: ignore[method-assign]
             for persist in held:
                 service.persist(persist)
-            await made.until(lambda: not service.gatekeeper.open_rounds)
+            await system.until(lambda: not service.gatekeeper.open_rounds)
             assert not service.gatekeeper.evacuated
-            assert (await made.ask("POST", "/v1/evacuation/ba", b"", made.ctl))[0] == 200
+            assert (await system.ask("POST", "/v1/evacuation/ba", b"", system.ctl))[0] == 200
             assert sorted(service.gatekeeper.evacuated) == ["ba"]
 
     run_scenario(scenario)
@@ -334,11 +340,11 @@
 
 def test_a_key_removed_between_two_requests_of_one_connection_is_refused(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            host, _, port = made.plain.rpartition(":")
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            host, _, port = system.plain.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             assert (await exchange(reader, writer, "POST", "/p/a1", b"x", KEY))[0] == 200
-            assert await made.put(document(2, {"t": ["key-2"]})) == 200
+            assert await system.put(document(2, {"t": ["key-2"]})) == 200
             assert (await exchange(reader, writer, "POST", "/p/a2", b"x", KEY))[0] == 401
             writer.close()
 
@@ -352,11 +358,11 @@
         sends(status="503 Service Unavailable", more="Millfront-Not-Executed: 1\r\n"),
     ],
 )
-def test_one_that_was_turned_away_goes_to_another_server(tmp_path: Path, turned: Script) -> None:
+def test_a_request_that_a_server_did_not_start_goes_to_another(tmp_path: Path, turned: Script) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [turned, serves]) as made:
-            assert (await made.ask("POST", "/p/a1", b"order", more=KEY))[0] == 200
-            assert len({number for number, _, _ in made.seen}) == 2
+        async with running_gatekeeper(tmp_path, [turned, serves]) as system:
+            assert (await system.ask("POST", "/p/a1", b"order", more=KEY))[0] == 200
+            assert len({number for number, _, _ in system.seen}) == 2
 
     run_scenario(scenario)
 
@@ -365,18 +371,18 @@
     "script",
     [
         disconnects,
-        sends(),  # a success without a seal
+        sends(),  # a success without the server's seal
         sends(more=SEAL, own=b"another"),
         sends(more=SEAL + "Content-Encoding: gzip\r\n"),
     ],
 )
-def test_an_order_that_may_have_run_goes_nowhere_else_and_is_promised_nothing(
+def test_a_request_that_may_have_run_is_not_retried_and_promises_nothing(
     tmp_path: Path, script: Script
 ) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [script, serves]) as made:
-            assert (await made.ask("POST", "/p/a1", b"order", more=KEY))[0] == 502
-            assert len(made.seen) == 1
+        async with running_gatekeeper(tmp_path, [script, serves]) as system:
+            assert (await system.ask("POST", "/p/a1", b"order", more=KEY))[0] == 502
+            assert len(system.seen) == 1
 
     run_scenario(scenario)
 
@@ -394,12 +400,11 @@
 
     async def scenario() -> None:
         places = range(1, len(whole), 7)
-        async with running_gatekeeper(tmp_path, [cut_at(at) for at in places], servers=1) as made:
+        async with running_gatekeeper(tmp_path, [cut_at(at) for at in places], servers=1) as system:
             for _ in places:
-                made.service.proxy.load_balancer.server_states[
-                    "i-0"
-                ].failures = 0  # not what is looked at here
-                assert (await made.ask("POST", "/p/b7", b"order", more=KEY))[0] == 502
+                # Ejection of the server is not tested here
+                system.service.proxy.load_balancer.server_states["i-0"].failures = 0
+                assert (await system.ask("POST", "/p/b7", b"order", more=KEY))[0] == 502
 
     run_scenario(scenario)
 
@@ -409,24 +414,28 @@
         writer.write(answer(head, b"mine", more=SEAL) + answer(head, b"nobody's", more=SEAL))
 
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [twice, serves], servers=1) as made:
-            assert (await made.ask("POST", "/p/a1", b"x", more=KEY))[2] == b"mine"
-            assert (await made.ask("POST", "/p/a2", b"x", more=KEY))[2] == b"page"
+        async with running_gatekeeper(tmp_path, [twice, serves], servers=1) as system:
+            assert (await system.ask("POST", "/p/a1", b"x", more=KEY))[2] == b"mine"
+            assert (await system.ask("POST", "/p/a2", b"x", more=KEY))[2] == b"page"
 
     run_scenario(scenario)
 
 
 def test_an_address_that_another_service_took_over_gets_nothing_on_the_old_connection(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            one = made.instances.pop("i-1")
-            await made.until(lambda: made.service.gatekeeper.server_list.servers["i-1"].phase.name == "GONE")
-            assert (await made.ask("POST", "/p/a1", b"x", more=KEY))[0] == 200
-            assert made.service.proxy.members.get("i-0").idle  # type: ignore[union-attr]
-            made.instances |= {"i-9": made.instances.pop("i-0") | {"target": "lab"}, "i-2": one}
-            await made.until(lambda: "i-9" in made.service.gatekeeper.server_list.servers)
-            assert (await made.ask("POST", "/p/a2", b"x", more=KEY))[0] == 200
-            assert [(number, field(head, "Millfront-Target-Instance")) for number, head, _ in made.seen] == [
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            one = system.instances.pop("i-1")
+            await system.until(
+                lambda: system.service.gatekeeper.server_list.servers["i-1"].phase.name == "GONE"
+            )
+            assert (await system.ask("POST", "/p/a1", b"x", more=KEY))[0] == 200
+            assert system.service.proxy.members.get("i-0").idle  # type: ignore[union-attr]
+            system.instances |= {"i-9": system.instances.pop("i-0") | {"target": "lab"}, "i-2": one}
+            await system.until(lambda: "i-9" in system.service.gatekeeper.server_list.servers)
+            assert (await system.ask("POST", "/p/a2", b"x", more=KEY))[0] == 200
+            assert [
+                (number, field(head, "Millfront-Target-Instance")) for number, head, _ in system.seen
+            ] == [
                 (0, b"i-0"),
                 (1, b"i-2"),
             ]
@@ -436,31 +445,33 @@
 
 def test_the_configuration_s_limit_of_a_body_is_held_to(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            told = json.loads(document(2, {"t": ["key-1"]}))
-            told["resources"].append({"variant": "limits", "meta": {}, "spec": {"max_body_bytes": 100_000}})
-            assert await made.put(json.dumps(told)) == 200
-            assert (await made.ask("POST", "/p/a1", b"x" * 100_000, more=KEY))[0] == 200
-            assert (await made.ask("POST", "/p/a2", b"x" * 100_001, more=KEY))[0] == 413
-            assert len(made.seen) == 1
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            fields = json.loads(document(2, {"t": ["key-1"]}))
+            fields["resources"].append({"variant": "limits", "meta": {}, "spec": {"max_body_bytes": 100_000}})
+            assert await system.put(json.dumps(fields)) == 200
+            assert (await system.ask("POST", "/p/a1", b"x" * 100_000, more=KEY))[0] == 200
+            assert (await system.ask("POST", "/p/a2", b"x" * 100_001, more=KEY))[0] == 413
+            assert len(system.seen) == 1
 
     run_scenario(scenario)
 
 
 def test_a_client_is_told_how_long_its_connection_may_lie_idle(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            assert field((await made.ask("POST", "/p/a1", b"x", more=KEY))[1], "Keep-Alive") == b"timeout=14"
-            made.service.proxy.server.set_closing(True)
-            _, head, _ = await made.ask("POST", "/p/a2", b"x", more=KEY)
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            assert (
+                field((await system.ask("POST", "/p/a1", b"x", more=KEY))[1], "Keep-Alive") == b"timeout=14"
+            )
+            system.service.proxy.server.set_closing(True)
+            _, head, _ = await system.ask("POST", "/p/a2", b"x", more=KEY)
             assert field(head, "Connection") == b"close" and not field(head, "Keep-Alive")
 
     run_scenario(scenario)
 
 
-async def kept(made: RunningGatekeeper) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection that has had an answer and rests."""
-    host, _, port = made.plain.rpartition(":")
+async def idle_connection(system: RunningGatekeeper) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """A client connection that is idle after an answer."""
+    host, _, port = system.plain.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     assert (await exchange(reader, writer, "POST", "/p/a1", b"x", KEY))[0] == 200
     return reader, writer
@@ -472,11 +483,11 @@
 
 def test_a_lower_idle_timeout_binds_a_connection_from_its_next_answer_on(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            server = made.service.proxy.server
-            reader, writer = await kept(made)  # told 14 s
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            server = system.service.proxy.server
+            reader, writer = await idle_connection(system)  # its answer says 14 s
             (connection,) = server._connections
-            assert await made.put(with_idle_timeout(2, "4s")) == 200
+            assert await system.put(with_idle_timeout(2, "4s")) == 200
             since = connection.idle_since_us
             connection.check_timeouts(since + 12_000_000, server.request_read_timeout_us)
             assert connection in server._connections
@@ -494,13 +505,13 @@
 
 def test_a_connection_on_which_a_request_has_come_is_not_closed_for_idleness(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            server = made.service.proxy.server
-            reader, writer = await kept(made)
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            server = system.service.proxy.server
+            reader, writer = await idle_connection(system)
             (connection,) = server._connections
             fields = f"Host: a.example\r\nMillfront-Attempt-Id: a29c\r\n{KEY}"
             writer.write(f"GET /p/a2 HTTP/1.1\r\n{fields}\r\n".encode())
-            # before it is read
+            # before the request is read
             connection.check_timeouts(connection.idle_since_us + 60_000_000, server.request_read_timeout_us)
             async with asyncio.timeout(5):
                 assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
@@ -512,21 +523,21 @@
 def test_at_its_end_a_node_waits_for_a_client_that_takes_its_answer_slowly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The answer says `Connection: close`, and the member is done with it long before the client."""
+    """The answer says `Connection: close`, and the server has sent it long before the client has read it."""
     monkeypatch.setattr(process, "DRAIN_SHARE", 0.01)
     size = 9_000_000
 
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [sends(body=b"y" * size, more=SEAL)], servers=1) as made:
-            host, _, port = made.plain.rpartition(":")
+        async with running_gatekeeper(tmp_path, [sends(body=b"y" * size, more=SEAL)], servers=1) as system:
+            host, _, port = system.plain.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port), limit=4096)
             fields = f"Host: a.example\r\nMillfront-Attempt-Id: a19c\r\n{KEY}"
-            server, proxy = made.service.proxy.server, made.service.proxy
-            server.buffer_budget.limit = 4 * size  # the member is done while the client still reads
-            made.service.ending.set()
-            await made.until(lambda: server.closing)
+            server, proxy = system.service.proxy.server, system.service.proxy
+            server.buffer_budget.limit = 4 * size  # the server finishes while the client still reads
+            system.service.ending.set()
+            await system.until(lambda: server.closing)
             writer.write(f"GET /p/a1 HTTP/1.1\r\n{fields}\r\n".encode())
-            await made.until(lambda: len(made.seen) == 1 and proxy.open_requests == 0)
+            await system.until(lambda: len(system.seen) == 1 and proxy.open_requests == 0)
             connection = next(iter(server._connections))
             assert server.unsent_count() == 1
             connection.check_timeouts(server.clock.now() + 2_000_000, server.request_read_timeout_us)
@@ -540,11 +551,11 @@
 
 
 def test_a_request_held_for_a_server_goes_to_no_zone_that_is_evacuated_meanwhile(tmp_path: Path) -> None:
-    """The server is chosen, and its connection comes up after the evacuation is in force."""
+    """The server is chosen before, and connected after the evacuation is in force."""
 
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves], servers=1) as made:
-            proxy = made.service.proxy
+        async with running_gatekeeper(tmp_path, [serves], servers=1) as system:
+            proxy = system.service.proxy
             obtain = proxy.members.obtain
             dialled: list[Callable[[], object]] = []
 
@@ -553,29 +564,29 @@
                 return lambda: None
 
             proxy.members.obtain = later  # type: ignore[method-assign]
-            asked = asyncio.get_running_loop().create_task(made.ask("POST", "/p/a1", b"order", more=KEY))
-            await made.until(lambda: bool(dialled))
+            asked = asyncio.get_running_loop().create_task(system.ask("POST", "/p/a1", b"order", more=KEY))
+            await system.until(lambda: bool(dialled))
             proxy.members.obtain = obtain  # type: ignore[method-assign]
-            assert (await made.ask("POST", "/v1/evacuation/aa", at=made.ctl))[0] == 200
+            assert (await system.ask("POST", "/v1/evacuation/aa", at=system.ctl))[0] == 200
             dialled[0]()
             assert (await asked)[0] == 503
-            assert made.seen == []
+            assert system.seen == []
 
     run_scenario(scenario)
 
 
 def test_a_server_s_own_error_comes_back_unchanged(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [sends(status="500 Oh", body=b"why")]) as made:
-            status, _, body = await made.ask("POST", "/p/a1", b"order", more=KEY)
-            assert (status, body, len(made.seen)) == (500, b"why", 1)
+        async with running_gatekeeper(tmp_path, [sends(status="500 Oh", body=b"why")]) as system:
+            status, _, body = await system.ask("POST", "/p/a1", b"order", more=KEY)
+            assert (status, body, len(system.seen)) == (500, b"why", 1)
 
     run_scenario(scenario)
 
 
-async def begun_upload(made: RunningGatekeeper) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """200 kB of 360 are on their way."""
-    host, _, port = made.plain.rpartition(":")
+async def start_upload(system: RunningGatekeeper) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Start an upload of 360 kB and send 200 kB of it."""
+    host, _, port = system.plain.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     fields = f"Host: a.example\r\nMillfront-Attempt-Id: ab\r\nContent-Length: 360000\r\n{KEY}"
     writer.write(f"POST /p/a1 HTTP/1.1\r\n{fields}\r\n".encode() + b"x" * 200_000)
@@ -584,29 +595,29 @@
 
 def test_an_upload_whose_client_leaves_does_not_reach_a_server_whole(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves], servers=1) as made:
-            _, writer = await begun_upload(made)
+        async with running_gatekeeper(tmp_path, [serves], servers=1) as system:
+            _, writer = await start_upload(system)
             async with asyncio.timeout(5):
-                await made.came.wait()
+                await system.request_started.wait()
                 writer.close()
-                await made.broken.wait()
-            assert made.seen == []
+                await system.connection_lost.wait()
+            assert system.seen == []
 
     run_scenario(scenario)
 
 
 def test_at_its_end_a_gatekeeper_finishes_the_upload_under_way(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves], servers=1) as made:
-            reader, writer = await begun_upload(made)
+        async with running_gatekeeper(tmp_path, [serves], servers=1) as system:
+            reader, writer = await start_upload(system)
             async with asyncio.timeout(8):
-                await made.came.wait()
-                made.service.ending.set()
-                await made.until(lambda: made.service.gatekeeper.membership.own_record.leaving)
-                assert (await made.ask("GET", "/v1/readiness", at=made.ctl))[0] == 503
+                await system.request_started.wait()
+                system.service.ending.set()
+                await system.until(lambda: system.service.gatekeeper.membership.own_record.leaving)
+                assert (await system.ask("GET", "/v1/readiness", at=system.ctl))[0] == 503
                 writer.write(b"x" * 160_000)
                 head = await reader.readuntil(b"\r\n\r\n")
-            assert b" 200 " in head and len(made.seen[0][2]) == 360_000
+            assert b" 200 " in head and len(system.seen[0][2]) == 360_000
             writer.close()
 
     run_scenario(scenario)
@@ -636,55 +647,55 @@
 """
 
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path / "disk", [serves], servers=1) as made:
-            before = list(made.service.gatekeeper.membership.seeds)
+        async with running_gatekeeper(tmp_path / "disk", [serves], servers=1) as system:
+            before = list(system.service.gatekeeper.membership.seeds)
             file.write_text(whole[: len(whole) // 2])
-            made.service.reload()
-            assert made.service.gatekeeper.membership.seeds == before
-            made.service.check_settings_file()
+            system.service.reload()
+            assert system.service.gatekeeper.membership.seeds == before
+            system.service.check_settings_file()
             file.write_text(whole)
-            made.service.check_settings_file()  # as the beat does, without a signal
-            assert made.service.gatekeeper.membership.seeds[0].startswith("10.9.9.9:")
+            system.service.check_settings_file()  # as each tick does, without a signal
+            assert system.service.gatekeeper.membership.seeds[0].startswith("10.9.9.9:")
 
     run_scenario(scenario)
 
 
 def test_a_key_removed_between_a_request_s_arrival_and_its_sending_is_refused(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            proxy = made.service.proxy
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            proxy = system.service.proxy
             for seen in proxy.load_balancer.server_states.values():
-                seen.paused_until = proxy.now() + 0.12  # no server takes it for a moment: it is held
-            asked = asyncio.get_running_loop().create_task(made.ask("POST", "/p/a1", b"order", more=KEY))
-            await made.until(lambda: proxy.open_requests == 1)
-            assert await made.put(document(2, {"t": ["key-2"]})) == 200
+                seen.paused_until = proxy.now() + 0.12  # no server accepts requests: the request is held
+            asked = asyncio.get_running_loop().create_task(system.ask("POST", "/p/a1", b"order", more=KEY))
+            await system.until(lambda: proxy.open_requests == 1)
+            assert await system.put(document(2, {"t": ["key-2"]})) == 200
             assert (await asked)[0] == 401
-            assert made.seen == []
+            assert system.seen == []
 
     run_scenario(scenario)
 
 
 def test_nothing_is_sent_by_a_list_of_servers_that_is_too_old(tmp_path: Path) -> None:
-    """A server may have been draining for too long: it is refused, also where it was chosen before."""
+    """The server may have been draining for too long; a request is refused even if it was chosen before."""
 
     async def scenario() -> None:
-        async with running_gatekeeper(tmp_path, [serves]) as made:
-            gatekeeper, proxy = made.service.gatekeeper, made.service.proxy
+        async with running_gatekeeper(tmp_path, [serves]) as system:
+            gatekeeper, proxy = system.service.gatekeeper, system.service.proxy
             for seen in proxy.load_balancer.server_states.values():
-                seen.paused_until = proxy.now() + 0.12  # no server takes it for a moment: it is held
-            asked = asyncio.get_running_loop().create_task(made.ask("POST", "/p/a1", b"order", more=KEY))
-            await made.until(lambda: proxy.open_requests == 1)
+                seen.paused_until = proxy.now() + 0.12  # no server accepts requests: the request is held
+            asked = asyncio.get_running_loop().create_task(system.ask("POST", "/p/a1", b"order", more=KEY))
+            await system.until(lambda: proxy.open_requests == 1)
             gatekeeper.server_list.usable = lambda now: False  # type: ignore[method-assign]
             assert (await asked)[0] == 503
-            assert (await made.ask("POST", "/p/a1", b"order", more=KEY))[0] == 503
-            assert made.seen == [] and not gatekeeper.ready(proxy.now())
+            assert (await system.ask("POST", "/p/a1", b"order", more=KEY))[0] == 503
+            assert system.seen == [] and not gatekeeper.ready(proxy.now())
 
     run_scenario(scenario)
 
 
 @pytest.mark.parametrize("ends", ["kept", "said", "unsaid"])
 def test_pages_go_over_one_connection_that_may_end_after_any(ends: str) -> None:
-    """A platform that keeps it open, says that it closes it, or closes it without a word."""
+    """The platform keeps the connection open, announces that it closes it, or closes it unannounced."""
     connections = 0
 
     async def paging(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -741,5 +752,5 @@
     )
     server_list.begin_poll(2.0)
     server_list.poll_failed(2.0)
-    assert server_list.servers["i-1"].phase.name == "READY"  # what was known stays
-    assert not server_list.due(2.1, lambda: 0) and server_list.due(2.6, lambda: 0)  # and the platform rests
+    assert server_list.servers["i-1"].phase.name == "READY"  # the list known before stays
+    assert not server_list.due(2.1, lambda: 0) and server_list.due(2.6, lambda: 0)  # the next poll waits
