--- a/tests/test_system_parts.py
+++ b/tests/test_system_parts.py
@@ -1,4 +1,4 @@
-"""The system's pure parts by themselves: what is refused, what moves on, where the next request goes."""
+"""Unit tests of the system's parts: configuration, settings, messages, disk, retries and load balancing."""
 
 import json
 from pathlib import Path
@@ -23,15 +23,15 @@
 
 
 def changed(where: str, **spec: Any) -> str:
-    told = json.loads(document(7, {"t": ["k"], "u": ["l"]}))
-    for resource in told["resources"]:
+    fields = json.loads(document(7, {"t": ["k"], "u": ["l"]}))
+    for resource in fields["resources"]:
         if resource["variant"] == where:
             resource["spec"] |= spec
-    return json.dumps(told)
+    return json.dumps(fields)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "error"),
     [
         (document(7)[:300], "not JSON"),
         (changed("routes", target="nobody"), "route r: unknown service nobody"),
@@ -47,15 +47,15 @@
         (json.dumps({"revision": "7", "resources": []}), "revision"),
     ],
 )
-def test_an_invalid_configuration_is_refused_and_its_fault_named(text: str, said: str) -> None:
+def test_an_invalid_configuration_is_refused_and_its_fault_named(text: str, error: str) -> None:
     match configuration.checked(text):
         case Err(fault):
-            assert said in str(fault)
+            assert error in str(fault)
         case Ok(_):
-            raise AssertionError("taken")
+            raise AssertionError("the invalid configuration was accepted")
 
 
-def test_what_is_odd_but_valid_is_taken() -> None:
+def test_an_unusual_but_valid_configuration_is_accepted() -> None:
     for text in (
         changed("routes", target_time="63999ms"),
         changed("routes", home_regions=None, also="unknown"),
@@ -66,23 +66,23 @@
 
 
 def test_of_the_routes_that_begin_a_path_the_longest_is_chosen() -> None:
-    told = json.loads(document(7))
-    longer = json.loads(json.dumps(told["resources"][0]))
+    fields = json.loads(document(7))
+    longer = json.loads(json.dumps(fields["resources"][0]))
     longer["meta"]["name"], longer["spec"]["path_prefix"] = "longer", "/p/q/"
-    told["resources"].append(longer)
-    made = configuration.checked(json.dumps(told)).unwrap()
+    fields["resources"].append(longer)
+    compiled = configuration.checked(json.dumps(fields)).unwrap()
     for path, name in (("/p/x", "r"), ("/p/q/x", "longer"), ("/p/q", "r"), ("/p", None), ("/x", None)):
-        found = made.route_of("a.example", path)
+        found = compiled.route_of("a.example", path)
         assert (found.name if found else None) == name
 
 
 def test_a_prefix_that_ends_within_a_name_counts_by_its_length_among_the_others() -> None:
-    told = json.loads(document(7))
+    fields = json.loads(document(7))
     for name, prefix in (("odd", "/p/q"), ("even", "/p/q/r/"), ("root", "/")):
-        entry = json.loads(json.dumps(told["resources"][0]))
+        entry = json.loads(json.dumps(fields["resources"][0]))
         entry["meta"]["name"], entry["spec"]["path_prefix"] = name, prefix
-        told["resources"].append(entry)
-    made = configuration.checked(json.dumps(told)).unwrap()
+        fields["resources"].append(entry)
+    compiled = configuration.checked(json.dumps(fields)).unwrap()
     for path, name in (
         ("/p/qx/", "odd"),
         ("/p/q/r/s", "even"),
@@ -90,7 +90,7 @@
         ("/p/x", "r"),
         ("/x", "root"),
     ):
-        found = made.route_of("a.example", path)
+        found = compiled.route_of("a.example", path)
         assert found is not None and found.name == name
 
 
@@ -106,25 +106,25 @@
 
 def test_the_log_s_level_and_form_are_settings_and_checked() -> None:
     assert not environment.read(settings_document()).unwrap().log_json
-    told = environment.read(settings_document() | {"log": {"level": "ERROR", "format": "json"}}).unwrap()
-    assert (told.log_level, told.log_json) == ("ERROR", True)
+    settings = environment.read(settings_document() | {"log": {"level": "ERROR", "format": "json"}}).unwrap()
+    assert (settings.log_level, settings.log_json) == ("ERROR", True)
     assert "log.level" in str(environment.read(settings_document() | {"log": {"level": "loud"}}).unwrap_err())
 
 
 def test_settings_are_read_with_unknown_fields_ignored_and_a_bad_one_named() -> None:
-    told = environment.read(settings_document()).unwrap()
-    assert told.bounds.contact == 4.0 and told.post_address == "10.0.0.1:7000"
+    settings = environment.read(settings_document()).unwrap()
+    assert settings.bounds.contact == 4.0 and settings.post_address == "10.0.0.1:7000"
     for bad, name in (({"fresh": "yes"}, "fresh"), ({"zone": ""}, "zone"), ({"limits": 3}, "limits")):
         assert name in str(environment.read(settings_document(**bad)).unwrap_err())
 
 
 @pytest.mark.parametrize("cut", [b"{", b"[]", b'{"t":1}', b'{"z":"AAAA"}', b"\xff", b"{}"])
-def test_a_line_that_can_not_be_read_is_a_fault_of_its_own(cut: bytes) -> None:
+def test_a_malformed_line_raises_a_decode_error(cut: bytes) -> None:
     with pytest.raises(connections.DecodeError):
         connections.decode_message(cut)
 
 
-def test_a_long_message_is_packed_and_comes_back_whole() -> None:
+def test_a_long_message_is_compressed_and_decoded_unchanged() -> None:
     message = {"t": "store", "v": {"config": [1, "x", "y" * 9000]}}
     data = connections.encode_message(message)
     assert len(data) < 400 and connections.decode_message(data) == message
@@ -153,11 +153,11 @@
         Disk(str(tmp_path / "file")).load()
 
 
-# ---- fates and the retry budget ---------------------------------------------------------------------------
+# ---- outcomes and the retry budget ------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("ending", "repeatable", "outcome", "goes_on", "promises"),
+    ("ending", "repeatable", "outcome", "retried", "known_not_run"),
     [
         (Ending.NOT_STARTED, False, Outcome.NOT_RUN, True, True),
         (Ending.CONNECT_FAILED, False, Outcome.NOT_RUN, True, True),
@@ -169,16 +169,20 @@
         (Ending.SERVED, False, Outcome.DONE, True, True),
     ],
 )
-def test_only_what_is_known_not_to_have_run_moves_on_unless_it_may_be_repeated(
-    ending: Ending, repeatable: bool, outcome: Outcome, goes_on: bool, promises: bool
+def test_only_a_request_known_not_to_have_run_is_retried_unless_it_is_repeatable(
+    ending: Ending, repeatable: bool, outcome: Outcome, retried: bool, known_not_run: bool
 ) -> None:
     progress = RequestProgress(repeatable, 2)
     progress.attempt_started("i-1")
     progress.attempt_ended(ending)
-    assert (progress.outcome, progress.may_retry(), progress.known_not_run()) == (outcome, goes_on, promises)
+    assert (progress.outcome, progress.may_retry(), progress.known_not_run()) == (
+        outcome,
+        retried,
+        known_not_run,
+    )
 
 
-def test_a_second_copy_under_way_takes_the_promise_away() -> None:
+def test_a_request_with_a_hedge_in_flight_is_not_known_not_to_have_run() -> None:
     progress = RequestProgress(True, 3)
     progress.attempt_started("i-1")
     progress.attempt_started("i-2")
@@ -189,12 +193,12 @@
 
 
 @pytest.mark.parametrize("n", [1, 11, 82])
-def test_all_purses_together_stay_within_the_budget_of_a_window(n: int) -> None:
+def test_all_retry_budgets_together_stay_within_the_budget_of_a_window(n: int) -> None:
     bounds = Bounds(retry_ratio=0.2, retry_window=10.0, retry_extra=62.0)
     retry_budgets = [RetryBudget(bounds, 0.0) for _ in range(n)]
     spent: list[float] = []
     requests: list[float] = []
-    for step in range(4000):  # 40 s; all want to try again always, and 40 requests a second come
+    for step in range(4000):  # 40 s; all retry whenever they may, and 40 requests per second arrive
         now = step / 100
         retry_budget = retry_budgets[step * 7 % n]
         if step % 5 < 2:
@@ -207,106 +211,111 @@
         most = bounds.retry_ratio * len(came) + bounds.retry_extra
         assert len(window) <= most + max(
             0, n - 62
-        )  # more gatekeepers than tries: each may hold one at the start
+        )  # more gatekeepers than retries: each may hold one at the start
     assert len([t for t in spent if t >= 20]) > 0.5 * bounds.retry_ratio * len(
         [t for t in requests if t >= 20]
     )
 
 
-# ---- choice of a server ----------------------------------------------------------------------------
+# ---- load balancing --------------------------------------------------------------------------------
 
 SHOP = Service("shop", "/health", 100, 3.0, 2.0)
 ANY: frozenset[str] = frozenset()
 
 
 def load_balancer(count: int = 6, cold: float = 0.0) -> LoadBalancer:
-    made = LoadBalancer("aa", ZONES, 1)
-    made.update_servers(
+    balancer = LoadBalancer("aa", ZONES, 1)
+    balancer.update_servers(
         Server(f"i-{k}", "shop", f"10.0.2.{k}:80", list(ZONES)[k % 4], 3, Phase.READY, cold, 0.0)
         for k in range(count)
     )
-    return made
+    return balancer
 
 
-def picks(made: LoadBalancer, now: float, count: int, **how: Any) -> list[str]:
+def picks(balancer: LoadBalancer, now: float, count: int, **how: Any) -> list[str]:
     found = [
-        made.pick(now, SHOP, how.get("repeatable", True), how.get("homes", ANY), 500.0) for _ in range(count)
+        balancer.pick(now, SHOP, how.get("repeatable", True), how.get("homes", ANY), 500.0)
+        for _ in range(count)
     ]
     return [seen.server.ident for seen in found if seen is not None]
 
 
-def test_homes_evacuations_and_phases_bind_the_choice() -> None:
-    made = load_balancer(8)
-    assert {made.server_states[i].server.zone for i in picks(made, 1.0, 50, homes=frozenset({"b"}))} <= {
+def test_home_regions_evacuations_and_phases_restrict_the_choice() -> None:
+    balancer = load_balancer(8)
+    assert {
+        balancer.server_states[i].server.zone for i in picks(balancer, 1.0, 50, homes=frozenset({"b"}))
+    } <= {
         "ba",
         "bb",
     }
-    made.evacuated = frozenset({"aa"})
-    assert all(made.server_states[i].server.zone != "aa" for i in picks(made, 1.0, 50))
-    for seen in made.server_states.values():
+    balancer.evacuated = frozenset({"aa"})
+    assert all(balancer.server_states[i].server.zone != "aa" for i in picks(balancer, 1.0, 50))
+    for seen in balancer.server_states.values():
         seen.server.advance(Phase.DRAINING, 1.0)
-    made.update_servers([seen.server for seen in made.server_states.values()])
-    assert picks(made, 1.0, 5) == []
+    balancer.update_servers([seen.server for seen in balancer.server_states.values()])
+    assert picks(balancer, 1.0, 5) == []
 
 
-def test_a_server_that_does_not_come_up_is_ejected_and_comes_back_on_trial() -> None:
-    made = load_balancer(2)
-    first = made.server_states["i-0"]
-    made.record_failure(1.0, first, 3)
-    assert first.state.name == "EJECTED" and "i-0" not in picks(made, 1.5, 20)
-    assert "i-0" not in picks(made, 2.5, 20, repeatable=False)
+def test_a_server_that_fails_to_connect_is_ejected_and_returns_on_trial() -> None:
+    balancer = load_balancer(2)
+    first = balancer.server_states["i-0"]
+    balancer.record_failure(1.0, first, 3)
+    assert first.state.name == "EJECTED" and "i-0" not in picks(balancer, 1.5, 20)
+    assert "i-0" not in picks(balancer, 2.5, 20, repeatable=False)
     assert first.state.name == "TRIAL"
-    made.record_sent(2.5, first, 1)
-    assert "i-0" not in picks(made, 2.5, 20)  # one at a time
-    made.record_ended(2.8, first, 1)
-    made.record_answer(2.8, first, 0.3, False)
+    balancer.record_sent(2.5, first, 1)
+    assert "i-0" not in picks(balancer, 2.5, 20)  # one trial request at a time
+    balancer.record_ended(2.8, first, 1)
+    balancer.record_answer(2.8, first, 0.3, False)
     assert first.state.name == "HEALTHY"
 
 
 def test_never_more_than_a_share_of_a_service_is_ejected() -> None:
-    made = load_balancer(8)
-    for seen in made.server_states.values():
-        made.record_failure(1.0, seen, 3)
-    ejected = [seen for seen in made.server_states.values() if seen.state is State.EJECTED]
-    assert len(ejected) == MAX_EJECTED_SHARE * 8 and picks(made, 1.1, 5)
+    balancer = load_balancer(8)
+    for seen in balancer.server_states.values():
+        balancer.record_failure(1.0, seen, 3)
+    ejected = [seen for seen in balancer.server_states.values() if seen.state is State.EJECTED]
+    assert len(ejected) == MAX_EJECTED_SHARE * 8 and picks(balancer, 1.1, 5)
 
 
-def test_a_silent_server_gets_nothing_more_until_it_answers() -> None:
-    made = load_balancer(2)
-    dark = made.server_states["i-0"]
-    made.record_sent(1.0, dark, 1)
-    assert "i-0" not in picks(made, 4.0, 20)
-    made.record_ended(4.1, dark, 1)
-    made.record_answer(4.1, dark, 3.1, False)
-    assert made._may_send(4.2, dark, SHOP, False)
+def test_a_silent_server_gets_no_more_requests_until_it_answers() -> None:
+    balancer = load_balancer(2)
+    silent = balancer.server_states["i-0"]
+    balancer.record_sent(1.0, silent, 1)
+    assert "i-0" not in picks(balancer, 4.0, 20)
+    balancer.record_ended(4.1, silent, 1)
+    balancer.record_answer(4.1, silent, 3.1, False)
+    assert balancer._may_send(4.2, silent, SHOP, False)
 
 
-def test_the_loaded_one_is_passed_over_and_a_long_body_stays_in_its_zone() -> None:
-    made = load_balancer(8)
+def test_a_loaded_server_is_avoided_and_a_long_body_stays_in_its_zone() -> None:
+    balancer = load_balancer(8)
     for ident, load in (("i-0", 3), ("i-4", 0)):
-        made.record_load(1.0, made.server_states[ident], load, load, 3)
-    assert "i-0" not in picks(made, 1.1, 30)
-    assert {made.server_states[i].server.zone for i in picks(made, 1.1, 30)} <= {"aa", "ab"}
-    large = made.pick(1.1, SHOP, True, ANY, 300_000.0)
+        balancer.record_load(1.0, balancer.server_states[ident], load, load, 3)
+    assert "i-0" not in picks(balancer, 1.1, 30)
+    assert {balancer.server_states[i].server.zone for i in picks(balancer, 1.1, 30)} <= {"aa", "ab"}
+    large = balancer.pick(1.1, SHOP, True, ANY, 300_000.0)
     assert large is not None and large.server.zone == "aa"
 
 
-def test_a_cold_server_gets_a_trickle_and_only_from_its_holder() -> None:
-    made = load_balancer(1, cold=100.0)
-    assert picks(made, 1.0, 3) == []
-    made.cold_owned = {"i-0": True}
+def test_a_cold_server_gets_few_requests_and_only_from_its_owner() -> None:
+    balancer = load_balancer(1, cold=100.0)
+    assert picks(balancer, 1.0, 3) == []
+    balancer.cold_owned = {"i-0": True}
     sent = 0
     for step in range(400):
         now = 1.0 + step / 100
-        seen = made.pick(now, SHOP, True, ANY, 500.0)
+        seen = balancer.pick(now, SHOP, True, ANY, 500.0)
         if seen is not None:
-            made.record_sent(now, seen, step)
-            made.record_ended(now, seen, step)
+            balancer.record_sent(now, seen, step)
+            balancer.record_ended(now, seen, step)
             sent += 1
     assert 4 * SHOP.warmup_rate * 0.7 < sent <= 4 * SHOP.warmup_rate + 2
 
 
-def test_the_data_of_a_role_s_earlier_name_is_found_and_none_is_mixed(tmp_path: Path) -> None:
+def test_data_under_a_role_s_earlier_name_is_found_and_not_mixed_with_the_present_one_s(
+    tmp_path: Path,
+) -> None:
     earlier = Disk(str(tmp_path / "office"))
     earlier.load()
     earlier.store({"config": Value(3, "", "kept")}, ())
