--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,8 @@
-"""The same examples every time, so that CI gives one verdict on one text; and no test passes over a violated
-invariant.
+"""Deterministic Hypothesis examples, and a fixture that fails each test in which an invariant is violated.
 
-Hypothesis also draws constants that it finds in the sources of whatever local modules are loaded at the
-moment, so the examples of a test would differ between a run of the whole suite and one of its file. Here it
-draws only constants of its own.
+Hypothesis also draws constants from the sources of all local modules loaded at the moment, so a test's
+examples would differ between a run of the whole suite and one of its file alone. Here it draws only its own
+constants.
 """
 
 from collections.abc import Iterator
@@ -18,7 +17,7 @@
 settings.register_profile("same", derandomize=True)
 settings.load_profile("same")
 
-OF_LOADED_MODULES = providers._get_local_constants  # fails here, and not silently, if hypothesis renames it
+OF_LOADED_MODULES = providers._get_local_constants  # raises here if hypothesis renames it
 NONE = Constants()
 
 
@@ -31,7 +30,7 @@
 
 @pytest.fixture(autouse=True)
 def violations() -> Iterator[list[tuple[Invariant, str]]]:
-    """All violations of invariants during a test, which fails unless it has expected and cleared them."""
+    """Collects violations of invariants during a test; it fails unless it clears the ones that it expects."""
     found: list[tuple[Invariant, str]] = []
 
     def listener(invariant: Invariant, detail: str) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity benchmark's parts at tiny sizes."""
+"""The parts of the capacity benchmark at small sizes."""
 
 import pytest
 
@@ -6,9 +6,9 @@
 from millfront.control import configuration
 
 
-def test_a_share_of_the_target_is_a_valid_configuration() -> None:
-    made = configuration.checked(capacity.document(0.01).text).unwrap()
-    assert (len(made.by_name), len(made.services)) == (300, 3)
+def test_a_scaled_down_target_is_a_valid_configuration() -> None:
+    compiled = configuration.checked(capacity.document(0.01).text).unwrap()
+    assert (len(compiled.by_name), len(compiled.services)) == (300, 3)
 
 
 @pytest.mark.parametrize("part", ["servers", "delivery"])
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -16,7 +16,7 @@
     for line in (ROOT / "requirements.txt").read_text().splitlines()
     if line.strip() and not line.startswith("#")
 ]
-# What comes with a requirement and is imported by itself.
+# Modules that are imported directly but installed as a dependency of a requirement.
 COMES_WITH = {"hyperframe": "h2"}
 STANDARD = sys.stdlib_module_names | {"millfront"}
 
@@ -41,7 +41,7 @@
     packages = SYSTEM["packages"]
     assert isinstance(packages, list) and len(set(packages)) == len(packages)
     assert all(re.fullmatch(r"[a-z0-9][a-z0-9+.-]+", name) for name in packages)
-    assert {"python3", "python3-pip"} <= set(packages)  # what the build command runs
+    assert {"python3", "python3-pip"} <= set(packages)  # the build command runs these
 
 
 def test_every_requirement_is_pinned() -> None:
@@ -53,7 +53,7 @@
 
 def test_every_module_imported_is_a_requirement() -> None:
     outside = imported() - STANDARD
-    assert {"anyio", "h11", "lmdb"} <= outside  # the walk sees them
+    assert {"anyio", "h11", "lmdb"} <= outside  # guards against an empty walk
     assert {COMES_WITH.get(name, name) for name in outside} - pinned() == set()
 
 
@@ -62,18 +62,18 @@
     paths = {word for word in words if "/" in word or word.endswith(".txt")} | {"millfront"}
     assert {"requirements.txt", "target/deps", "target/ready"} <= paths
     for path in paths:
-        made, _, name = path.partition("target/deps/")
-        if not made and name:  # compiled there: what pip has put there by these requirements
+        prefix, _, name = path.partition("target/deps/")
+        if not prefix and name:  # installed there by pip from the requirements
             assert name in pinned(), path
-        elif not path.startswith("target/"):  # which the build makes itself
+        elif not path.startswith("target/"):  # made by the build itself
             assert (ROOT / path).exists(), path
     main = ast.parse((ROOT / "millfront/__main__.py").read_text())
     known = {node.value for node in ast.walk(main) if isinstance(node, ast.Constant)}
     assert SYSTEM["roles"]
     for role in SYSTEM["roles"].values():
         port, _, path = role["metrics"].partition("/")
-        *python, command, option, told = role["run"].split()
+        *python, command, option, value = role["run"].split()
         assert python == ["python3", "-m", "millfront"]
         assert command in known, command
-        assert (option, told) == ("--metrics-port", port)
+        assert (option, value) == ("--metrics-port", port)
         assert f"/{path}" == METRICS
--- a/tests/test_signals_at_start.py
+++ b/tests/test_signals_at_start.py
@@ -1,4 +1,4 @@
-"""Signals that come while a process is still starting."""
+"""Signals that arrive while a process is still starting."""
 
 import signal
 import subprocess
@@ -8,8 +8,8 @@
 from tests.test_config import ROOT
 
 
-def test_a_reload_that_is_asked_for_during_the_start_does_not_end_the_process() -> None:
-    """SIGHUP comes before the loop listens for it, at the first import of the process's parts."""
+def test_a_reload_signal_during_the_start_does_not_end_the_process() -> None:
+    """SIGHUP arrives before the loop handles it, at the import of the process module."""
     program = textwrap.dedent("""
         import os, signal, sys
         from millfront.gatekeeper import start
--- a/tests/test_system_links.py
+++ b/tests/test_system_links.py
@@ -1,5 +1,5 @@
-"""The control side's worst days: real processes, with doors on every link between them (the stories of
-benchmarks/control_faults.py, which plays them at full length as well)."""
+"""Faults of the control plane on real processes with a proxy on every link between them: the scenarios of
+benchmarks/control_faults.py, shortened."""
 
 import random
 import socket
@@ -18,22 +18,22 @@
 SOON = 0.3
 
 
-@pytest.mark.parametrize("story", ["cut_off", "rivals", "second_loss", "many_changes"])
-def test_a_worst_day_holds(story: str, tmp_path: Path) -> None:
-    told = told_of(story, 1, True, tmp_path)
-    assert not told.broken, told.line()
+@pytest.mark.parametrize("scenario", ["cut_off", "rivals", "second_loss", "many_changes"])
+def test_the_rules_hold_in_a_shortened_fault_scenario(scenario: str, tmp_path: Path) -> None:
+    verdict = told_of(scenario, 1, True, tmp_path)
+    assert not verdict.broken, verdict.line()
 
 
 @pytest.fixture
 def links() -> Iterator[Links]:
-    made = Links(2, free_ports(1)[0], random.Random(1))
-    made.open()
-    yield made
-    made.close()
+    proxies = Links(2, free_ports(1)[0], random.Random(1))
+    proxies.open()
+    yield proxies
+    proxies.close()
 
 
 def echoing(server: socket.socket) -> None:
-    """One connection after the other, until the server closes."""
+    """Echo on one connection after the other until the server is closed."""
     while True:
         try:
             conn, _ = server.accept()
@@ -47,18 +47,18 @@
                 pass
 
 
-def test_a_door_cuts_resets_and_delays_one_pair_of_processes(links: Links) -> None:
+def test_a_link_cuts_resets_and_delays_one_pair_of_processes(links: Links) -> None:
     at, front = (links.behind(1), links.port), (links.front(1), links.port)
     with ExitStack() as held:
         server = held.enter_context(socket.create_server(at))
         held.callback(server.shutdown, socket.SHUT_RDWR)
         threading.Thread(target=echoing, args=[server], daemon=True).start()
-        letters = [held.enter_context(socket.socket(type=socket.SOCK_DGRAM)) for _ in range(2)]
-        for number, sock in enumerate(letters):
+        sockets = [held.enter_context(socket.socket(type=socket.SOCK_DGRAM)) for _ in range(2)]
+        for number, sock in enumerate(sockets):
             sock.bind((links.behind(number), links.port))
             sock.settimeout(SOON)
 
-        def dial() -> socket.socket:
+        def connect() -> socket.socket:
             sock = held.enter_context(
                 socket.create_connection(front, 5.0, source_address=(links.behind(0), 0))
             )
@@ -72,48 +72,48 @@
             except TimeoutError:
                 return False
 
-        def written() -> tuple[bytes, str] | None:
-            """A message from 0, and what 1 sees as its sender's address."""
-            letters[0].sendto(b"letter", front)
+        def datagram_received() -> tuple[bytes, str] | None:
+            """Send a datagram from 0; returns it and the sender's address as 1 sees it."""
+            sockets[0].sendto(b"letter", front)
             try:
-                data, back = letters[1].recvfrom(100)
+                data, back = sockets[1].recvfrom(100)
             except TimeoutError:
                 return None
             return data, back[0]
 
-        line = dial()
-        assert answered(line) and written() == (b"letter", links.front(0))
-        letters[1].sendto(b"back", (links.front(0), links.port))
-        assert letters[0].recv(100) == b"back"
+        line = connect()
+        assert answered(line) and datagram_received() == (b"letter", links.front(0))
+        sockets[1].sendto(b"back", (links.front(0), links.port))
+        assert sockets[0].recv(100) == b"back"
 
         links.cut(0, keeps=True)
-        assert not answered(line) and written() is None
+        assert not answered(line) and datagram_received() is None
         links.heal()
-        assert line.recv(1) == b"a" and answered(line)  # held, and late
+        assert line.recv(1) == b"a" and answered(line)  # held during the cut and delivered late
 
-        links.cut(1, "out")  # what 1 says; it is still told
-        assert not answered(line) and written() is not None
-        line.settimeout(5.0)  # nobody acknowledged: 1's end is cut, and 0 finds out at the heal
+        links.cut(1, "out")  # what 1 sends; it still receives
+        assert not answered(line) and datagram_received() is not None
+        line.settimeout(5.0)  # unacknowledged: 1's end is cut, and 0 notices at the heal
         assert not answered_within(links, line)
 
         links.set([0], [1], "delay", delay_ms=150)
-        line, began = dial(), time.monotonic()
+        line, began = connect(), time.monotonic()
         line.settimeout(5.0)
         assert answered(line) and 0.15 <= time.monotonic() - began < 3.0
 
         links.set([0], [1], "reset")
-        assert not line_is_open(line) and written() is None
-        with pytest.raises(OSError):  # on the connection, or on its first byte
-            new = dial()
+        assert not line_is_open(line) and datagram_received() is None
+        with pytest.raises(OSError):  # on connecting, or on the first byte
+            new = connect()
             new.settimeout(5.0)
             if not answered(new):
                 raise ConnectionResetError
         links.heal()
-        assert answered(dial()) and written() is not None
+        assert answered(connect()) and datagram_received() is not None
 
-        with pytest.raises(OSError):  # a stranger: nobody knows whose link it would be
-            stranger = held.enter_context(socket.create_connection(front, 5.0))
-            if not line_is_open(stranger):
+        with pytest.raises(OSError):  # an unknown source address belongs to no link
+            unknown = held.enter_context(socket.create_connection(front, 5.0))
+            if not line_is_open(unknown):
                 raise ConnectionResetError
 
 
@@ -127,9 +127,9 @@
 
 
 def answered_within(links: Links, line: socket.socket) -> bool:
-    """What was said into a silence longer than a kernel bears does not come after it."""
-    lost = links.between[1, 0]
-    while not lost.lost:
+    """Data sent during a cut longer than the kernel's timeout must not arrive after it."""
+    link = links.between[1, 0]
+    while not link.lost:
         with pytest.raises(TimeoutError):
             line.settimeout(0.1)
             line.recv(1)
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -1,5 +1,5 @@
-"""Three real processes on loopback, as `make run-system` starts them: one is killed, its disk is wiped,
-another is killed, and what was acknowledged stays and goes on."""
+"""Three real processes on loopback, as `make run-system` starts them: one is killed and loses its disk, then
+another is killed; acknowledged configurations survive and new ones are accepted."""
 
 import importlib
 import json
@@ -23,16 +23,16 @@
 
 
 def test_what_was_put_outlives_a_kill_a_wiped_disk_and_another_kill(system: Any, tmp_path: Path) -> None:
-    halls = {"i-0": (system.behind(system.hall("i-0")), "north")}
-    cloud = system.behind(system.platform(halls))
+    servers = {"i-0": (system.behind(system.hall("i-0")), "north")}
+    cloud = system.behind(system.platform(servers))
     plain, ctl, post = system.ports(3)
     files = [system.settings(tmp_path, number, cloud, plain, ctl, post) for number in range(3)]
     running: dict[int, subprocess.Popen[bytes]] = {}
 
     def start(number: int) -> None:
-        given = os.environ | {"MILLFRONT_CONFIG": str(files[number])}
+        environment = os.environ | {"MILLFRONT_CONFIG": str(files[number])}
         command = [sys.executable, "-B", "-m", "millfront", "gatekeeper"]
-        running[number] = subprocess.Popen(command, cwd=ROOT, env=given, stderr=subprocess.DEVNULL)
+        running[number] = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.DEVNULL)
 
     def kill(number: int) -> None:
         running[number].kill()
@@ -54,12 +54,12 @@
         files[1].write_text(files[1].read_text().replace("fresh = true", "fresh = false"))
         start(1)
         ends = time.monotonic() + 10.0
-        told: dict[str, Any] = {"replica": {"state": ""}}
-        while told["replica"]["state"] != "voting" and time.monotonic() < ends:
-            told = json.loads(system.until("a statement", "GET", at(1, "/v1/gatekeeper")))
-        assert told["version"] == "00000002" and told["replica"]["held"]["config"] == 2
+        report: dict[str, Any] = {"replica": {"state": ""}}
+        while report["replica"]["state"] != "voting" and time.monotonic() < ends:
+            report = json.loads(system.until("a statement", "GET", at(1, "/v1/gatekeeper")))
+        assert report["version"] == "00000002" and report["replica"]["held"]["config"] == 2
         kill(0)
-        put(1, 3)  # the one whose disk was lost counts again: two of three
+        put(1, 3)  # the member whose disk was lost votes again: two of three
         assert json.loads(system.until("a read", "GET", at(2, "/v1/config")))["revision"] == "00000003"
     finally:
         for number in list(running):
