--- a/millfront/environment.py
+++ b/millfront/environment.py
@@ -28,10 +28,10 @@
     >>> seconds("1500ms"), seconds("2.5s")
     (1.5, 2.5)
     """
-    found = DURATION.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    match = DURATION.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         raise ValueError(f"expected a duration such as 1500ms or 2.5s, got {text!r}")
-    return float(found[1]) / (1000.0 if found[2] == "ms" else 1.0)
+    return float(match[1]) / (1000.0 if match[2] == "ms" else 1.0)
 
 
 @dataclass(frozen=True, slots=True)
--- a/millfront/gatekeeper/node.py
+++ b/millfront/gatekeeper/node.py
@@ -160,18 +160,18 @@
         """Whether this process may serve clients: `missing_to_be_ready` is empty."""
         return not self.missing_to_be_ready(now)
 
-    def _adopt(self, found: dict[str, Value]) -> None:
+    def _adopt(self, values: dict[str, Value]) -> None:
         """Put newer values in force; the only place that does. Older values never replace newer ones."""
-        changed = self.subscriber.adopt({k: value for k, value in found.items() if not is_internal(k)})
+        changed = self.subscriber.adopt({k: value for k, value in values.items() if not is_internal(k)})
         for key in changed:
             value = self.subscriber.values[key]
             if key == CONFIG:
                 match configurations.compiled(value.data):
-                    case Ok(made):
-                        self.configuration = made
-                        self.admission.tenants = made.by_name
-                        self.quotas.granter.set_tenants(self.io.now(), made.by_name)
-                        self.note("register", f"configuration {made.version:08x} is in force")
+                    case Ok(configuration):
+                        self.configuration = configuration
+                        self.admission.tenants = configuration.by_name
+                        self.quotas.granter.set_tenants(self.io.now(), configuration.by_name)
+                        self.note("register", f"configuration {configuration.version:08x} is in force")
                     case Err(fault):
                         self.note("register", f"configuration {value.version:08x} is invalid: {fault}")
             elif key.startswith(EVACUATION):
@@ -369,21 +369,21 @@
         else:
             self.io.reply(via, message)
 
-    def synced(self, now: float, persist: PersistRequest, well: bool) -> None:
-        """The disk has synced the request (`well`) or has failed to."""
+    def synced(self, now: float, persist: PersistRequest, ok: bool) -> None:
+        """The disk has synced the request (`ok`) or has failed to."""
         self.now = now
         replica = self.replica
         assert replica is not None
-        if not well:
+        if not ok:
             self.note("register", "the disk failed to sync: this replica acknowledges nothing")
-        answer, self.disk_ok = persist.reply[1], well
-        for to, message in replica.synced(persist, well):
-            if answer["t"] == "recovered" and well:
+        answer, self.disk_ok = persist.reply[1], ok
+        for to, message in replica.synced(persist, ok):
+            if answer["t"] == "recovered" and ok:
                 replica.recovered()
                 self.note("register", "recovered: the replica votes")
             else:
                 self._send_answer(now, to, message)
-        if well and replica.votes:
+        if ok and replica.votes:
             self._adopt(dict(replica.values))
             if any(not is_internal(key) for key in persist.values):
                 self._push_update()
@@ -443,14 +443,14 @@
         else:
             self._ask_replicas(now, self.subscriber.handle_answer(now, sender, message))
 
-    def _ask_sender(self, via: Any, asked: list[tuple[str, Message]]) -> None:
-        for _, out in asked:
-            self.io.reply(via, out | {"r": HANDOFF_REF})
+    def _ask_sender(self, via: Any, requests: list[tuple[str, Message]]) -> None:
+        for _, request in requests:
+            self.io.reply(via, request | {"r": HANDOFF_REF})
 
-    def _ask_replicas(self, now: float, asked: list[tuple[str, Message]]) -> None:
-        for name, out in asked:
+    def _ask_replicas(self, now: float, requests: list[tuple[str, Message]]) -> None:
+        for name, request in requests:
             if self.subscriber.core is not None and name in self.subscriber.core.all_members:
-                self.send_to_replica(now, name, self.subscriber.core.all_members[name], out)
+                self.send_to_replica(now, name, self.subscriber.core.all_members[name], request)
 
     def _on_fenced(self, now: float, sender: str, message: Message) -> None:
         """A replica refused a request of another core epoch: it or this process missed a change. Adopt its
@@ -487,8 +487,8 @@
             self.io.send_datagram(address, answer)
         if received.newer:
             self.discovery.members_known(now)
-        for told in received.newer:
-            self.admission.handle_totals(now, told.name, told.incarnation, told.uptime, told.totals)
+        for record in received.newer:
+            self.admission.handle_totals(now, record.name, record.incarnation, record.uptime, record.totals)
 
     def _receive_delay_s(self, now: float) -> float:
         """Seconds that a message read now may have waited in this process's buffers: since the last tick if
@@ -497,10 +497,10 @@
             return now - self.last_tick
         return self.frozen_s if now < self.catching_up_until else 0.0
 
-    def polled(self, now: float, number: int, found: PlatformList | ReadFailure) -> None:
+    def polled(self, now: float, number: int, result: PlatformList | ReadFailure) -> None:
         """Handle the platform's answer to poll `number`, or the reason why there is none."""
         self.now = now
-        self.discovery.polled(now, number, found)
+        self.discovery.polled(now, number, result)
         self._publish_state(now)
 
     # ---- the directory -----------------------------------------------------------------------------
--- a/millfront/gatekeeper/operations.py
+++ b/millfront/gatekeeper/operations.py
@@ -150,14 +150,14 @@
         if self.store is not None and (batch := self.store.next_batch()) is not None:
             self.gatekeeper.io.persist_operations(batch)
 
-    def synced(self, batch: Batch, well: bool) -> None:
-        """The disk has synced the batch (`well`) or has failed to."""
+    def synced(self, batch: Batch, ok: bool) -> None:
+        """The disk has synced the batch (`ok`) or has failed to."""
         assert self.store is not None
-        if not well:
+        if not ok:
             self.gatekeeper.note("operations", "the disk failed to sync: no operation key is granted here")
-        if batch.completes and well:
+        if batch.completes and ok:
             self.gatekeeper.note("operations", f"complete, with {len(self.store.operations)} operations")
-        self._reply(self.store.synced(batch, well))
+        self._reply(self.store.synced(batch, ok))
         self._flush()
 
     def tick(self, now: float) -> None:
--- a/millfront/gatekeeper/process.py
+++ b/millfront/gatekeeper/process.py
@@ -139,16 +139,16 @@
     async def _persist_operations(self, batch: Batch) -> None:
         from millfront.storage.lmdb_folder import DiskError
 
-        well = self.operations_disk is not None
+        ok = self.operations_disk is not None
         if self.operations_disk is not None:
             store = self.operations_disk.store
             try:
                 await self.loop.run_in_executor(self.operations_executor, store, batch.rows, batch.drop)
             except DiskError as fault:
                 logger.warning("disk: {}", fault)
-                well = False
+                ok = False
         self.gatekeeper.now = self.now()
-        self.gatekeeper.operations.synced(batch, well)
+        self.gatekeeper.operations.synced(batch, ok)
 
     def check_configuration(
         self, text: str, then: Callable[[Result[Configuration, ConfigurationError]], None]
@@ -161,14 +161,14 @@
         self.start_task(checking())
 
     async def _poll(self, number: int) -> None:
-        found: PlatformList | ReadFailure = ReadFailure.UNREACHABLE
+        result: PlatformList | ReadFailure = ReadFailure.UNREACHABLE
         try:
-            found = await read_list(self.settings.cloud)
+            result = await read_list(self.settings.cloud)
         except PlatformError as fault:
-            found = fault.failure
+            result = fault.failure
             logger.info("discovery: cannot fetch the platform's list of servers: {}", fault)
         finally:
-            self.gatekeeper.polled(self.now(), number, found)
+            self.gatekeeper.polled(self.now(), number, result)
 
     # ---- lifecycle ---------------------------------------------------------------------------------
 
--- a/millfront/gatekeeper/server_discovery.py
+++ b/millfront/gatekeeper/server_discovery.py
@@ -93,12 +93,12 @@
             text = f"{'this process' if first else 'another process'} polls the platform"
             self.gatekeeper.event_log.write(now, "discovery", text, fence=self.server_list.list_number)
 
-    def polled(self, now: float, number: int, found: PlatformList | ReadFailure) -> None:
+    def polled(self, now: float, number: int, result: PlatformList | ReadFailure) -> None:
         """Handle the platform's answer to poll `number`, or the reason why there is none."""
-        if isinstance(found, ReadFailure):
-            update = self.server_list.poll_failed(now, self.poll_position(), found)
+        if isinstance(result, ReadFailure):
+            update = self.server_list.poll_failed(now, self.poll_position(), result)
         else:
-            update = self.server_list.poll_succeeded(now, number, found.entries, found.calls)
+            update = self.server_list.poll_succeeded(now, number, result.entries, result.calls)
         self._notify_servers_changed()
         if update is not None:
             self._publish(update)
