--- a/millfront/dataplane/client_request.py
+++ b/millfront/dataplane/client_request.py
@@ -51,8 +51,8 @@
     arrived_us: int
     progress: RequestProgress
     caller: Any = None
-    over: bool = False
-    whole: bool = True
+    finished: bool = False
+    body_received: bool = True
     streaming_flow: int = -1
     quota_counted: bool = False
     flows: dict[int, ServerSideFlow] = field(default_factory=dict)
--- a/millfront/gatekeeper/api.py
+++ b/millfront/gatekeeper/api.py
@@ -16,7 +16,7 @@
 from millfront.node.config import Address
 from millfront.node.host import Caller, Clock
 from millfront.node.http import Fields, Message
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 
 ANSWER_TTL_S = 2.0  # of an answer to clients; short, so that they soon leave a gatekeeper that is gone
 JSON: Fields = [(b"Content-Type", b"application/json")]
@@ -47,12 +47,12 @@
     """One API call, open until it is answered."""
 
     def __init__(self, message: Message, caller: Caller) -> None:
-        self.message, self.caller, self.over = message, caller, False
+        self.message, self.caller, self.finished = message, caller, False
 
     def answer(self, status: int, text: str = "", kind: Fields = JSON) -> None:
         """Send the answer; later ones are dropped. The text of an error is wrapped in ``{"error": ...}``."""
-        if not self.over:
-            self.over = True
+        if not self.finished:
+            self.finished = True
             body = text.encode()
             if status >= 400 and text:
                 body = json.dumps({"error": text}).encode()
@@ -93,12 +93,12 @@
 
     def client_left(self, call: Call) -> None:
         """The caller has closed its connection: a later answer is dropped."""
-        call.over = True
+        call.finished = True
 
     def handle_request(self, message: Message, caller: Caller) -> Call | None:
         """Answer a call at once, or return it open while the register works on it.
 
-        :raises NotTaken: unknown path, method or zone, or a call that this address does not serve
+        :raises RequestRejected: unknown path, method or zone, or a call that this address does not serve
         """
         assert isinstance(message.start, tuple)
         method, target = message.start[0].decode(), message.start[1].decode("latin-1")
@@ -129,11 +129,11 @@
         elif path.startswith(EVACUATION) and "ctl" in self.serves and method in ("POST", "DELETE"):
             zone = path.removeprefix(EVACUATION)
             if zone not in gatekeeper.settings.zones:
-                raise NotTaken(404, f"unknown zone {zone!r}")
-            gatekeeper.evacuate(now, zone, method == "POST", call.answer, lambda: not call.over)
+                raise RequestRejected(404, f"unknown zone {zone!r}")
+            gatekeeper.evacuate(now, zone, method == "POST", call.answer, lambda: not call.finished)
         else:
-            raise NotTaken(404, "no such call at this address")
-        return None if call.over else call
+            raise RequestRejected(404, "no such call at this address")
+        return None if call.finished else call
 
     def _put_configuration(self, call: Call, body: bytes) -> None:
         try:
@@ -157,7 +157,7 @@
             call.answer(503, "no ready gatekeeper is known")
 
     def _restore_register(self, call: Call, body: bytes) -> None:
-        self.gatekeeper.restore(self.now(), body, call.answer, lambda: not call.over)
+        self.gatekeeper.restore(self.now(), body, call.answer, lambda: not call.finished)
 
     @staticmethod
     def _read_body(message: Message, done: Callable[[bytes], None]) -> None:
--- a/tests/system_world.py
+++ b/tests/system_world.py
@@ -135,7 +135,7 @@
         incarnation = self.incarnation
 
         def read_list() -> Generator[Any, Any, None]:
-            answer = yield from self.world.platform.listed(ZONES[self.zone])
+            answer = yield from self.world.platform.read_list(ZONES[self.zone])
             self.run_or_defer(lambda: polled(answer))
 
         def polled(answer: Any) -> None:
--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -27,7 +27,7 @@
 from millfront.node.endings import Ending
 from millfront.node.http import Message
 from millfront.node.link import Link
-from millfront.node.members import MemberConnection, Wear
+from millfront.node.members import IdleReuseStats, MemberConnection
 from millfront.node.stages import send
 from millfront.register import reconfiguration
 from tests import test_gatekeeper_calls as calls
@@ -287,9 +287,9 @@
     for name in ("BOOTSTRAP_MIN_S", "BOOTSTRAP_SETTLE_S"):
         monkeypatch.setattr(reconfiguration, name, 0.0)
     monkeypatch.setattr(load_balancer, "FULL_PAUSE_S", 0.0)
-    monkeypatch.setattr(send, "LOOK_S", 0.05)
-    monkeypatch.setattr(send, "STALL_US", 100_000)
-    monkeypatch.setattr(send, "BEGIN_S", 0.01)
+    monkeypatch.setattr(send, "STALL_CHECK_INTERVAL_S", 0.05)
+    monkeypatch.setattr(send, "BODY_STALL_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(send, "PARTIAL_DELIVERY_S", 0.01)
 
 
 class UnlimitedBudget:
@@ -302,7 +302,7 @@
 
 def instrument(made: History, monkeypatch: pytest.MonkeyPatch) -> Proxy:
     proxy = made.service.proxy
-    proxy.send.rest_s, proxy.server.request_read_timeout_us = 0.1, 100_000
+    proxy.send.completion_timeout_s, proxy.server.request_read_timeout_us = 0.1, 100_000
     monkeypatch.setattr(proxy, "retry_budget", lambda _: UnlimitedBudget())
     for word in ("record_failure", "record_misdirected"):  # servers are never ejected
         monkeypatch.setattr(proxy.load_balancer, word, lambda *_: None)
@@ -345,7 +345,7 @@
 def reset_servers(proxy: Proxy) -> None:
     """Reset what the proxy has learned about servers."""
     proxy.load_balancer.service_times["shop"] = 0.004
-    proxy.members.wear = Wear()
+    proxy.members.idle_reuse = IdleReuseStats()
     for seen in proxy.load_balancer.server_states.values():
         seen.failures, seen.state, seen.paused_until, seen.latency_ratio, seen.slots = (
             0,
@@ -426,13 +426,13 @@
 
 def resent_after_partial_write(patch: pytest.MonkeyPatch) -> None:
     """Another connection is tried although the kernel had accepted bytes of the request."""
-    whole = send.ServerSideFlow.broken
+    whole = send.ServerSideFlow.on_broken
 
     def broken(self: send.ServerSideFlow, ended: Any) -> None:
         ended.partially_sent = False
         whole(self, ended)
 
-    patch.setattr(send.ServerSideFlow, "broken", broken)
+    patch.setattr(send.ServerSideFlow, "on_broken", broken)
 
 
 def rerun_after_possible_execution(patch: pytest.MonkeyPatch) -> None:
@@ -444,7 +444,7 @@
     whole = Proxy.classify_answer
 
     def judge(self: Proxy, flow: Any, answer: Message) -> Ending:
-        fields = [(b"millfront-attempt-id", flow.opened.attempt_id)]
+        fields = [(b"millfront-attempt-id", flow.open_request.attempt_id)]
         fields += [(name, value) for name, value in answer.fields if name != b"millfront-attempt-id"]
         return whole(self, flow, Message(answer.start, fields, answer.raw_fields, answer.body))
 
@@ -465,7 +465,7 @@
     def copy(self: Proxy, request: ClientRequest) -> None:
         if (
             request.arrival.message.upload is not None
-            and not request.over
+            and not request.finished
             and request.progress.in_flight == 1
         ):
             request.timer = None
@@ -481,8 +481,8 @@
     whole = Proxy.attempt_ended
 
     def book(self: Proxy, flow: Any, ending: Ending, answer: Message | None) -> None:
-        if ending is Ending.SERVED and flow.opened.streaming_flow >= 0:
-            flow.opened.streaming_flow = flow.number
+        if ending is Ending.SERVED and flow.open_request.streaming_flow >= 0:
+            flow.open_request.streaming_flow = flow.number
         whole(self, flow, ending, answer)
 
     patch.setattr(Proxy, "attempt_ended", book)
