--- a/tests/system_world.py
+++ b/tests/system_world.py
@@ -1,6 +1,5 @@
-"""A world in simulated time for the gatekeepers of the whole system: the very `Gatekeeper` that the daemon
-runs, between links with delay, loss and cuts, processes that are killed, and disks that sync, refuse and are
-wiped."""
+"""A simulation in virtual time of the whole system: it runs the daemon's own `Gatekeeper` class over links
+with delay, loss and partitions, with processes that are killed or frozen and disks that fail or are wiped."""
 
 import json
 import random
@@ -10,7 +9,7 @@
 import simpy
 
 from millfront.environment import Bounds, Settings
-from millfront.gatekeeper.node import BEAT_S, Gatekeeper
+from millfront.gatekeeper.node import TICK_S, Gatekeeper
 from millfront.operations.store import Batch
 from millfront.quotas.requester import Decision
 from millfront.register.replica import PersistRequest
@@ -20,9 +19,9 @@
 ZONES = {"aa": "a", "ab": "a", "ba": "b", "bb": "b"}
 PORT = 7000
 SYNC_S = 0.002
-LATE_S = 0.2  # at most so long after a cut what it held up comes
-WAITS_S = 0.16  # a request for a token, at most
-LEAVE_S = 2.9  # what a process that ends does for its clients
+CUT_CHECK_S = 0.2  # messages that a cut delayed arrive at most so long after it
+MAX_WAIT_S = 0.16  # of a request for a token
+MIN_LEAVE_S = 2.9  # from SIGTERM until a process has drained its clients
 
 
 def document(
@@ -32,8 +31,7 @@
     limits: dict[str, Any] | None = None,
     kind: str = "effectful",
 ) -> str:
-    """A configuration with one route of that kind, tenants with these keys and, where they are given,
-    limits."""
+    """A configuration with one route of that kind, tenants with these API keys and, if given, limits."""
     spec = {
         "host": "a.example", "path_prefix": "/p/", "variant_tag": kind, "deadline": "4s",
         "target_time": "1s", "rank": 1, "target": "shop", "max_tries": 2, "home_regions": [],
@@ -52,12 +50,12 @@
         "spec": {"warmup": "3s", "warmup_rate_s": 2.0},
     }
     route = {"variant": "routes", "meta": {"name": "r"}, "spec": spec}
-    more = [{"variant": "limits", "meta": {}, "spec": limits}] if limits else []
-    return json.dumps({"revision": f"{version:08x}", "resources": [route, service, *tenants, *more]})
+    extra = [{"variant": "limits", "meta": {}, "spec": limits}] if limits else []
+    return json.dumps({"revision": f"{version:08x}", "resources": [route, service, *tenants, *extra]})
 
 
 class Node:
-    """One machine: its disk outlives its process."""
+    """One machine, the `NodeIO` of its gatekeeper; its disk outlives the process."""
 
     def __init__(self, world: "World", number: int, disk: bool) -> None:
         self.world, self.number = world, number
@@ -66,112 +64,112 @@
         self.ip = f"10.0.0.{number + 1}"
         self.address, self.plain = f"{self.ip}:{PORT}", f"{self.ip}:80"
         self.disk: dict[str, Value] | None = {} if disk else None
-        self.operation_rows: dict[str, str] = {}  # on the same disk
-        self.refuses = False  # its disk
+        self.operation_rows: dict[str, str] = {}  # of operation keys, on the same disk
+        self.disk_refuses = False
         self.gatekeeper: Gatekeeper | None = None
-        self.life = 0
-        self.versions: list[int] = []  # that were in force, in this life
-        self.slow_by = 0.0  # its clock is behind
-        self.lag = 0.0  # seconds that each message to or from it takes longer
-        self.backlog: list[Callable[[], None]] | None = None  # of a frozen one: what it gets when it goes on
+        self.incarnation = 0
+        self.versions: list[int] = []  # of the configuration that were in force in this incarnation
+        self.clock_behind_s = 0.0
+        self.extra_delay_s = 0.0  # of each message to or from it
+        self.backlog: list[Callable[[], None]] | None = None  # while frozen: events to run when thawed
 
     def now(self) -> float:
-        return float(self.world.env.now) + 100.0 * self.number - self.slow_by
+        return float(self.world.env.now) + 100.0 * self.number - self.clock_behind_s
 
-    # ---- doors ---------------------------------------------------------------------------------
+    # ---- NodeIO --------------------------------------------------------------------------------
 
-    def datagram(self, address: str, message: dict[str, Any]) -> None:
+    def send_datagram(self, address: str, message: dict[str, Any]) -> None:
         to = self.world.by_address.get(address)
         if to is None or self.world.cut(self, to) or self.world.random.random() < self.world.loss:
             return
-        self.world.carry(
-            self, address, lambda to, m: to.gatekeeper.datagram(to.now(), self.address, m), message
+        self.world.deliver(
+            self, address, lambda to, m: to.gatekeeper.handle_datagram(to.now(), self.address, m), message
         )
 
-    def line(self, address: str, message: dict[str, Any]) -> None:
-        self.world.carry(
-            self, address, lambda to, m: to.gatekeeper.message(to.now(), self.address, m), message
+    def send(self, address: str, message: dict[str, Any]) -> None:
+        self.world.deliver(
+            self, address, lambda to, m: to.gatekeeper.handle_message(to.now(), self.address, m), message
         )
 
-    def back(self, via: Any, message: dict[str, Any]) -> None:
+    def reply(self, via: Any, message: dict[str, Any]) -> None:
         if self.world.random.random() >= self.world.lost_answers:
-            self.line(str(via), message)
+            self.send(str(via), message)
 
     def persist(self, persist: PersistRequest) -> None:
-        life = self.life
+        incarnation = self.incarnation
 
-        def syncing() -> Generator[Any, Any, None]:
+        def sync() -> Generator[Any, Any, None]:
             yield self.world.env.timeout(SYNC_S)
-            self.goes_on(synced)
+            self.run_or_defer(synced)
 
         def synced() -> None:
-            if self.gatekeeper is not None and self.life == life and self.disk is not None:
-                if not self.refuses:
+            if self.gatekeeper is not None and self.incarnation == incarnation and self.disk is not None:
+                if not self.disk_refuses:
                     for key, value in persist.values.items():
                         self.disk[key] = max(value, self.disk.get(key, value))
                     for key in persist.drop:
                         self.disk.pop(key, None)
-                self.gatekeeper.synced(self.now(), persist, not self.refuses)
+                self.gatekeeper.synced(self.now(), persist, not self.disk_refuses)
 
-        self.world.env.process(syncing())
+        self.world.env.process(sync())
 
     def persist_operations(self, batch: Batch) -> None:
-        life = self.life
+        incarnation = self.incarnation
 
-        def syncing() -> Generator[Any, Any, None]:
+        def sync() -> Generator[Any, Any, None]:
             yield self.world.env.timeout(SYNC_S)
-            self.goes_on(synced)
+            self.run_or_defer(synced)
 
         def synced() -> None:
-            if self.gatekeeper is not None and self.life == life:
-                if not self.refuses:
+            if self.gatekeeper is not None and self.incarnation == incarnation:
+                if not self.disk_refuses:
                     self.operation_rows |= batch.rows
                     for name in batch.drop:
                         self.operation_rows.pop(name, None)
                 self.gatekeeper.now = self.now()
-                self.gatekeeper.operations.synced(batch, not self.refuses)
+                self.gatekeeper.operations.synced(batch, not self.disk_refuses)
 
-        self.world.env.process(syncing())
+        self.world.env.process(sync())
 
-    def poll(self, number: int) -> None:
-        life = self.life
+    def poll_platform(self, number: int) -> None:
+        incarnation = self.incarnation
 
-        def asking() -> Generator[Any, Any, None]:
-            told = yield from self.world.platform.read_list(ZONES[self.zone])
-            self.goes_on(lambda: polled(told))
+        def read_list() -> Generator[Any, Any, None]:
+            answer = yield from self.world.platform.read_list(ZONES[self.zone])
+            self.run_or_defer(lambda: polled(answer))
 
-        def polled(told: Any) -> None:
-            if self.gatekeeper is not None and self.life == life:
+        def polled(answer: Any) -> None:
+            if self.gatekeeper is not None and self.incarnation == incarnation:
                 self.world.polls += 1
-                self.gatekeeper.polled(self.now(), number, told)
+                self.gatekeeper.polled(self.now(), number, answer)
 
-        self.world.env.process(asking())
+        self.world.env.process(read_list())
 
-    def say(self, part: str, text: str) -> None:
+    def log(self, part: str, text: str) -> None:
         pass
 
-    def later(self, seconds: float, then: Callable[[], None]) -> None:
-        life = self.life
+    def call_later(self, seconds: float, then: Callable[[], None]) -> None:
+        incarnation = self.incarnation
 
-        def waiting() -> Generator[Any, Any, None]:
+        def wait() -> Generator[Any, Any, None]:
             yield self.world.env.timeout(seconds)
-            if self.gatekeeper is not None and self.life == life:
-                self.goes_on(then)
+            if self.gatekeeper is not None and self.incarnation == incarnation:
+                self.run_or_defer(then)
 
-        self.world.env.process(waiting())
+        self.world.env.process(wait())
 
     def request(self, tenant: str, then: Callable[[Decision], None]) -> None:
-        """A client's request with that tenant's key comes; `then` is told once what becomes of it."""
+        """A client's request of that tenant arrives; `then` is called once with the decision."""
         assert self.gatekeeper is not None and self.gatekeeper.configuration is not None
         limit = self.gatekeeper.configuration.by_name[tenant]
-        decision = self.gatekeeper.admission.admit(self.now(), limit, WAITS_S, then)
+        decision = self.gatekeeper.admission.admit(self.now(), limit, MAX_WAIT_S, then)
         if decision is not None:
             then(decision)
 
-    # ---- a life --------------------------------------------------------------------------------
+    # ---- start and end -------------------------------------------------------------------------
 
     def start(self, fresh: bool = False) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.versions = []
         settings = Settings(
             name=self.name, ip=self.ip, zone=self.zone, region=ZONES[self.zone], fresh=fresh,
@@ -180,15 +178,15 @@
             bindings={"plain": self.plain, "ctl": f"{self.ip}:81"}, zones=ZONES, cloud="10.0.1.1:1",
             cloud_rate=40.0, cloud_lag=0.8, bounds=self.world.bounds,
         )  # fmt: skip
-        kept = dict(self.disk) if self.disk is not None else None
+        stored = dict(self.disk) if self.disk is not None else None
         incarnation = int(self.world.env.now * 1000) + 1
         self.gatekeeper = Gatekeeper(
             settings,
             self,
-            kept,
+            stored,
             self.now(),
             incarnation,
-            self.number * 1000 + self.life,
+            self.number * 1000 + self.incarnation,
             dict(self.operation_rows),
         )
         gatekeeper = self.gatekeeper
@@ -197,39 +195,43 @@
             if gatekeeper.configuration is not None:
                 self.versions.append(gatekeeper.configuration.version)
 
-        gatekeeper.changed = changed
-        self.world.env.process(self._beats(self.life))
+        gatekeeper.on_configuration_changed = changed
+        self.world.env.process(self._tick_loop(self.incarnation))
 
-    def _beats(self, life: int) -> Generator[Any, Any, None]:
-        while self.gatekeeper is not None and self.life == life:
+    def _tick_loop(self, incarnation: int) -> Generator[Any, Any, None]:
+        while self.gatekeeper is not None and self.incarnation == incarnation:
             if self.backlog is None:
-                self.gatekeeper.beat(self.now())
-            yield self.world.env.timeout(BEAT_S * (0.97 + 0.06 * self.world.random.random()))
+                self.gatekeeper.tick(self.now())
+            yield self.world.env.timeout(TICK_S * (0.97 + 0.06 * self.world.random.random()))
 
     def leave(self, end: float = 5.7) -> None:
-        """SIGTERM: it ends in order, after what the daemon waits for at least, and at most until `end`."""
-        gatekeeper, life = self.gatekeeper, self.life
+        """SIGTERM: shut down as the daemon does, after `MIN_LEAVE_S` and at most after `end` seconds."""
+        gatekeeper, incarnation = self.gatekeeper, self.incarnation
         assert gatekeeper is not None
         gatekeeper.reconfiguration.leave(self.now())
 
         def ending() -> Generator[Any, Any, None]:
             began = self.world.env.now
-            yield self.world.env.timeout(LEAVE_S)
-            while self.life == life and self.world.env.now < began + end and self.gatekeeper is not None:
+            yield self.world.env.timeout(MIN_LEAVE_S)
+            while (
+                self.incarnation == incarnation
+                and self.world.env.now < began + end
+                and self.gatekeeper is not None
+            ):
                 if self.gatekeeper.reconfiguration.may_exit(self.now()):
                     break
                 yield self.world.env.timeout(0.05)
-            if self.life == life:
+            if self.incarnation == incarnation:
                 self.kill()
 
         self.world.env.process(ending())
 
     def kill(self) -> None:
-        self.gatekeeper, self.life = None, self.life + 1
+        self.gatekeeper, self.incarnation = None, self.incarnation + 1
         self.backlog = None
 
     def freeze(self) -> None:
-        """It does nothing, its clock goes on, and what is sent to it waits in its buffers (SIGSTOP)."""
+        """SIGSTOP: it does nothing, its clock runs on, and messages to it wait in its buffers."""
         self.backlog = []
 
     def thaw(self) -> None:
@@ -237,8 +239,8 @@
         for event in waiting:
             event()
 
-    def goes_on(self, event: Callable[[], None]) -> None:
-        """Now, or when it is thawed."""
+    def run_or_defer(self, event: Callable[[], None]) -> None:
+        """Run an event now, or when the process is thawed."""
         if self.backlog is None:
             event()
         else:
@@ -250,8 +252,8 @@
 
 
 class World:
-    """n machines, the first `disks` of them with a disk, over two regions of two zones; behind them `spares`
-    with a disk that don't start with the others."""
+    """n machines, the first `disks` of them with a disk, in two regions of two zones each; then `spares` more
+    with a disk, which `start` leaves out."""
 
     def __init__(
         self, n: int = 11, disks: int = 4, seed: int = 1, bounds: Bounds | None = None, spares: int = 0
@@ -261,7 +263,8 @@
         self.bounds = bounds or Bounds()
         self.loss = self.lost_answers = 0.0
         self.cut: Callable[[Node, Node], bool] = lambda a, b: False
-        self.late = False  # held connections outlive a cut: what was sent meanwhile comes when it ends
+        # Connections survive a cut: messages sent during it arrive when it ends
+        self.delays_cut_messages = False
         self.platform = Platform(self.env)
         self.polls = 0
         self.nodes = [Node(self, number, number < disks or number >= n) for number in range(n + spares)]
@@ -269,30 +272,30 @@
         self.seeds = tuple(f"{node.ip}:81" for node in self.nodes[:3])
         self.by_address = {node.address: node for node in self.nodes}
 
-    def carry(self, sender: Node, address: str, give: Callable[[Any, Any], None], message: Any) -> None:
+    def deliver(self, sender: Node, address: str, handle: Callable[[Any, Any], None], message: Any) -> None:
         to, text = self.by_address.get(address), json.dumps(message)
-        if to is None or (self.cut(sender, to) and not self.late):
+        if to is None or (self.cut(sender, to) and not self.delays_cut_messages):
             return
-        life, sender_life = to.life, sender.life
+        incarnation, sender_incarnation = to.incarnation, sender.incarnation
 
-        def way() -> Generator[Any, Any, None]:
+        def travel() -> Generator[Any, Any, None]:
             near = ZONES[sender.zone] == ZONES[to.zone]
-            way = (0.001 if near else 0.02) * (1.0 + self.random.random())
-            yield self.env.timeout(way + sender.lag + to.lag)
-            while self.late and self.cut(sender, to):
-                yield self.env.timeout(LATE_S)
+            delay = (0.001 if near else 0.02) * (1.0 + self.random.random())
+            yield self.env.timeout(delay + sender.extra_delay_s + to.extra_delay_s)
+            while self.delays_cut_messages and self.cut(sender, to):
+                yield self.env.timeout(CUT_CHECK_S)
             if not self.cut(sender, to):
-                to.goes_on(come)
+                to.run_or_defer(arrive)
 
-        def come() -> None:
-            if to.gatekeeper is not None and to.life == life:
-                give(to, json.loads(text))
+        def arrive() -> None:
+            if to.gatekeeper is not None and to.incarnation == incarnation:
+                handle(to, json.loads(text))
 
-        if sender.life == sender_life:
-            self.env.process(way())
+        if sender.incarnation == sender_incarnation:
+            self.env.process(travel())
 
     def start(self, but: tuple[int, ...] = ()) -> "World":
-        """All together, for the first time."""
+        """Start all machines but the spares and those given, for the first time."""
         for node in self.nodes:
             if node.number not in but and node.number not in self.spares:
                 node.start(fresh=True)
@@ -315,25 +318,25 @@
         return [node.gatekeeper for node in self.nodes if node.gatekeeper is not None]
 
     def call(
-        self, number: int, does: Callable[[Gatekeeper, float, Callable[[int, str], None]], None]
+        self, number: int, request: Callable[[Gatekeeper, float, Callable[[int, str], None]], None]
     ) -> list[Any]:
-        """A call to one gatekeeper; the list holds (status, text, when) once it is answered."""
+        """Call one gatekeeper; the list gets (status, text, time) once the call is answered."""
         node = self.nodes[number]
         answers: list[Any] = []
         assert node.gatekeeper is not None
 
-        def come() -> None:
+        def arrive() -> None:
             if node.gatekeeper is not None:
-                does(node.gatekeeper, node.now(), lambda *told: answers.append((*told, self.env.now)))
+                request(node.gatekeeper, node.now(), lambda *answer: answers.append((*answer, self.env.now)))
 
-        node.goes_on(come)
+        node.run_or_defer(arrive)
         return answers
 
     def put(self, number: int, text: str) -> list[Any]:
         return self.call(number, lambda gatekeeper, now, done: gatekeeper.put(now, text, done))
 
     def read(self, number: int) -> Any:
-        """What GET answers, asked again as an operator does."""
+        """The document that GET returns, retried as an operator would; None after eight failures."""
         for _ in range(8):
             answers = self.call(number, lambda gatekeeper, now, done: gatekeeper.read(now, done))
             self.run(2.5)
@@ -352,7 +355,7 @@
 
 
 def members(world: World) -> set[tuple[int, ...]]:
-    """The cores in force, by their machines' numbers; one that still changes is told with its old members."""
+    """The cores in force, by machine numbers; a core that still changes includes its old members."""
     numbers = {node.name: node.number for node in world.nodes}
     cores = [gatekeeper.subscriber.core for gatekeeper in world.gatekeepers()]
     return {tuple(sorted(numbers[name] for name in core.all_members)) for core in cores if core is not None}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -264,11 +264,11 @@
         await read_message(stream)
         await disconnects(stream)
 
-    monkeypatch.setattr("millfront.node.members.Wear.fade", lambda self: None)
+    monkeypatch.setattr("millfront.node.members.IdleReuseStats.decay", lambda self: None)
     member = Peer(*[breaks_at_the_next] * 4)
     async with running_node(member) as running, await running.client() as client:
         # all idle times in one bucket
-        monkeypatch.setattr("millfront.node.members.Wear.bucket", staticmethod(lambda idle_us: 1))
+        monkeypatch.setattr("millfront.node.members.IdleReuseStats.bucket", staticmethod(lambda idle_us: 1))
         got = [status(await running.ask(request("code-redeem"), client)) for _ in range(9)]
     assert got == [200, 502, 200, 502, 200, 502, 200, 200, 200]
     assert member.connections == 6  # no idle connection is reused any more
@@ -283,18 +283,18 @@
 
 
 async def test_a_watch_that_falls_silent_is_asked_for_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millfront.node.pool.SILENT_S", 0.1)
+    monkeypatch.setattr("millfront.node.pool.WATCH_TIMEOUT_S", 0.1)
     async with running_node(Peer()) as running:
         await running.discovery.wait_until(lambda peer: running.discovery.watches == 2 and peer.closed == 1)
         assert status(await running.ask(request())) == 200
 
 
 async def test_members_that_are_long_gone_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millfront.node.pool.FORGET_US", 0)
+    monkeypatch.setattr("millfront.node.pool.STOPPED_RETENTION_US", 0)
     async with running_node(Peer(), Peer()) as running:
         pool = running.node.pool
         for seq in (42, 43):
-            pool.take({"seq": seq, "whole": True, "hosts": [row("s-new", "127.0.0.1:1")]})
+            pool.apply_list({"seq": seq, "whole": True, "hosts": [row("s-new", "127.0.0.1:1")]})
             await anyio.sleep(0)
         assert list(pool._ids) == ["s-new"] and not running.node.members.get(1)
 
@@ -325,7 +325,7 @@
         await member.wait_until(lambda peer: len(peer.seen) == 1)
         await client.aclose()
         await member.wait_until(lambda peer: peer.closed == 1)
-        assert not running.node.host.open and not running.node.host.owed
+        assert not running.node.host.open_requests and not running.node.host.unanswered
         assert status(await running.ask(request())) == 200
 
 
@@ -367,7 +367,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     member = Peer()
-    dial, dialling, up = Members.dial, anyio.Event(), []
+    dial, dialling, up = Members.connect, anyio.Event(), []
 
     def slow_dial(members: Members, to: Any, done: Any) -> Any:
         def later(*result: Any) -> None:
@@ -376,7 +376,7 @@
 
         return dial(members, to, later)
 
-    monkeypatch.setattr(Members, "dial", slow_dial)
+    monkeypatch.setattr(Members, "connect", slow_dial)
     async with running_node(member) as running, await running.client() as client:
         await client.send(request("code-redeem", Request_Timeout="500m"))
         with anyio.fail_after(TEST_TIMEOUT_S):
@@ -429,9 +429,9 @@
     answered: list[api.Outcome] = []
     async with running_node(one, counter=counter) as running, listening(other, next_counter, discovery):
         assert running.node.counter is not None
-        running.node.counter.wait_us = 2_000_000
-        tell = running.node.host.tell
-        running.node.host.tell = lambda event: (  # type: ignore[method-assign]
+        running.node.counter.timeout_us = 2_000_000
+        tell = running.node.host.post_event
+        running.node.host.post_event = lambda event: (  # type: ignore[method-assign]
             answered.append(event.outcome) if isinstance(event, api.CounterAnswered) else tell(event)
         )
         assert status(await running.ask(request())) == 200
@@ -440,7 +440,7 @@
         discovery.full_list = json.dumps(
             {"seq": 7, "whole": True, "hosts": [row("s-1", other.address)]}
         ).encode()
-        running.node.move(
+        running.node.set_addresses(
             config.Address.parse(discovery.address, ""), config.Address.parse(next_counter.address, "")
         )
         running.node.host.start_count(api.Count(2, 1.0, 1000))
@@ -552,7 +552,7 @@
             second.script.clear()
         await first.wait_until(lambda peer: peer.closed == 1)
         assert len(one.seen) + len(other.seen) == sent + 2
-        assert not running.node.host.open and not running.node.host.owed
+        assert not running.node.host.open_requests and not running.node.host.unanswered
 
 
 async def test_the_counter_receives_what_was_sent() -> None:
@@ -590,7 +590,7 @@
 
         def rejected(self, retry_after_us: int) -> None:
             order.append("reject")
-            host.tell(api.TimerFired(1))
+            host.post_event(api.TimerFired(1))
 
         def served(self, answer: object) -> None: ...
 
@@ -600,10 +600,10 @@
     host = Host(loaded.settings, 1, Clock())
     monkeypatch.setattr(host._gateway, "handle", handle)
     host.start_flow = lambda opened, number, send: host.flow_ended(opened, number, send, api.Outcome.FULL, 1)
-    host.start_count = lambda count: host.tell(api.CounterAnswered(count.name, api.Outcome.FULL, 0.0))
-    host.arrive(Arrival(0, 0, 1, 1.0, 1, 0, host.clock.now(), 1_000_000), Caller())  # type: ignore[arg-type]
+    host.start_count = lambda count: host.post_event(api.CounterAnswered(count.name, api.Outcome.FULL, 0.0))
+    host.add_request(Arrival(0, 0, 1, 1.0, 1, 0, host.clock.now(), 1_000_000), Caller())  # type: ignore[arg-type]
     assert order == ["RequestArrived", "reject", "AttemptEnded", "CounterAnswered", "TimerFired"]
-    assert not host.open and not host.owed
+    assert not host.open_requests and not host.unanswered
 
 
 async def test_timers_do_not_spin_until_they_are_due() -> None:
--- a/tests/test_operation_claims.py
+++ b/tests/test_operation_claims.py
@@ -41,7 +41,7 @@
 
     def request(self, node: Node, key: str) -> None:
         """One client's request, claimed and completed as the proxy does it."""
-        gatekeeper, life = node.gatekeeper, node.life
+        gatekeeper, life = node.gatekeeper, node.incarnation
         if gatekeeper is None or node.backlog is not None:
             return
         gatekeeper.now = node.now()
@@ -64,16 +64,16 @@
                 return
             self.runs.setdefault(key, []).append(pending.attempt)
             yield self.world.env.timeout(self.random.uniform(0.02, 0.5))
-            if node.life == life and self.random.random() < 0.9:
+            if node.incarnation == life and self.random.random() < 0.9:
                 stored = StoredAnswer(200, (), pending.attempt.encode())
                 claims.finish(pending, stored, frozenset(), lambda: None)
 
         def wait(claim: PendingClaim) -> Process:
             yield self.world.env.timeout(WIDEN_S)
-            if node.life == life:
+            if node.incarnation == life:
                 claims.widen(claim)
             yield self.world.env.timeout(EXPIRE_S - WIDEN_S)
-            if node.life == life:
+            if node.incarnation == life:
                 claims.expire(claim)
 
         pending = claims.begin(operation_id("t", key), 4.0, on_decision)
@@ -159,9 +159,9 @@
     for _ in range(4):
         yield scenario.world.env.timeout(scenario.random.uniform(1.0, 2.0))
         node = scenario.world.nodes[scenario.random.randrange(4)]
-        node.refuses = True
+        node.disk_refuses = True
         yield scenario.world.env.timeout(scenario.random.uniform(0.5, 2.5))
-        node.refuses = False
+        node.disk_refuses = False
         if scenario.random.random() < 0.5:
             node.kill()
             yield scenario.world.env.timeout(0.5)
--- a/tests/test_rules_together.py
+++ b/tests/test_rules_together.py
@@ -308,7 +308,7 @@
     adopt = Gatekeeper._adopt
 
     def dropping(self: Gatekeeper, found: dict[str, Value]) -> None:
-        held, before, notify = self.subscriber.values, self.evacuated, self.changed
+        held, before, notify = self.subscriber.values, self.evacuated, self.on_configuration_changed
         new = [key for key, value in found.items() if key not in held or value > held[key]]
 
         def changed() -> None:
@@ -316,9 +316,9 @@
             notify()
 
         if CONFIG in new and any(key.startswith(EVACUATION) for key in new):
-            self.changed = changed
+            self.on_configuration_changed = changed
         adopt(self, found)
-        self.changed = notify
+        self.on_configuration_changed = notify
 
     monkeypatch.setattr(Gatekeeper, "_adopt", dropping)
     scenario = Scenario(11, 4, 1).run(8.0).lose_power()
@@ -333,7 +333,7 @@
         adopt(self, found)
         if self.replica is None and before is not None and self.configuration is not before:
             self.configuration = before
-            self.changed()
+            self.on_configuration_changed()
 
     monkeypatch.setattr(Gatekeeper, "_adopt", returning)
     scenario = Scenario(11, 4, 1).run(8.0).lose_power()
