--- a/millfront/operations/store.py
+++ b/millfront/operations/store.py
@@ -51,14 +51,14 @@
 
     def to_row(self) -> str:
         """The row as stored on disk."""
-        kept = self.answer.to_wire() if self.answer is not None else None
-        return json.dumps([self.attempt, self.state.value, kept], separators=(",", ":"))
+        answer = self.answer.to_wire() if self.answer is not None else None
+        return json.dumps([self.attempt, self.state.value, answer], separators=(",", ":"))
 
     @classmethod
     def from_row(cls, row: str, now: float) -> "Operation":
         """Parse a row; its window starts now."""
-        attempt, state, kept = json.loads(row)
-        answer = StoredAnswer.from_wire(kept) if kept is not None else None
+        attempt, state, fields = json.loads(row)
+        answer = StoredAnswer.from_wire(fields) if fields is not None else None
         return cls(attempt, now, State(state), answer, exact_age=False)
 
 
--- a/tests/rule_checkers.py
+++ b/tests/rule_checkers.py
@@ -191,9 +191,9 @@
     :param rate: the tenant's constant rate
     """
     limit, bounds = Tenant(tenant, frozenset(), None, rate, rate, frozenset()), world.bounds
-    whole = allowance_of(limit, bounds)
+    allowance = allowance_of(limit, bounds)
     granted = sum(gatekeeper.quotas.granter.granted_total for gatekeeper in world.gatekeepers())
-    given = whole.capacity + whole.rate * (float(world.env.now) - since)
+    given = allowance.capacity + allowance.rate * (float(world.env.now) - since)
     return (granted - given) / (max_requests_in_window(limit, bounds) - (rate * bounds.rate_window + rate))
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -33,7 +33,7 @@
     return document(version, {"t": ["key-a"]}), document(version, {"t": ["key-b"]})
 
 
-def test_of_two_operators_under_one_number_one_is_confirmed_and_the_other_is_told_who_won() -> None:
+def test_of_two_operators_under_one_number_one_is_confirmed_and_the_other_learns_the_winner() -> None:
     world = started_world()
     world.lost_answers = 0.05
     for version in range(2, 14):
@@ -103,7 +103,7 @@
     assert world.read(1)["revision"] == "00000009"
 
 
-def test_a_promise_that_is_not_kept_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_replicas_that_forget_claims_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     vote = Replica._vote
 
     def forgetful(self: Replica, *how: Any) -> Any:
@@ -115,10 +115,10 @@
     monkeypatch.setattr(Replica, "_last_accepted", lambda self, key: None)
     monkeypatch.setattr(Replica, "_confirmed_claimant", lambda self, key: None)
     with pytest.raises(AssertionError):
-        test_of_two_operators_under_one_number_one_is_confirmed_and_the_other_is_told_who_won()
+        test_of_two_operators_under_one_number_one_is_confirmed_and_the_other_learns_the_winner()
 
 
-def test_whose_a_number_is_is_told_once_a_majority_has_answered_and_no_acceptance_counts_against_it() -> None:
+def test_a_claimant_is_reported_once_a_majority_answered_and_acceptances_do_not_count_against_it() -> None:
     coordinator = Coordinator("x")
     core = Core(2, {name: name for name in "abcd"})
     round = coordinator.decide(0.0, core, 1, "mine", 4.0, claim_key(7))
@@ -148,7 +148,7 @@
     assert world.read(6)["revision"] == f"{59:08x}"
 
 
-def test_a_disk_forgets_what_it_is_told_to_and_nothing_else(tmp_path: Path) -> None:
+def test_a_disk_deletes_the_given_keys_and_nothing_else(tmp_path: Path) -> None:
     disk = Disk(str(tmp_path))
     disk.load()
     disk.store({claim_key(number): Value(1, "n", "d") for number in range(4)} | {CONFIG: Value(3, "", "x")})
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -116,11 +116,11 @@
     assert there == {*LAYERS, *IN_SERVICE, ENTRY}
 
 
-def test_arrows_point_down() -> None:
+def test_imports_point_down() -> None:
     assert upward(dependencies(ROOT / PACKAGE)) == set(EXCEPTIONS)
 
 
-def test_packages_of_the_system_form_no_circle() -> None:
+def test_packages_of_the_system_form_no_import_cycle() -> None:
     graph: dict[str, set[str]] = {}
     for module, to in dependencies(ROOT / PACKAGE) - set(EXCEPTIONS):
         if to in LAYERS:
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -245,7 +245,7 @@
     return faults
 
 
-def test_no_lease_is_counted_from_an_answer_that_lay_in_a_buffer() -> None:
+def test_no_lease_starts_at_an_answer_that_lay_in_a_buffer() -> None:
     assert frozen_with_a_question_under_way() == []
 
 
@@ -264,7 +264,7 @@
     assert frozen_with_a_question_under_way()
 
 
-def test_one_that_was_frozen_sends_nobody_anywhere_until_it_has_heard_of_others_again() -> None:
+def test_a_thawed_process_names_no_servers_until_it_has_heard_of_others_again() -> None:
     world, _ = started_world()
     node = world.nodes[OFF]
     assert node.gatekeeper is not None and node.gatekeeper.resolve(node.now(), "a")
@@ -367,7 +367,7 @@
     coordinator = Coordinator("x")
     round = coordinator.read(0.0, Core(2, {name: name for name in "abcde"}), ["k"], 2.0)
     has: dict[str, Any] = {"k": Value(5, "", "v").to_wire()}
-    for sender, values, lives in (
+    for sender, values, incarnations in (
         ("a", has, {"b": 1}),
         ("b", has, {"a": 1}),
         ("c", {}, {}),
@@ -375,7 +375,7 @@
         ("e", has, {}),
     ):
         coordinator.handle_answer(
-            0.0, sender, {"t": "found", "r": f"{round.ref}/reading", "v": values, "l": lives}
+            0.0, sender, {"t": "found", "r": f"{round.ref}/reading", "v": values, "l": incarnations}
         )
     assert round.phase is Phase.WRITING
 
@@ -410,11 +410,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("where", ["one office", "two offices"])
+@pytest.mark.parametrize("where", ["one gatekeeper", "two gatekeepers"])
 def test_evacuations_at_once_end_in_one_state_everywhere(seed: int, where: str) -> None:
     world, _ = started_world(seed=seed)
     for turn in range(4):
-        one, other = (2, 2) if where == "one office" else (2, 5)
+        one, other = (2, 2) if where == "one gatekeeper" else (2, 5)
         answers = evacuate(world, one, True), evacuate(world, other, False)
         world.run(3.0)
         assert [answer[0][0] for answer in answers] == [200, 200]
--- a/tests/test_operation_claims.py
+++ b/tests/test_operation_claims.py
@@ -41,7 +41,7 @@
 
     def request(self, node: Node, key: str) -> None:
         """One client's request, claimed and completed as the proxy does it."""
-        gatekeeper, life = node.gatekeeper, node.incarnation
+        gatekeeper, incarnation = node.gatekeeper, node.incarnation
         if gatekeeper is None or node.backlog is not None:
             return
         gatekeeper.now = node.now()
@@ -64,16 +64,16 @@
                 return
             self.runs.setdefault(key, []).append(pending.attempt)
             yield self.world.env.timeout(self.random.uniform(0.02, 0.5))
-            if node.incarnation == life and self.random.random() < 0.9:
+            if node.incarnation == incarnation and self.random.random() < 0.9:
                 stored = StoredAnswer(200, (), pending.attempt.encode())
                 claims.finish(pending, stored, frozenset(), lambda: None)
 
         def wait(claim: PendingClaim) -> Process:
             yield self.world.env.timeout(WIDEN_S)
-            if node.incarnation == life:
+            if node.incarnation == incarnation:
                 claims.widen(claim)
             yield self.world.env.timeout(EXPIRE_S - WIDEN_S)
-            if node.incarnation == life:
+            if node.incarnation == incarnation:
                 claims.expire(claim)
 
         pending = claims.begin(operation_id("t", key), 4.0, on_decision)
@@ -201,7 +201,7 @@
     assert len(scenario.runs) > 60
 
 
-def test_what_a_full_disk_did_not_take_is_kept_once_it_does() -> None:
+def test_rows_refused_by_a_full_disk_are_stored_once_it_has_room() -> None:
     """A replica that gathers while its disk is full is complete once all gathered rows are on its disk."""
     made = store({})
     made.add_gathered(1.0, {"o": Operation("a", 0.0).to_row()}, epoch=2)
@@ -216,7 +216,7 @@
     assert made.complete
 
 
-def test_after_a_loss_of_power_of_all_no_key_runs_again() -> None:
+def test_no_key_runs_again_after_all_lost_power() -> None:
     scenario = Scenario(7)
     scenario.clients(6.0, keys=40)
     ran = set(scenario.runs)
@@ -294,7 +294,7 @@
     assert empty.complete
 
 
-def test_one_that_is_out_of_the_core_does_not_become_complete_by_waiting() -> None:
+def test_a_replica_outside_the_core_does_not_become_complete_by_waiting() -> None:
     out = store({COMPLETE_KEY: "2"})
     out.on_core_change(1.0, 4, remains_member=False)
     for at in range(2, 200, 5):
@@ -333,7 +333,7 @@
     assert reply.message["v"] == "no"
 
 
-def test_records_are_told_in_pages_and_without_answers() -> None:
+def test_records_are_sent_in_pages_and_without_answers() -> None:
     answer = StoredAnswer(200, (), b"private")
     kept = {
         f"{number:04d}": Operation("a", 0.0, answer=answer).to_row() for number in range(PAGE_RECORDS + 5)
--- a/tests/test_operation_keys.py
+++ b/tests/test_operation_keys.py
@@ -27,7 +27,7 @@
     run_scenario(scenario)
 
 
-def test_a_repeat_while_the_first_is_at_work_is_told_so(tmp_path: Path) -> None:
+def test_a_repeat_while_the_first_request_runs_gets_409(tmp_path: Path) -> None:
     async def scenario() -> None:
         may_answer = asyncio.Event()
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.anyio
-async def test_callers_that_say_nothing_hold_nobody_up(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_callers_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operators_line, "CALLER_TIMEOUT_S", 0.3)
     async with running_node(Peer()) as on:
         host, _, port = on.admin_address.rpartition(":")
@@ -90,13 +90,13 @@
 
 
 @pytest.mark.anyio
-async def test_before_a_pool_member_is_known_the_check_says_no() -> None:
+async def test_check_fails_until_a_pool_member_is_known() -> None:
     async with running_node() as on:
         assert await on.call_admin(b"check\n") == b"FAILURE no pool member is known yet\n"
 
 
 @pytest.mark.anyio
-async def test_a_drain_sends_clients_away_and_takes_them_again() -> None:
+async def test_a_drain_closes_clients_and_accepts_them_again() -> None:
     finish = anyio.Event()
 
     async def slow(stream: Any) -> None:
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.anyio
-async def test_who_waits_to_be_accepted_when_the_listener_closes_is_served() -> None:
+async def test_connections_pending_when_the_listener_closes_are_served() -> None:
     async with running_node(Peer()) as on:
         host, _, port = on.address.rpartition(":")
         # Connected before the event loop runs again
