--- a/millfront/agreement/part.py
+++ b/millfront/agreement/part.py
@@ -127,7 +127,7 @@
 
     def interim(self, settings: api.Settings) -> api.Settings:
         """The settings in force, made safe for every older version of the interim: classes and plans by name,
-        through the places the tuning keeps for them."""
+        through the places that the active settings keep for them."""
         view, tuning = self.view, self.node.active_settings
         if view.mode is Mode.AGREED:
             return settings
