--- a/benchmarks/ledger_speed.py
+++ b/benchmarks/ledger_speed.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from millfront.operators.document import Usage
-from millfront.operators.slices import driven
+from millfront.operators.slices import run_to_end
 from millfront.usage.batches import making
 from millfront.usage.ledger import Ledger
 from millfront.usage.records import Opened, Result
@@ -58,7 +58,7 @@
             syncing.join()
             ledger.synced(pending)
         if (segment := ledger.due()) is not None and segment.path.exists():
-            driven(making(segment.path.read_bytes(), segment.first, segment.next_seq, 60))
+            run_to_end(making(segment.path.read_bytes(), segment.first, segment.next_seq, 60))
             ledger.sealed.pop(0)
             batches += 1
         time.sleep(0.001)
--- a/benchmarks/plan_change.py
+++ b/benchmarks/plan_change.py
@@ -28,7 +28,7 @@
 from millfront.node import config
 from millfront.node.service import Node
 from millfront.operators.document import Plans
-from millfront.operators.slices import driven
+from millfront.operators.slices import run_to_end
 from millfront.plans import book as books
 from millfront.plans.part import LivePlans
 from tests.peers import configuration, row, settings
@@ -129,7 +129,7 @@
         over = True
     tracemalloc.start()
     held = books.decode(text)
-    compiled = driven(books.compiling(held, part.settings_plans, None, 0))
+    compiled = run_to_end(books.compiling(held, part.settings_plans, None, 0))
     size = tracemalloc.get_traced_memory()[0] / 2**20
     tracemalloc.stop()
     del compiled
--- a/millfront/cli/documents.py
+++ b/millfront/cli/documents.py
@@ -9,7 +9,7 @@
 
 from millfront.node import config
 from millfront.operators import document
-from millfront.operators.faults import Fault, Unusable
+from millfront.operators.faults import Fault, InvalidDocument
 from millfront.plans import book as books
 
 
@@ -40,7 +40,7 @@
             return kind, books.check(book, named, float("inf"))
         else:
             config.from_json(held)
-    except Unusable as wrong:
+    except InvalidDocument as wrong:
         return kind, wrong.faults
     except config.ConfigError as wrong:
         path_in, _, why = str(wrong).partition(": ")
--- a/millfront/cli/plans.py
+++ b/millfront/cli/plans.py
@@ -12,7 +12,7 @@
 from millfront.cli import caller
 from millfront.cli.exits import CONFLICT, DIFFERS, UNREACHABLE, UNUSABLE, fail, json_option, show
 from millfront.operators import document
-from millfront.operators.faults import Fault, Unusable
+from millfront.operators.faults import Fault, InvalidDocument
 from millfront.plans import book as books
 from millfront.plans.book import Assignment, Book, Reservation
 from millfront.plans.store import BookStore, Conflict
@@ -44,7 +44,7 @@
         text, tag = self.read()
         try:
             return (books.decode(text) if tag else None), tag
-        except Unusable as wrong:
+        except InvalidDocument as wrong:
             fail(UNUSABLE, *wrong.faults)
 
     def write(self, book: Book, tag: str) -> None:
@@ -98,7 +98,7 @@
 def _told(operator: str) -> document.Plans | None:
     try:
         return document.parse(Path(operator).read_bytes()).plans
-    except Unusable as wrong:
+    except InvalidDocument as wrong:
         fail(UNUSABLE, *wrong.faults)
 
 
@@ -158,7 +158,7 @@
 def _faults(target: Target, text: bytes) -> list[Fault]:
     try:
         book = books.decode(text)
-    except Unusable as wrong:
+    except InvalidDocument as wrong:
         return wrong.faults
     return books.check(book, target.known or {e.plan for e in book.assignments}, target.most_reserved)
 
@@ -172,7 +172,7 @@
     book, _ = target.book()
     try:
         other = books.decode(Path(book_file).read_bytes())
-    except Unusable as wrong:
+    except InvalidDocument as wrong:
         fail(UNUSABLE, *wrong.faults)
     lines = books.difference(book or books.empty(), other)
     show(as_json, {"changes": lines}, "\n".join(lines) or "no difference")
@@ -189,7 +189,7 @@
     """Put BOOK_FILE in force. Its version must go up."""
     try:
         book = books.decode(Path(book_file).read_bytes())
-    except Unusable as wrong:
+    except InvalidDocument as wrong:
         fail(UNUSABLE, *wrong.faults)
     _, tag = target.read()
     if if_match is not None and if_match.strip('"') != tag.strip('"'):
@@ -342,7 +342,7 @@
     for number in target.store.versions():
         try:
             book = books.decode(target.store.version(number))
-        except Unusable as wrong:
+        except InvalidDocument as wrong:
             lines.append(f"{number}: can't be read: {wrong}")
             told.append({"version": number, "faults": [str(f) for f in wrong.faults]})
             continue
--- a/millfront/cli/rehearse.py
+++ b/millfront/cli/rehearse.py
@@ -14,12 +14,12 @@
 
 
 def _load(path: str) -> object:
-    from millfront.operators.faults import Unusable
+    from millfront.operators.faults import InvalidDocument
     from millfront.rehearsal import scenario
 
     try:
         return scenario.load(path)
-    except Unusable as wrong:
+    except InvalidDocument as wrong:
         fail(UNUSABLE, *[f"{path}: {fault}" for fault in wrong.faults])
 
 
--- a/millfront/cli/usage.py
+++ b/millfront/cli/usage.py
@@ -13,7 +13,7 @@
 
 from millfront.cli.exits import DIFFERS, UNREACHABLE, UNUSABLE, fail, json_option, show
 from millfront.operators import document
-from millfront.operators.faults import Unusable
+from millfront.operators.faults import InvalidDocument
 from millfront.usage import audit
 from millfront.usage.ledger import Foreign, Ledger
 from millfront.usage.part import Exporter, sink_of
@@ -28,7 +28,7 @@
         if operator is not None:
             try:
                 self.usage = document.parse(Path(operator).read_bytes()).usage
-            except Unusable as wrong:
+            except InvalidDocument as wrong:
                 fail(UNUSABLE, *wrong.faults)
         found = folder or (self.usage.folder if self.usage else None)
         if found is None:
--- a/millfront/daemon.py
+++ b/millfront/daemon.py
@@ -26,7 +26,7 @@
     if operators is not None:
         from millfront.operators import parts
 
-        parts.put(node, operators)
+        parts.add_parts(node, operators)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watch_signals, node)
         await node.run()
--- a/millfront/operators/admin.py
+++ b/millfront/operators/admin.py
@@ -27,9 +27,9 @@
 
 log = Log(__name__)
 
-MOST_CALLERS = 4
-MOST_BODY = 32 * 1024 * 1024  # a book of some 300,000 assignments
-CALL_S = 20.0  # a call that is not whole by then is cut
+MAX_CALLERS = 4
+MAX_BODY_BYTES = 32 * 1024 * 1024  # a book of some 300,000 assignments
+CALL_TIMEOUT_S = 20.0  # a call that is not whole by then is cut
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +40,8 @@
     kind: bytes = b"application/json"
 
 
-def said(status: int, what: object, fields: Fields | None = None) -> Reply:
-    return Reply(status, json.dumps(what).encode() + b"\n", fields or [])
+def json_reply(status: int, content: object, fields: Fields | None = None) -> Reply:
+    return Reply(status, json.dumps(content).encode() + b"\n", fields or [])
 
 
 Handler = Callable[[Message], Awaitable[Reply]]
@@ -50,18 +50,18 @@
 class Admin:
     name = "admin"
 
-    def __init__(self, node: Node, told: document.Admin) -> None:
+    def __init__(self, node: Node, options: document.Admin) -> None:
         self.node = node
-        self.listen = told.listen
+        self.listen = options.listen
         self.address = ""
         self.routes: dict[bytes, dict[bytes, Handler]] = {b"/v1/status": {b"GET": self._status}}
-        self._says: dict[str, Callable[[], dict[str, object]]] = {}
+        self._status_sources: dict[str, Callable[[], dict[str, object]]] = {}
         self._listener: SocketListener | None = None
-        self._serving = anyio.CancelScope()
-        self._room = anyio.Semaphore(MOST_CALLERS)
+        self._scope = anyio.CancelScope()
+        self._call_slots = anyio.Semaphore(MAX_CALLERS)
 
-    def says(self, part: str, status: Callable[[], dict[str, object]]) -> None:
-        self._says[part] = status
+    def add_status(self, part: str, status: Callable[[], dict[str, object]]) -> None:
+        self._status_sources[part] = status
 
     async def start(self) -> None:
         if self.listen.startswith("unix:"):
@@ -70,21 +70,21 @@
             unix: Any = await anyio.create_unix_listener(path, mode=0o600)
             self._listener, self.address = unix, self.listen
             return
-        where = Address.parse(self.listen, "admin.listen")
-        listeners = await anyio.create_tcp_listener(local_host=where.host, local_port=where.port)
+        address = Address.parse(self.listen, "admin.listen")
+        listeners = await anyio.create_tcp_listener(local_host=address.host, local_port=address.port)
         (inner,) = listeners.listeners
         assert isinstance(inner, SocketListener)
         self._listener = inner
-        self.address = f"{where.host}:{inner.extra(anyio.abc.SocketAttribute.local_port)}"
+        self.address = f"{address.host}:{inner.extra(anyio.abc.SocketAttribute.local_port)}"
         log.info("the admin API listens", address=self.address)
 
     async def run(self) -> None:
         assert self._listener is not None
-        with self._serving:
+        with self._scope:
             await self._listener.serve(self._serve)
 
     async def stop(self) -> None:
-        self._serving.cancel()
+        self._scope.cancel()
         if self._listener is not None:
             await self._listener.aclose()
         if self.listen.startswith("unix:"):
@@ -95,61 +95,63 @@
         pass
 
     async def _serve(self, stream: SocketStream) -> None:
-        wire = HttpConnection(stream, h11.SERVER)
+        connection = HttpConnection(stream, h11.SERVER)
         try:
-            async with self._room:
-                with anyio.move_on_after(CALL_S):
+            async with self._call_slots:
+                with anyio.move_on_after(CALL_TIMEOUT_S):
                     while True:
-                        await self._answer(wire, await self._call(wire))
-                        if not wire.reusable():
+                        await self._respond(connection, await self._read_call(connection))
+                        if not connection.reusable():
                             break
         except ExchangeError:
             pass
         except Exception:
             log.exception("an admin call failed")
         finally:
-            await wire.close()
+            await connection.close()
 
-    async def _call(self, wire: HttpConnection) -> Message:
-        head = await wire.next_event()
+    async def _read_call(self, connection: HttpConnection) -> Message:
+        head = await connection.next_event()
         if not isinstance(head, h11.Request):
             raise ExchangeError(Ending.MALFORMED, "no request")
-        if wire.h11.they_are_waiting_for_100_continue:
-            await wire.write(h11.InformationalResponse(status_code=100, headers=[]))
+        if connection.h11.they_are_waiting_for_100_continue:
+            await connection.write(h11.InformationalResponse(status_code=100, headers=[]))
         parts: list[bytes] = []
         size = 0
-        while isinstance(event := await wire.next_event(), h11.Data):
+        while isinstance(event := await connection.next_event(), h11.Data):
             size += len(event.data)
-            if size > MOST_BODY:
-                await self._answer(wire, Message((b"", b""), [], [], b""), said(413, {"error": "too long"}))
+            if size > MAX_BODY_BYTES:
+                await self._respond(
+                    connection, Message((b"", b""), [], [], b""), json_reply(413, {"error": "too long"})
+                )
                 raise ExchangeError(Ending.MALFORMED, "too long")
             parts.append(bytes(event.data))
         start = (head.method, head.target.partition(b"?")[0])
         return Message(start, list(head.headers), head.headers.raw_items(), b"".join(parts))
 
-    async def _answer(self, wire: HttpConnection, call: Message, reply: Reply | None = None) -> None:
-        reply = reply or await self._reply(call)
+    async def _respond(self, connection: HttpConnection, call: Message, reply: Reply | None = None) -> None:
+        reply = reply or await self._handle(call)
         fields = [(b"Content-Type", reply.kind), (b"Content-Length", b"%d" % len(reply.body)), *reply.fields]
         head = h11.Response(status_code=reply.status, headers=fields, reason=REASONS.get(reply.status, b""))
-        await wire.write(head, h11.Data(data=reply.body), h11.EndOfMessage())
+        await connection.write(head, h11.Data(data=reply.body), h11.EndOfMessage())
 
-    async def _reply(self, call: Message) -> Reply:
+    async def _handle(self, call: Message) -> Reply:
         assert isinstance(call.start, tuple)
         method, path = call.start
         methods = self.routes.get(path)
         if methods is None:
-            return said(404, {"error": "no such resource"})
+            return json_reply(404, {"error": "no such resource"})
         if method not in methods:
-            return said(405, {"error": "not allowed"}, [(b"Allow", b", ".join(sorted(methods)))])
+            return json_reply(405, {"error": "not allowed"}, [(b"Allow", b", ".join(sorted(methods)))])
         try:
             return await methods[method](call)
         except Exception:
             log.exception("an admin call failed")
-            return said(500, {"error": "it failed; the log says why"})
+            return json_reply(500, {"error": "it failed; the log says why"})
 
     async def _status(self, call: Message) -> Reply:
-        told: dict[str, object] = {"name": self.node.config.name, "open": len(self.node.host.open)}
-        return said(200, told | {part: status() for part, status in self._says.items()})
+        report: dict[str, object] = {"name": self.node.config.name, "open": len(self.node.host.open)}
+        return json_reply(200, report | {part: status() for part, status in self._status_sources.items()})
 
 
 def _remove_stale(path: str) -> None:
--- a/millfront/operators/document.py
+++ b/millfront/operators/document.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from millfront.node.config import ConfigError
-from millfront.operators.faults import Fault, Unusable, faults_of
+from millfront.operators.faults import Fault, InvalidDocument, find_faults
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=86_400)]
@@ -129,21 +129,21 @@
 
 
 def parse(text: bytes) -> Operators:
-    """:raises Unusable: with every fault"""
+    """:raises InvalidDocument: with every fault"""
     try:
         return msgspec.json.decode(text, type=Operators)
     except msgspec.ValidationError:
-        found = faults_of(Operators, msgspec.json.decode(text))
-    except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-        found = [Fault("$", f"is not JSON: {wrong}")]
-    raise Unusable("operators' file", found)
+        found = find_faults(Operators, msgspec.json.decode(text))
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        found = [Fault("$", f"is not JSON: {error}")]
+    raise InvalidDocument("operators' file", found)
 
 
 def load(path: str) -> Operators:
     """:raises ConfigError: a file that can't be read or used; the text names every fault"""
     try:
         return parse(Path(path).read_bytes())
-    except OSError as wrong:
-        raise ConfigError(f"operators' file: {path}: {wrong.strerror}") from None
-    except Unusable as wrong:
-        raise ConfigError(str(wrong)) from None
+    except OSError as error:
+        raise ConfigError(f"operators' file: {path}: {error.strerror}") from None
+    except InvalidDocument as error:
+        raise ConfigError(str(error)) from None
--- a/millfront/operators/faults.py
+++ b/millfront/operators/faults.py
@@ -22,7 +22,7 @@
         return f"{self.path}: {self.why}"
 
 
-class Unusable(Exception):
+class InvalidDocument(Exception):
     """A document with faults; the text names each of them."""
 
     def __init__(self, what: str, faults: list[Fault]) -> None:
@@ -30,7 +30,7 @@
         self.faults = faults
 
 
-def faults_of(kind: Any, value: object, path: str = "$") -> list[Fault]:
+def find_faults(kind: Any, value: object, path: str = "$") -> list[Fault]:
     """What keeps a decoded JSON value from being of that type; nothing means that it is of it.
 
     :param kind: a msgspec Struct, or a type that may stand in one
@@ -49,7 +49,7 @@
             yield from _walk(structs[0], value, path)
             return
     elif isinstance(kind, type) and issubclass(kind, msgspec.Struct) and isinstance(value, dict):
-        yield from _struct(kind, value, path)
+        yield from _walk_struct(kind, value, path)
         return
     elif origin in (list, tuple) and isinstance(value, list):
         for position, item in enumerate(value):
@@ -57,13 +57,13 @@
         return
     elif origin is dict and isinstance(value, dict):
         for name, item in value.items():
-            yield from _leaf(arguments[0], name, f"{path}.{name}")
+            yield from _check_value(arguments[0], name, f"{path}.{name}")
             yield from _walk(arguments[1], item, f"{path}.{name}")
         return
-    yield from _leaf(kind, value, path)
+    yield from _check_value(kind, value, path)
 
 
-def _struct(kind: type[msgspec.Struct], value: dict[str, Any], path: str) -> Iterator[Fault]:
+def _walk_struct(kind: type[msgspec.Struct], value: dict[str, Any], path: str) -> Iterator[Fault]:
     fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
     found = False
     for name in value:
@@ -80,11 +80,11 @@
             found = True
             yield Fault(f"{path}.{name}", "is missing")
     if not found:  # what the fields say together is checked once each is well by itself
-        yield from _leaf(kind, value, path)
+        yield from _check_value(kind, value, path)
 
 
-def _leaf(kind: Any, value: object, path: str) -> Iterator[Fault]:
+def _check_value(kind: Any, value: object, path: str) -> Iterator[Fault]:
     try:
         msgspec.convert(value, kind)
-    except msgspec.ValidationError as wrong:
-        yield Fault(path, str(wrong).partition(" - at ")[0])
+    except msgspec.ValidationError as error:
+        yield Fault(path, str(error).partition(" - at ")[0])
--- a/millfront/operators/parts.py
+++ b/millfront/operators/parts.py
@@ -4,42 +4,42 @@
 from millfront.operators.document import Operators
 
 
-def put(node: Node, told: Operators) -> None:
+def add_parts(node: Node, options: Operators) -> None:
     """In the order of their start: the ledger before what serves, the admin API last."""
     admin = None
-    if told.admin is not None:
+    if options.admin is not None:
         from millfront.operators.admin import Admin
 
-        admin = Admin(node, told.admin)
-    if told.usage is not None:
+        admin = Admin(node, options.admin)
+    if options.usage is not None:
         from millfront.usage.part import UsagePart
 
-        usage = UsagePart(node, told.usage)
+        usage = UsagePart(node, options.usage)
         node.parts.add(usage)
         if admin is not None:
-            admin.says("usage", usage.status)
-    if told.plans is not None:
+            admin.add_status("usage", usage.status)
+    if options.plans is not None:
         from millfront.plans.api import PlansApi
         from millfront.plans.part import LivePlans
 
-        plans = LivePlans(node, told.plans)
+        plans = LivePlans(node, options.plans)
         node.parts.add(plans)
         if admin is not None:
-            admin.says("plans", plans.status)
+            admin.add_status("plans", plans.status)
             PlansApi(plans).at(admin)
-    if told.agreement is not None:
+    if options.agreement is not None:
         from millfront.agreement.part import Agreeing
 
-        agreeing = Agreeing(node, told.agreement)
+        agreeing = Agreeing(node, options.agreement)
         node.parts.add(agreeing)
         if admin is not None:
-            admin.says("agreement", agreeing.status)
-    if told.http2 is not None:
+            admin.add_status("agreement", agreeing.status)
+    if options.http2 is not None:
         from millfront.http2.part import Http2Front
 
-        front = Http2Front(node, told.http2)
+        front = Http2Front(node, options.http2)
         node.parts.add(front)
         if admin is not None:
-            admin.says("http2", front.status)
+            admin.add_status("http2", front.status)
     if admin is not None:
         node.parts.add(admin)
--- a/millfront/operators/slices.py
+++ b/millfront/operators/slices.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-def driven(steps: Iterator[T | None]) -> T:
+def run_to_end(steps: Iterator[T | None]) -> T:
     """To its end without pauses."""
     last: T | None = None
     for step in steps:
@@ -20,7 +20,7 @@
     return last
 
 
-async def sliced(steps: Iterator[T | None], pause_s: float) -> T:
+async def run_in_slices(steps: Iterator[T | None], pause_s: float) -> T:
     """With a pause after each slice, in which the loop goes on with other work."""
     last: T | None = None
     for last in steps:
--- a/millfront/plans/api.py
+++ b/millfront/plans/api.py
@@ -8,8 +8,8 @@
 import anyio.to_thread
 
 from millfront.node.http import Message
-from millfront.operators.admin import Admin, Reply, said
-from millfront.operators.faults import Unusable
+from millfront.operators.admin import Admin, Reply, json_reply
+from millfront.operators.faults import InvalidDocument
 from millfront.plans.part import LivePlans
 from millfront.plans.store import Conflict
 
@@ -24,7 +24,7 @@
     async def get(self, call: Message) -> Reply:
         text, tag = await anyio.to_thread.run_sync(self.plans.store.read)
         if not tag:
-            return said(404, {"error": "there is no plan book yet"})
+            return json_reply(404, {"error": "there is no plan book yet"})
         held = self.plans.compiled
         in_force = b"%d" % (held.version if held is not None else 0)
         return Reply(200, text, [(b"ETag", tag.encode()), (b"Millfront-In-Force", in_force)])
@@ -32,7 +32,7 @@
     async def put(self, call: Message) -> Reply:
         expected = call.field(b"if-match")
         if expected is None and call.field(b"if-none-match") != b"*":
-            return said(428, {"error": "If-Match, or If-None-Match: *, is wanted"})
+            return json_reply(428, {"error": "If-Match, or If-None-Match: *, is wanted"})
         try:
             book = await self.plans.sound(call.body)
             held = self.plans.compiled
@@ -41,11 +41,11 @@
             was = (expected or b"").decode("latin-1")
             tag = await anyio.to_thread.run_sync(self.plans.store.write, call.body, book.version, was)
             late = await self.plans.apply(book, tag)
-        except Unusable as wrong:
-            return said(422, {"error": "the book has faults", "faults": [str(f) for f in wrong.faults]})
+        except InvalidDocument as wrong:
+            return json_reply(422, {"error": "the book has faults", "faults": [str(f) for f in wrong.faults]})
         except Conflict as wrong:
-            return said(412, {"error": str(wrong)})
+            return json_reply(412, {"error": str(wrong)})
         except OSError as wrong:
-            return said(507, {"error": f"not written: {wrong.strerror}"})
+            return json_reply(507, {"error": f"not written: {wrong.strerror}"})
         told = {"version": book.version, "late_s": late.most_us / 1e6}
-        return said(200, told, [(b"ETag", tag.encode())])
+        return json_reply(200, told, [(b"ETag", tag.encode())])
--- a/millfront/plans/book.py
+++ b/millfront/plans/book.py
@@ -15,8 +15,8 @@
 
 from millfront import interface as api
 from millfront.operators.document import Strict
-from millfront.operators.faults import Fault, Unusable, faults_of
-from millfront.operators.slices import driven
+from millfront.operators.faults import Fault, InvalidDocument, find_faults
+from millfront.operators.slices import run_to_end
 
 Instant = Annotated[datetime.datetime, msgspec.Meta(tz=True)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
@@ -145,7 +145,7 @@
 
 def decode(text: bytes) -> Book:
     """:raises Unusable: with every fault of form; check() finds those of meaning"""
-    return driven(decoding(text))
+    return run_to_end(decoding(text))
 
 
 def decoding(text: bytes) -> Iterator["Book | None"]:
@@ -153,9 +153,9 @@
     try:
         raw = msgspec.json.decode(text, type=_Raw)
     except msgspec.ValidationError:
-        raise Unusable("plan book", faults_of(Book, msgspec.json.decode(text))) from None
+        raise InvalidDocument("plan book", find_faults(Book, msgspec.json.decode(text))) from None
     except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-        raise Unusable("plan book", [Fault("$", f"is not JSON: {wrong}")]) from None
+        raise InvalidDocument("plan book", [Fault("$", f"is not JSON: {wrong}")]) from None
     yield None
     decoder = msgspec.json.Decoder(Assignment)
     names: dict[str, str] = {}  # a plan's name once, not once a customer
@@ -167,11 +167,11 @@
             msgspec.structs.force_setattr(made, "plan", names.setdefault(made.plan, made.plan))
             entries.append(made)
         except msgspec.ValidationError:
-            faults += faults_of(Assignment, msgspec.json.decode(entry), f"$.assignments[{position}]")
+            faults += find_faults(Assignment, msgspec.json.decode(entry), f"$.assignments[{position}]")
         if position % SLICE == SLICE - 1:
             yield None
     if faults:
-        raise Unusable("plan book", faults)
+        raise InvalidDocument("plan book", faults)
     yield Book(raw.version, raw.plans, tuple(entries), raw.reservations, raw.by, raw.note)
 
 
@@ -181,7 +181,7 @@
     :param known_plans: names in the settings, beside the book's own
     :param most_reserved: units a second that reservations may come to at any instant
     """
-    return driven(checking(book, known_plans, most_reserved))
+    return run_to_end(checking(book, known_plans, most_reserved))
 
 
 def checking(book: Book, known_plans: Iterable[str], most_reserved: float) -> Iterator[list[Fault] | None]:
--- a/millfront/plans/part.py
+++ b/millfront/plans/part.py
@@ -10,8 +10,8 @@
 from millfront.logs import Log
 from millfront.node.service import Node
 from millfront.operators.document import Plans
-from millfront.operators.faults import Fault, Unusable
-from millfront.operators.slices import sliced
+from millfront.operators.faults import Fault, InvalidDocument
+from millfront.operators.slices import run_in_slices
 from millfront.plans import book as books
 from millfront.plans.book import Book, Compiled, Late
 from millfront.plans.carry import carry
@@ -99,17 +99,17 @@
         try:
             book = await self.sound(text)
             await self.apply(book, found_tag)
-        except Unusable as wrong:
+        except InvalidDocument as wrong:
             self.refused = [str(fault) for fault in wrong.faults]
             held = self.compiled.version if self.compiled else None
             log.error("the plan book is not taken", holds=held, faults=self.refused[:10])
 
     async def sound(self, text: bytes) -> Book:
         """:raises Unusable: with every fault, of form and of meaning"""
-        book = await sliced(books.decoding(text), PAUSE_S)
-        faults = await sliced(books.checking(book, self.settings_plans, self.most_reserved), PAUSE_S)
+        book = await run_in_slices(books.decoding(text), PAUSE_S)
+        faults = await run_in_slices(books.checking(book, self.settings_plans, self.most_reserved), PAUSE_S)
         if faults:
-            raise Unusable("plan book", faults)
+            raise InvalidDocument("plan book", faults)
         return book
 
     async def apply(self, book: Book, its_tag: str) -> Late:
@@ -125,10 +125,10 @@
                 return Late(0, 0)  # the file was looked at between its writing and this
             if before is not None and book.version <= before.version:
                 why = f"{book.version} does not go up; {before.version} is in force"
-                raise Unusable("plan book", [Fault("$.version", why)])
+                raise InvalidDocument("plan book", [Fault("$.version", why)])
             now = self.node.clock.now()
             steps = books.compiling(book, self.settings_plans, before, now)
-            compiled, late = await sliced(steps, PAUSE_S)
+            compiled, late = await run_in_slices(steps, PAUSE_S)
             self.compiled, self.tag, self.refused, self.applied_us = compiled, its_tag, [], now
             self._carry_out(self.leases.book(now, [_held(r) for r in book.reservations]))
         fields = {"version": book.version, "assignments": len(book.assignments), "by": book.by}
--- a/millfront/plans/store.py
+++ b/millfront/plans/store.py
@@ -7,8 +7,8 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from millfront.operators.faults import Unusable
-from millfront.operators.files import write_whole
+from millfront.operators.faults import InvalidDocument
+from millfront.operators.files import write_atomically
 from millfront.plans import book as books
 from millfront.plans.book import Book
 
@@ -53,8 +53,8 @@
             if now and version <= books.decode(now).version:
                 raise Conflict(f"version {version} does not go up")
             self.history.mkdir(exist_ok=True)
-            write_whole(self.history / f"{version:09d}.json", text)
-            write_whole(self.file, text)
+            write_atomically(self.history / f"{version:09d}.json", text)
+            write_atomically(self.file, text)
         return tag(text)
 
     def versions(self) -> list[int]:
@@ -71,7 +71,7 @@
         for number in reversed(self.versions()):
             try:
                 return books.decode(self.version(number))
-            except (OSError, Unusable):
+            except (OSError, InvalidDocument):
                 continue
         return None
 
--- a/millfront/rehearsal/scenario.py
+++ b/millfront/rehearsal/scenario.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from millfront.operators.faults import Fault as Finding
-from millfront.operators.faults import Unusable, faults_of
+from millfront.operators.faults import InvalidDocument, find_faults
 
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3_600)]
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
@@ -126,25 +126,25 @@
 
 
 def parse(text: bytes, toml: bool) -> Scenario:
-    """:raises Unusable: with every fault, each by its path"""
+    """:raises InvalidDocument: with every fault, each by its path"""
     try:
         raw: object = tomllib.loads(text.decode()) if toml else json.loads(text)
     except (tomllib.TOMLDecodeError, ValueError, UnicodeDecodeError) as wrong:
-        raise Unusable("scenario", [Finding("$", f"can't be read: {wrong}")]) from None
+        raise InvalidDocument("scenario", [Finding("$", f"can't be read: {wrong}")]) from None
     try:
         return msgspec.convert(raw, type=Scenario)
     except msgspec.ValidationError as wrong:
-        found = faults_of(Scenario, raw) or [Finding("$", str(wrong))]
-    raise Unusable("scenario", found)
+        found = find_faults(Scenario, raw) or [Finding("$", str(wrong))]
+    raise InvalidDocument("scenario", found)
 
 
 def load(path: str | Path) -> Scenario:
-    """:raises Unusable: also for a file that can't be read"""
+    """:raises InvalidDocument: also for a file that can't be read"""
     where = Path(path)
     try:
         text = where.read_bytes()
     except OSError as wrong:
-        raise Unusable("scenario", [Finding("$", f"{where}: {wrong.strerror}")]) from None
+        raise InvalidDocument("scenario", [Finding("$", f"{where}: {wrong.strerror}")]) from None
     return parse(text, toml=where.suffix == ".toml")
 
 
--- a/millfront/usage/audit.py
+++ b/millfront/usage/audit.py
@@ -11,7 +11,7 @@
 import msgspec
 import zstandard
 
-from millfront.operators.slices import driven
+from millfront.operators.slices import run_to_end
 from millfront.usage.batches import Batch, key_of, making, parsed
 from millfront.usage.ledger import Receipt, Segment, chained, receipts_of, segments_of
 from millfront.usage.records import Gap, Head, Opened, Result, Scan, Settled, read
@@ -207,6 +207,6 @@
     for segment in seen.segments:
         if f".{segment.first:016x}-" in name:
             data = segment.path.read_bytes()
-            made = driven(making(data, segment.first, segment.next_seq, period_s))
+            made = run_to_end(making(data, segment.first, segment.next_seq, period_s))
             return made if made.name == name else None
     return None
--- a/millfront/usage/ledger.py
+++ b/millfront/usage/ledger.py
@@ -26,7 +26,7 @@
 
 from millfront.logs import Log
 from millfront.operators.document import Usage
-from millfront.operators.files import sync, write_whole
+from millfront.operators.files import fsync_path, write_atomically
 from millfront.usage.batches import Batch
 from millfront.usage.records import FORMAT, Gap, Head, Kind, Opened, Result, Scan, Settled, frame, read
 
@@ -166,7 +166,7 @@
         self.next_seq = max(self.next_seq, self.acknowledged + 1)
         self.sealed = [s for s in segments if s.next_seq > s.first]
         for segment in self.sealed:  # a former life may have ended before it made them lasting
-            sync(segment.path)
+            fsync_path(segment.path)
         self._bytes_sealed = sum(s.size for s in self.sealed)
         self._sent_bytes = sum(p.stat().st_size for p in (self.folder / "sent").iterdir())
         now = self._now()
@@ -175,7 +175,7 @@
         ]
         found.abandoned = len(ended)
         self._begin(chain, ended)
-        sync(self.folder)
+        fsync_path(self.folder)
         self.compact(self.acknowledged)
         return found
 
@@ -185,7 +185,7 @@
             held = json.loads(path.read_bytes())
         except FileNotFoundError:
             held = {"format": FORMAT, "ledger": secrets.token_hex(8)}
-            write_whole(path, json.dumps(held).encode() + b"\n")
+            write_atomically(path, json.dumps(held).encode() + b"\n")
         except ValueError:
             raise Foreign(f"{path} is not a ledger's identity") from None
         if held.get("format", 0) > FORMAT:
@@ -193,7 +193,7 @@
         if held.get("format", 0) < FORMAT:
             # Segments of an older format are read by their own frames; new ones are written in this one.
             held = {"format": FORMAT, "ledger": held.get("ledger") or secrets.token_hex(8)}
-            write_whole(path, json.dumps(held).encode() + b"\n")
+            write_atomically(path, json.dumps(held).encode() + b"\n")
         return str(held["ledger"])
 
     def _read_receipts(self) -> None:
@@ -382,7 +382,7 @@
             os.fsync(self._fd)
         for _, fd in list(self.unsynced):
             os.fsync(fd)
-        sync(self.folder)
+        fsync_path(self.folder)
 
     def synced(self, sealed: list[tuple[Segment, int]]) -> None:
         """Those segments are lasting: they may be exported."""
@@ -400,7 +400,7 @@
 
     def keep(self, batch: Batch, packed: bytes) -> None:
         """Before it is sent: the batch as it goes out, for reconciling."""
-        write_whole(self.folder / "sent" / f"{batch.name}.jsonl.zst", packed)
+        write_atomically(self.folder / "sent" / f"{batch.name}.jsonl.zst", packed)
         self._sent_bytes += len(packed)
 
     def receipt(self, batch: Batch) -> None:
--- a/millfront/usage/part.py
+++ b/millfront/usage/part.py
@@ -11,7 +11,7 @@
 from millfront.node.host import OpenRequest
 from millfront.node.service import Node
 from millfront.operators.document import Usage
-from millfront.operators.slices import sliced
+from millfront.operators.slices import run_in_slices
 from millfront.usage import batches
 from millfront.usage.batches import Batch
 from millfront.usage.ledger import Foreign, Ledger, Segment
@@ -235,7 +235,7 @@
         if self._made is None or self._made[0] is not segment:
             data = await anyio.to_thread.run_sync(segment.path.read_bytes)
             steps = batches.making(data, segment.first, segment.next_seq, self.told.period_s)
-            batch = await sliced(steps, PAUSE_S)
+            batch = await run_in_slices(steps, PAUSE_S)
             if batch.head.missing:
                 log.error("the ledger lost records", batch=batch.name, missing=batch.head.missing)
             text = await anyio.to_thread.run_sync(packed, batch.text)
--- a/millfront/usage/receiver.py
+++ b/millfront/usage/receiver.py
@@ -16,7 +16,7 @@
 import msgspec
 import zstandard
 
-from millfront.operators.files import write_whole
+from millfront.operators.files import write_atomically
 from millfront.usage.batches import key_of, parsed
 from millfront.usage.sinks import packed, unpacked
 
@@ -59,7 +59,7 @@
         if hashlib.sha256(text).hexdigest() != digest or head.lines != len(lines_of) or head.batch != name:
             return 400, {"error": "not what its digest, its name or its head say"}
         if self.folder is not None:
-            write_whole(self.folder / f"{name}.jsonl.zst", packed(text))
+            write_atomically(self.folder / f"{name}.jsonl.zst", packed(text))
         self._take(name, text)
         return 201, {"digest": digest, "lines": head.lines, "next": self.marks[match["ledger"]]}
 
--- a/millfront/usage/sinks.py
+++ b/millfront/usage/sinks.py
@@ -22,7 +22,7 @@
 from millfront.node.endings import ExchangeError
 from millfront.node.http import HttpConnection, Message, dial
 from millfront.operators import document
-from millfront.operators.files import sync, write_whole
+from millfront.operators.files import fsync_path, write_atomically
 from millfront.usage.batches import Batch
 from millfront.usage.sending import Told
 
@@ -200,13 +200,13 @@
         return Told(201, batch.digest, batch.lines)
 
     def _place(self, batch: Batch, data: bytes, chain: str) -> None:
-        write_whole(self.folder / f"{batch.name}.jsonl.zst", data, 0o644)
+        write_atomically(self.folder / f"{batch.name}.jsonl.zst", data, 0o644)
         link = linked(chain, batch.name, batch.digest)
         entry = SpoolEntry(batch.name, batch.digest, batch.lines, batch.last + 1, link)
         with open(self.folder / "manifest.jsonl", "ab", buffering=0) as manifest:
             manifest.write(msgspec.json.encode(entry) + b"\n")
             os.fsync(manifest.fileno())
-        sync(self.folder)
+        fsync_path(self.folder)
 
 
 def linked(before: str, name: str, digest: str) -> str:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -294,7 +294,7 @@
         configured = configuration(hosts, discovery.address, settings(counter is not None, **allowed))
         node = Node(config.from_json(configured | ({"counter": counter.address} if counter else {})))
         if operators is not None:
-            parts.put(node, document.parse(json.dumps(operators).encode()))
+            parts.add_parts(node, document.parse(json.dumps(operators).encode()))
         async with anyio.create_task_group() as tasks:
             running = RunningNode(node, "", discovery)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -11,7 +11,7 @@
 import pytest
 
 from millfront.operators import document
-from millfront.operators.faults import Unusable
+from millfront.operators.faults import InvalidDocument
 from millfront.plans import book as books
 from tests.test_config import ROOT, command, good, started
 
@@ -35,7 +35,7 @@
     ],
 )
 def test_a_fault_in_the_operators_file_is_named_by_its_path(data: object, named: str) -> None:
-    with pytest.raises(Unusable) as wrong:
+    with pytest.raises(InvalidDocument) as wrong:
         document.parse((data if isinstance(data, str) else json.dumps(data)).encode())
     assert any(str(fault).startswith(named) for fault in wrong.value.faults), wrong.value
 
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -10,8 +10,8 @@
 
 from millfront import interface as api
 from millfront.decisions.state import Customer
-from millfront.operators.faults import Unusable
-from millfront.operators.slices import driven
+from millfront.operators.faults import InvalidDocument
+from millfront.operators.slices import run_to_end
 from millfront.plans import book as books
 from millfront.plans.carry import carry
 from millfront.plans.leases import EPOCH_US, Held
@@ -65,13 +65,13 @@
 def test_a_books_fault_is_named_by_its_path(entries: dict[str, object], named: str) -> None:
     try:
         faults = books.check(book(**entries), SETTLED, 50.0)
-    except Unusable as wrong:
+    except InvalidDocument as wrong:
         faults = wrong.faults
     assert any(named in str(fault) for fault in faults), faults
 
 
 def test_all_faults_are_named_at_once() -> None:
-    with pytest.raises(Unusable) as wrong:
+    with pytest.raises(InvalidDocument) as wrong:
         book(plans=[{"name": "a"}], reservations=[{"rate": -1}], assignments=[{"customer": ONE}, {"plan": 3}])
     paths = {fault.path for fault in wrong.value.faults}
     assert {"$.plans[0].rate", "$.plans[0].burst", "$.reservations[0].name", "$.assignments[0].plan"} <= paths
@@ -99,7 +99,7 @@
         ],
         reservations=[{"name": "r", "customer": OTHER, "rate": 1, "from": instant(10), "until": instant(20)}],
     )
-    made, _ = driven(books.compiling(held, SETTLED, None, 0))
+    made, _ = run_to_end(books.compiling(held, SETTLED, None, 0))
 
     def asked(second: float, customer: str = ONE, named: str = "casual") -> books.Terms | None:
         return made.terms(int(customer, 16), named, int(second * SECOND))
@@ -116,12 +116,12 @@
 
 
 def test_what_is_late_is_told_and_plans_that_stay_keep_their_identity() -> None:
-    first, _ = driven(books.compiling(book(plans=[{"name": "a", "rate": 1, "burst": 1}]), {}, None, 0))
+    first, _ = run_to_end(books.compiling(book(plans=[{"name": "a", "rate": 1, "burst": 1}]), {}, None, 0))
     entries = [{"customer": ONE, "plan": "a", "from": instant(10)}]
     second = book(version=4, plans=[{"name": "a", "rate": 1, "burst": 1}], assignments=entries)
-    made, late = driven(books.compiling(second, {}, first, 12_500_000))
+    made, late = run_to_end(books.compiling(second, {}, first, 12_500_000))
     assert late == books.Late(1, 2_500_000)
-    _, again = driven(books.compiling(second, {}, made, 99_000_000))
+    _, again = run_to_end(books.compiling(second, {}, made, 99_000_000))
     assert again == books.Late(0, 0)
     assert made.defined["a"][0][2] is first.defined["a"][0][2]
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from millfront.operators.faults import Unusable
+from millfront.operators.faults import InvalidDocument
 from millfront.rehearsal import audit, scenario
 from millfront.rehearsal.load import Asked
 from millfront.rehearsal.play import play, settings
@@ -26,7 +26,7 @@
     ],
 )
 def test_a_wrong_scenario_is_named_by_its_field(text: str, path: str) -> None:
-    with pytest.raises(Unusable, match=path.replace("$", r"\$").replace("[", r"\[")):
+    with pytest.raises(InvalidDocument, match=path.replace("$", r"\$").replace("[", r"\[")):
         scenario.parse(text.encode(), toml=True)
 
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -17,7 +17,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from millfront.operators.document import Usage
-from millfront.operators.slices import driven
+from millfront.operators.slices import run_to_end
 from millfront.usage import audit
 from millfront.usage.batches import Batch, making, parsed
 from millfront.usage.ledger import Foreign, Ledger, Locked, segments_of
@@ -54,7 +54,7 @@
 def batch_of(made: Ledger) -> Batch:
     segment = made.due()
     assert segment is not None
-    return driven(making(segment.path.read_bytes(), segment.first, segment.next_seq, 60))
+    return run_to_end(making(segment.path.read_bytes(), segment.first, segment.next_seq, 60))
 
 
 def make_lasting(made: Ledger) -> None:
