--- a/benchmarks/plan_change.py
+++ b/benchmarks/plan_change.py
@@ -122,14 +122,14 @@
             await anyio.sleep(0.05)
             gaps.clear()
             at = time.perf_counter()
-            await part.apply(await part.sound(text), str(version))
+            await part.apply(await part.validate(text), str(version))
             took = time.perf_counter() - at
             most = max(gaps)
             print(f"  version {version}: longest gap {most * 1e3:.1f} ms, applied in {took:.2f} s")
         over = True
     tracemalloc.start()
     held = books.decode(text)
-    compiled = run_to_end(books.compiling(held, part.settings_plans, None, 0))
+    compiled = run_to_end(books.compile_in_slices(held, part.settings_plans, None, 0))
     size = tracemalloc.get_traced_memory()[0] / 2**20
     tracemalloc.stop()
     del compiled
--- a/millfront/cli/plans.py
+++ b/millfront/cli/plans.py
@@ -259,10 +259,10 @@
 ) -> list[Assignment]:
     """What is left of an assignment outside [begins, ends)."""
     left = []
-    if begins is not None and books.micros(entry.from_, 0) < books.micros(begins, 0):
+    if begins is not None and books.to_micros(entry.from_, 0) < books.to_micros(begins, 0):
         until = min(begins, entry.until) if entry.until else begins
         left.append(msgspec.structs.replace(entry, until=until))
-    if ends is not None and books.micros(ends, 0) < books.micros(entry.until, books.EVER_US):
+    if ends is not None and books.to_micros(ends, 0) < books.to_micros(entry.until, books.NO_END_US):
         start = max(ends, entry.from_) if entry.from_ else ends
         left.append(msgspec.structs.replace(entry, from_=start))
     return left
@@ -381,8 +381,8 @@
 
 
 def _runs(entry: Assignment, when: datetime.datetime) -> bool:
-    at = books.micros(when, 0)
-    return books.micros(entry.from_, 0) <= at < books.micros(entry.until, books.EVER_US)
+    at = books.to_micros(when, 0)
+    return books.to_micros(entry.from_, 0) <= at < books.to_micros(entry.until, books.NO_END_US)
 
 
 def _much(reservation: Reservation) -> str:
--- a/millfront/operators/parts.py
+++ b/millfront/operators/parts.py
@@ -26,7 +26,7 @@
         node.parts.add(plans)
         if admin is not None:
             admin.add_status("plans", plans.status)
-            PlansApi(plans).at(admin)
+            PlansApi(plans).add_routes(admin)
     if options.agreement is not None:
         from millfront.agreement.part import Agreeing
 
--- a/millfront/plans/api.py
+++ b/millfront/plans/api.py
@@ -18,15 +18,15 @@
     def __init__(self, plans: LivePlans) -> None:
         self.plans = plans
 
-    def at(self, admin: Admin) -> None:
+    def add_routes(self, admin: Admin) -> None:
         admin.routes[b"/v1/plans"] = {b"GET": self.get, b"PUT": self.put}
 
     async def get(self, call: Message) -> Reply:
         text, tag = await anyio.to_thread.run_sync(self.plans.store.read)
         if not tag:
             return json_reply(404, {"error": "there is no plan book yet"})
-        held = self.plans.compiled
-        in_force = b"%d" % (held.version if held is not None else 0)
+        current = self.plans.compiled
+        in_force = b"%d" % (current.version if current is not None else 0)
         return Reply(200, text, [(b"ETag", tag.encode()), (b"Millfront-In-Force", in_force)])
 
     async def put(self, call: Message) -> Reply:
@@ -34,18 +34,20 @@
         if expected is None and call.field(b"if-none-match") != b"*":
             return json_reply(428, {"error": "If-Match, or If-None-Match: *, is wanted"})
         try:
-            book = await self.plans.sound(call.body)
-            held = self.plans.compiled
-            if held is not None and book.version <= held.version:
-                raise Conflict(f"version {book.version} does not go up; {held.version} is in force")
-            was = (expected or b"").decode("latin-1")
-            tag = await anyio.to_thread.run_sync(self.plans.store.write, call.body, book.version, was)
-            late = await self.plans.apply(book, tag)
-        except InvalidDocument as wrong:
-            return json_reply(422, {"error": "the book has faults", "faults": [str(f) for f in wrong.faults]})
-        except Conflict as wrong:
-            return json_reply(412, {"error": str(wrong)})
-        except OSError as wrong:
-            return json_reply(507, {"error": f"not written: {wrong.strerror}"})
-        told = {"version": book.version, "late_s": late.most_us / 1e6}
-        return json_reply(200, told, [(b"ETag", tag.encode())])
+            book = await self.plans.validate(call.body)
+            current = self.plans.compiled
+            if current is not None and book.version <= current.version:
+                raise Conflict(f"version {book.version} does not go up; {current.version} is in force")
+            expected_tag = (expected or b"").decode("latin-1")
+            tag = await anyio.to_thread.run_sync(
+                self.plans.store.write, call.body, book.version, expected_tag
+            )
+            lateness = await self.plans.apply(book, tag)
+        except InvalidDocument as error:
+            return json_reply(422, {"error": "the book has faults", "faults": [str(f) for f in error.faults]})
+        except Conflict as error:
+            return json_reply(412, {"error": str(error)})
+        except OSError as error:
+            return json_reply(507, {"error": f"not written: {error.strerror}"})
+        result = {"version": book.version, "late_s": lateness.max_us / 1e6}
+        return json_reply(200, result, [(b"ETag", tag.encode())])
--- a/millfront/plans/book.py
+++ b/millfront/plans/book.py
@@ -23,9 +23,9 @@
 CustomerId = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{16}$")]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
 Units = Annotated[float, msgspec.Meta(gt=0, le=1e6)]  # a counter's total is exact to seven digits
-EVER_US = 1 << 62
-SLICE = 1000  # entries decoded in one go: a few ms at most, so that a loop may run in between
-MOST_CACHED = 4096  # customers asked for lately
+NO_END_US = 1 << 62
+ENTRIES_PER_SLICE = 1000  # entries decoded in one go: a few ms at most, so that a loop may run in between
+MAX_CACHED = 4096  # customers asked for lately
 
 
 class PlanEntry(Strict, frozen=True):
@@ -49,7 +49,7 @@
             raise ValueError("burst: a plan with a rate wants one above 0")
         if self.ceiling_rate > 0 and self.ceiling_burst <= 0:
             raise ValueError("ceiling_burst: a plan with a ceiling wants one above 0")
-        _ordered(self.from_, self.until)
+        _check_order(self.from_, self.until)
 
     def plan(self) -> api.Plan:
         return api.Plan(
@@ -72,7 +72,7 @@
     until: Instant | None = None
 
     def __post_init__(self) -> None:
-        _ordered(self.from_, self.until)
+        _check_order(self.from_, self.until)
 
 
 class Reservation(Strict, frozen=True, gc=False):
@@ -88,7 +88,7 @@
     def __post_init__(self) -> None:
         if (self.rate is None) == (self.units is None):
             raise ValueError("one of rate and units is wanted")
-        _ordered(self.from_, self.until)
+        _check_order(self.from_, self.until)
 
     @property
     def key(self) -> int:
@@ -125,14 +125,14 @@
     note: str = ""
 
 
-def _ordered(start: datetime.datetime | None, end: datetime.datetime | None) -> None:
+def _check_order(start: datetime.datetime | None, end: datetime.datetime | None) -> None:
     if start is not None and end is not None and end <= start:
         raise ValueError("until: is not after from")
 
 
-def micros(at: datetime.datetime | None, otherwise: int) -> int:
+def to_micros(at: datetime.datetime | None, default: int) -> int:
     """An instant in µs of Unix time."""
-    return otherwise if at is None else round(at.timestamp() * 1e6)
+    return default if at is None else round(at.timestamp() * 1e6)
 
 
 def empty() -> Book:
@@ -144,18 +144,18 @@
 
 
 def decode(text: bytes) -> Book:
-    """:raises Unusable: with every fault of form; check() finds those of meaning"""
-    return run_to_end(decoding(text))
+    """:raises InvalidDocument: with every fault of form; check() finds those of meaning"""
+    return run_to_end(decode_in_slices(text))
 
 
-def decoding(text: bytes) -> Iterator["Book | None"]:
+def decode_in_slices(text: bytes) -> Iterator["Book | None"]:
     """The same in slices: yields None in between, and the book last, so that a loop can run meanwhile."""
     try:
         raw = msgspec.json.decode(text, type=_Raw)
     except msgspec.ValidationError:
         raise InvalidDocument("plan book", find_faults(Book, msgspec.json.decode(text))) from None
-    except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-        raise InvalidDocument("plan book", [Fault("$", f"is not JSON: {wrong}")]) from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise InvalidDocument("plan book", [Fault("$", f"is not JSON: {error}")]) from None
     yield None
     decoder = msgspec.json.Decoder(Assignment)
     names: dict[str, str] = {}  # a plan's name once, not once a customer
@@ -163,28 +163,32 @@
     faults: list[Fault] = []
     for position, entry in enumerate(raw.assignments):
         try:
-            made = decoder.decode(entry)
-            msgspec.structs.force_setattr(made, "plan", names.setdefault(made.plan, made.plan))
-            entries.append(made)
+            assignment = decoder.decode(entry)
+            msgspec.structs.force_setattr(
+                assignment, "plan", names.setdefault(assignment.plan, assignment.plan)
+            )
+            entries.append(assignment)
         except msgspec.ValidationError:
             faults += find_faults(Assignment, msgspec.json.decode(entry), f"$.assignments[{position}]")
-        if position % SLICE == SLICE - 1:
+        if position % ENTRIES_PER_SLICE == ENTRIES_PER_SLICE - 1:
             yield None
     if faults:
         raise InvalidDocument("plan book", faults)
     yield Book(raw.version, raw.plans, tuple(entries), raw.reservations, raw.by, raw.note)
 
 
-def check(book: Book, known_plans: Iterable[str], most_reserved: float) -> list[Fault]:
+def check(book: Book, known_plans: Iterable[str], max_reserved: float) -> list[Fault]:
     """What the entries say together and can't.
 
     :param known_plans: names in the settings, beside the book's own
     :param most_reserved: units a second that reservations may come to at any instant
     """
-    return run_to_end(checking(book, known_plans, most_reserved))
+    return run_to_end(check_in_slices(book, known_plans, max_reserved))
 
 
-def checking(book: Book, known_plans: Iterable[str], most_reserved: float) -> Iterator[list[Fault] | None]:
+def check_in_slices(
+    book: Book, known_plans: Iterable[str], max_reserved: float
+) -> Iterator[list[Fault] | None]:
     """The same in slices; the faults come last."""
     faults: list[Fault] = []
     plans = {entry.name for entry in book.plans} | set(known_plans)
@@ -200,50 +204,50 @@
         if other != position:
             others = more.setdefault(entry.customer, [other])
             for one in others:
-                if _meet(entry, book.assignments[one]):
+                if _overlap(entry, book.assignments[one]):
                     why = f"customer {entry.customer} is assigned twice at once, here and in [{one}]"
                     faults.append(Fault(f"$.assignments[{position}]", why))
             others.append(position)
-        if position % SLICE == SLICE - 1:
+        if position % ENTRIES_PER_SLICE == ENTRIES_PER_SLICE - 1:
             yield None
-    named: dict[tuple[str, str], int] = {}
+    by_name: dict[tuple[str, str], int] = {}
     for position, reservation in enumerate(book.reservations):
-        one = named.setdefault((reservation.customer, reservation.name), position)
+        one = by_name.setdefault((reservation.customer, reservation.name), position)
         if one != position:
             why = f"the customer has another reservation {reservation.name!r}, in [{one}]"
             faults.append(Fault(f"$.reservations[{position}].name", why))
-    for start_us, rate in _reserved_too_much(book.reservations, most_reserved):
+    for start_us, rate in _excess_reservations(book.reservations, max_reserved):
         at = datetime.datetime.fromtimestamp(start_us / 1e6, datetime.UTC).isoformat()
-        why = f"from {at} on they come to {rate:g} units a second; {most_reserved:g} is the most"
+        why = f"from {at} on they come to {rate:g} units a second; {max_reserved:g} is the most"
         faults.append(Fault("$.reservations", why))
     yield faults
 
 
-def _meet(one: PlanEntry | Assignment, other: PlanEntry | Assignment) -> bool:
+def _overlap(one: PlanEntry | Assignment, other: PlanEntry | Assignment) -> bool:
     """Whether there is an instant at which both hold."""
-    return micros(one.from_, 0) < micros(other.until, EVER_US) and micros(other.from_, 0) < micros(
-        one.until, EVER_US
-    )
+    return to_micros(one.from_, 0) < to_micros(other.until, NO_END_US) and to_micros(
+        other.from_, 0
+    ) < to_micros(one.until, NO_END_US)
 
 
 def _defined_twice(entries: Sequence[PlanEntry]) -> Iterator[tuple[int, int]]:
     for position, entry in enumerate(entries):
         for other, before in enumerate(entries[:position]):
-            if before.name == entry.name and _meet(entry, before):
+            if before.name == entry.name and _overlap(entry, before):
                 yield position, other
 
 
-def _reserved_too_much(entries: Iterable[Reservation], most: float) -> Iterator[tuple[int, float]]:
+def _excess_reservations(entries: Iterable[Reservation], limit: float) -> Iterator[tuple[int, float]]:
     """The instants at which the sum of reserved units a second goes over the most."""
     changes: dict[int, float] = {}
     for entry in entries:
         for at, sign in ((entry.from_, 1.0), (entry.until, -1.0)):
-            at_us = micros(at, 0)
+            at_us = to_micros(at, 0)
             changes[at_us] = changes.get(at_us, 0.0) + sign * entry.mean_rate
     rate, over = 0.0, False
     for at_us in sorted(changes):
         rate += changes[at_us]
-        over, was = rate > most * (1.0 + 1e-9), over
+        over, was = rate > limit * (1.0 + 1e-9), over
         if over and not was:
             yield at_us, rate
 
@@ -262,15 +266,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
+class Lateness:
     """Entries that were new in a version and whose instant had passed when it was applied."""
 
     entries: int
-    most_us: int
+    max_us: int
 
 
-class Compiled:
-    """A checked book as it is asked: by customer and instant. Made in slices by compiling()."""
+class CompiledBook:
+    """A checked book as it is asked: by customer and instant. Made in slices by compile_in_slices()."""
 
     def __init__(self, book: Book, settings_plans: Mapping[str, api.Plan]) -> None:
         self.book = book
@@ -278,7 +282,7 @@
         self.settings_plans = settings_plans
         self.defined: dict[str, list[tuple[int, int, api.Plan]]] = {}
         for entry in book.plans:
-            span = (micros(entry.from_, 0), micros(entry.until, EVER_US), entry.plan())
+            span = (to_micros(entry.from_, 0), to_micros(entry.until, NO_END_US), entry.plan())
             self.defined.setdefault(entry.name, []).append(span)
         for spans in self.defined.values():
             spans.sort(key=lambda span: span[0])
@@ -298,22 +302,22 @@
         else:
             self.assigned[key] = [before, entry]
 
-    def terms(self, customer: int, named: str, now_us: int) -> Terms | None:
+    def terms(self, customer: int, requested: str, now_us: int) -> Terms | None:
         """What the book says; None where it is silent and the request and the settings hold.
 
         :param named: the request's own plan
         :param now_us: Unix time, µs, by this gatekeeper's clock
         """
-        cached = self._cache.get((customer, named))
+        cached = self._cache.get((customer, requested))
         if cached is not None and now_us < cached[0]:
             return cached[1]
-        ends = [EVER_US]
-        name, booked = named, False
+        ends = [NO_END_US]
+        name, assigned = requested, False
         found = self.assigned.get(customer)
         for entry in found if isinstance(found, list) else [found] if found else []:
-            start, end = micros(entry.from_, 0), micros(entry.until, EVER_US)
+            start, end = to_micros(entry.from_, 0), to_micros(entry.until, NO_END_US)
             if start <= now_us < end:
-                name, booked = entry.plan, True
+                name, assigned = entry.plan, True
             ends += [at for at in (start, end) if at > now_us]
         spans = self.defined.get(name, [])
         plan: api.Plan | None = None
@@ -322,50 +326,50 @@
             plan = spans[at][2]
         for start, end, _ in spans:
             ends += [edge for edge in (start, end) if edge > now_us]
-        if plan is None and booked:
+        if plan is None and assigned:
             plan = self.settings_plans.get(name)
         reserves = False
         for reservation in self.reserved.get(customer, ()):
-            start, end = micros(reservation.from_, 0), micros(reservation.until, EVER_US)
+            start, end = to_micros(reservation.from_, 0), to_micros(reservation.until, NO_END_US)
             reserves = reserves or start <= now_us < end
             ends += [edge for edge in (start, end) if edge > now_us]
         terms = Terms(plan, name, self.version, reserves) if plan is not None or reserves else None
-        if len(self._cache) >= MOST_CACHED:
+        if len(self._cache) >= MAX_CACHED:
             self._cache.clear()
-        self._cache[(customer, named)] = (min(ends), terms)
+        self._cache[(customer, requested)] = (min(ends), terms)
         return terms
 
 
-def compiling(
-    book: Book, settings_plans: Mapping[str, api.Plan], before: "Compiled | None", now_us: int
-) -> Iterator[tuple[Compiled, Late] | None]:
+def compile_in_slices(
+    book: Book, settings_plans: Mapping[str, api.Plan], before: "CompiledBook | None", now_us: int
+) -> Iterator[tuple[CompiledBook, Lateness] | None]:
     """Makes the compiled form in slices; it and what of it is late come last.
 
     Plans that are as they were keep their identity, so that nobody's allowance is carried over for nothing.
     """
-    made = Compiled(book, settings_plans)
+    compiled = CompiledBook(book, settings_plans)
     if before is not None:
         same = {plan: plan for spans in before.defined.values() for _, _, plan in spans}
-        for name, spans in made.defined.items():
-            made.defined[name] = [(start, end, same.get(plan, plan)) for start, end, plan in spans]
-    late = most = 0
+        for name, spans in compiled.defined.items():
+            compiled.defined[name] = [(start, end, same.get(plan, plan)) for start, end, plan in spans]
+    late = max_late_us = 0
     for position, entry in enumerate(book.assignments):
-        made.add(entry)
+        compiled.add(entry)
         if entry.from_ is not None and before is not None:
-            start = micros(entry.from_, 0)
-            if start < now_us and not _stood(before, entry):
-                late, most = late + 1, max(most, now_us - start)
-        if position % SLICE == SLICE - 1:
+            start = to_micros(entry.from_, 0)
+            if start < now_us and not _was_assigned(before, entry):
+                late, max_late_us = late + 1, max(max_late_us, now_us - start)
+        if position % ENTRIES_PER_SLICE == ENTRIES_PER_SLICE - 1:
             yield None
-    stood = set(before.book.reservations) if before is not None else set()
+    known = set(before.book.reservations) if before is not None else set()
     for reservation in book.reservations if before is not None else ():
-        start = micros(reservation.from_, 0)
-        if start < now_us and reservation not in stood:
-            late, most = late + 1, max(most, now_us - start)
-    yield made, Late(late, most)
+        start = to_micros(reservation.from_, 0)
+        if start < now_us and reservation not in known:
+            late, max_late_us = late + 1, max(max_late_us, now_us - start)
+    yield compiled, Lateness(late, max_late_us)
 
 
-def _stood(before: Compiled, entry: Assignment) -> bool:
+def _was_assigned(before: CompiledBook, entry: Assignment) -> bool:
     found = before.assigned.get(int(entry.customer, 16))
     return entry == found or (isinstance(found, list) and entry in found)
 
--- a/millfront/plans/carry.py
+++ b/millfront/plans/carry.py
@@ -27,12 +27,12 @@
 from millfront.decisions.prices import counter_quantum
 from millfront.interface import Plan
 
-SECOND = 1_000_000
-FIRST_PRICE = 1.0
-NONE_READ = -1  # the module's mark: no total of this epoch was read
+SECOND_US = 1_000_000
+INITIAL_PRICE = 1.0
+NO_TOTAL_READ = -1  # the module's mark: no total of this epoch was read
 
 
-class Held(Protocol):
+class CustomerState(Protocol):
     """What the module keeps of a customer."""
 
     plan: Plan
@@ -49,42 +49,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class CarriedDeficit:
     """What a change leaves behind for the next one."""
 
     deficit: float  # beyond what the plan's own store shows, in units of all gateways
     since_us: int
 
 
-def carry(now: int, held: Held, new: Plan) -> None:
+def change_plan(now: int, customer: CustomerState, new: Plan) -> None:
     """Put the customer on the new plan. The caller has filled its bucket up to the instant of the change."""
-    old, n = held.plan, held.gateways
+    old, n = customer.plan, customer.gateways
     if counter_quantum(old) != counter_quantum(new):
-        held.epoch, held.sent_total = -1, NONE_READ
-    left = 0.0
+        customer.epoch, customer.sent_total = -1, NO_TOTAL_READ
+    remaining = 0.0
     if new.rate > 0:
-        left = _carry_store(now, held, old, new)
-    held.price = FIRST_PRICE
-    held.refill_rate = new.rate / n
-    held.ceiling = min(held.ceiling, new.ceiling_burst / n) if old.ceiling_rate > 0 else 0.0
-    held.plan = new
-    held.live_plan_state = Carried(left, now)
+        remaining = _carry_bucket(now, customer, old, new)
+    customer.price = INITIAL_PRICE
+    customer.refill_rate = new.rate / n
+    customer.ceiling = min(customer.ceiling, new.ceiling_burst / n) if old.ceiling_rate > 0 else 0.0
+    customer.plan = new
+    customer.live_plan_state = CarriedDeficit(remaining, now)
 
 
-def _carry_store(now: int, held: Held, old: Plan, new: Plan) -> float:
+def _carry_bucket(now: int, customer: CustomerState, old: Plan, new: Plan) -> float:
     """The store and this gateway's part of it; returns what is left of the deficit."""
     if old.rate <= 0:  # without a store nothing was counted: begins as a customer never seen does
-        held.global_bucket, held.bucket = new.burst, new.burst * held.share
+        customer.global_bucket, customer.bucket = new.burst, new.burst * customer.share
         return 0.0
     # This gateway's bucket over its share tells the store sooner than the last total does.
-    store = min(held.bucket / held.share, old.burst)
-    deficit = max(0.0, old.burst - store)
-    if isinstance(held.live_plan_state, Carried):
-        filled = old.rate * (now - held.live_plan_state.since_us) / SECOND
-        full_since = store >= old.burst and filled >= held.live_plan_state.deficit
-        deficit += 0.0 if full_since else held.live_plan_state.deficit
+    level = min(customer.bucket / customer.share, old.burst)
+    deficit = max(0.0, old.burst - level)
+    if isinstance(customer.live_plan_state, CarriedDeficit):
+        filled = old.rate * (now - customer.live_plan_state.since_us) / SECOND_US
+        full_since = level >= old.burst and filled >= customer.live_plan_state.deficit
+        deficit += 0.0 if full_since else customer.live_plan_state.deficit
     # What is in hand is not taken away by a larger plan, whatever deficit is still remembered.
-    after = min(max(store if new.burst > old.burst else 0.0, new.burst - deficit), new.burst)
-    held.bucket = after * held.share
-    held.global_bucket = min(max(held.global_bucket + after - store, 0.0), new.burst)
-    return max(0.0, deficit - (new.burst - after))
+    new_level = min(max(level if new.burst > old.burst else 0.0, new.burst - deficit), new.burst)
+    customer.bucket = new_level * customer.share
+    customer.global_bucket = min(max(customer.global_bucket + new_level - level, 0.0), new.burst)
+    return max(0.0, deficit - (new.burst - new_level))
--- a/millfront/plans/leases.py
+++ b/millfront/plans/leases.py
@@ -25,19 +25,22 @@
 
 from millfront import interface as api
 
-SECOND = 1_000_000
-EPOCH_US = 15 * SECOND
-AHEAD_US = 5 * SECOND  # before an epoch: within it each adds what it leased so far under the new name
-TTL_US = 40 * SECOND  # of an epoch's name: the epoch, what comes ahead, and room for clocks that differ
-WINDOW_TTL_US = 5 * SECOND
-CHUNK_S = 0.25  # of the shortage seen lately: a call then carries what would be asked in so long
-MOST_CHUNK = 0.25  # of what is left of the reservation: the last of it is not stranded at one gatekeeper
-LOW = 2.0  # requests' units held: below that the next chunk is asked for
-AGAIN_US = 100_000  # after a call that brought nothing
+SECOND_US = 1_000_000
+EPOCH_US = 15 * SECOND_US
+# Before an epoch: within it each adds what it leased so far under the new name
+INTRODUCE_AHEAD_US = 5 * SECOND_US
+# Of an epoch's name: the epoch, what comes ahead, and room for clocks that differ
+EPOCH_TTL_US = 40 * SECOND_US
+WINDOW_TTL_US = 5 * SECOND_US
+CHUNK_PERIOD_S = 0.25  # of the shortage seen lately: a call then carries what would be asked in so long
+# Of what is left of the reservation: the last of it is not stranded at one gatekeeper
+MAX_CHUNK_SHARE = 0.25
+LOW_WATER_REQUESTS = 2.0  # requests' units held: below that the next chunk is asked for
+RETRY_US = 100_000  # after a call that brought nothing
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class ReservationSpec:
     """One reservation as the leases need it; times in µs of Unix time."""
 
     key: int
@@ -56,26 +59,26 @@
     units: float
 
 
-Ask = api.Count | Leased
+LeaseAction = api.Count | Leased
 
 
 @dataclass(slots=True)
 class _Pool:
     """What this gatekeeper knows of one reservation."""
 
-    held: Held
-    own: float = 0.0  # units leased here, and those that may have been
+    spec: ReservationSpec
+    leased: float = 0.0  # units leased here, and those that may have been
     added: dict[int, float] = field(default_factory=dict)  # by period: put under its name, or perhaps put
-    sure: dict[int, float] = field(default_factory=dict)  # of that, what an answer has confirmed
+    confirmed: dict[int, float] = field(default_factory=dict)  # of that, what an answer has confirmed
     period: int = -1  # the last one whose total was read
-    closed: int = -1  # the last one whose total was read after its end
-    lacking: float = 0.0  # spent units that the period's total does not show
+    closed_period: int = -1  # the last one whose total was read after its end
+    missing: float = 0.0  # spent units that the period's total does not show
     spent: float = 0.0  # over all gatekeepers, as far as known
-    shortage: float = 0.0  # units a second asked for beyond the plan, lately
-    asked_us: int = 0
-    calling: bool = False
-    rests_until: int = 0
-    lapsed: bool = False
+    shortage_rate: float = 0.0  # units a second asked for beyond the plan, lately
+    short_at_us: int = 0
+    call_pending: bool = False
+    paused_until: int = 0
+    ended: bool = False
 
 
 class Leases:
@@ -87,99 +90,103 @@
         self._by_customer: dict[int, list[_Pool]] = {}
         self._calls: dict[int, list[tuple[_Pool, int, float, float]]] = {}
 
-    def book(self, now: int, held: Iterable[Held]) -> list[Ask]:
+    def update(self, now: int, specs: Iterable[ReservationSpec]) -> list[LeaseAction]:
         """A new book: reservations that stay keep what is known of them, those that are gone give back."""
         before, self._pools, self._by_customer = self._pools, {}, {}
-        asks: list[Ask] = []
-        for one in held:
-            pool = before.pop(one.key, None) or _Pool(one)
-            if pool.lapsed and now < one.until_us:
-                pool.lapsed = False
-            pool.held = one
-            self._pools[one.key] = pool
-            self._by_customer.setdefault(one.customer, []).append(pool)
+        actions: list[LeaseAction] = []
+        for spec in specs:
+            pool = before.pop(spec.key, None) or _Pool(spec)
+            if pool.ended and now < spec.until_us:
+                pool.ended = False
+            pool.spec = spec
+            self._pools[spec.key] = pool
+            self._by_customer.setdefault(spec.customer, []).append(pool)
         for pool in before.values():
-            asks += self._lapse(pool)
-        return asks
+            actions += self._end(pool)
+        return actions
 
-    def short(self, now: int, customer: int, units: float, in_hand: float, gateways: int) -> list[Ask]:
+    def on_short(
+        self, now: int, customer: int, units: float, in_hand: float, gateways: int
+    ) -> list[LeaseAction]:
         """The customer asks beyond its plan.
 
         :param units: of the request that met the shortage
         :param in_hand: units leased and not used yet
         :param gateways: of the customer's set
         """
-        asks: list[Ask] = []
+        actions: list[LeaseAction] = []
         for pool in self._by_customer.get(customer, ()):
-            held = pool.held
-            if not held.from_us <= now < held.until_us:
+            spec = pool.spec
+            if not spec.from_us <= now < spec.until_us:
                 continue
-            gap = max(now - pool.asked_us, 1) / SECOND
-            pool.shortage = pool.shortage * math.exp(-gap) + units
-            pool.asked_us = now
-            if in_hand >= LOW * units or pool.calling or now < pool.rests_until:
+            gap = max(now - pool.short_at_us, 1) / SECOND_US
+            pool.shortage_rate = pool.shortage_rate * math.exp(-gap) + units
+            pool.short_at_us = now
+            if in_hand >= LOW_WATER_REQUESTS * units or pool.call_pending or now < pool.paused_until:
                 continue
-            asks += self._lease(now, pool, units, gateways)
-            if pool.calling:
+            actions += self._lease(now, pool, units, gateways)
+            if pool.call_pending:
                 break  # one reservation after the other: overlapping ones add up
-        return asks
+        return actions
 
-    def _lease(self, now: int, pool: _Pool, units: float, gateways: int) -> list[Ask]:
-        held = pool.held
-        limit = held.rate if held.rate is not None else held.units or 0.0
-        period = now // SECOND if held.rate is not None else now // EPOCH_US
+    def _lease(self, now: int, pool: _Pool, units: float, gateways: int) -> list[LeaseAction]:
+        spec = pool.spec
+        limit = spec.rate if spec.rate is not None else spec.units or 0.0
+        period = now // SECOND_US if spec.rate is not None else now // EPOCH_US
         left = limit
-        if held.rate is None or pool.period == period:
+        if spec.rate is None or pool.period == period:
             left = limit - pool.spent
         if left <= 0.0:
-            pool.rests_until = (period + 1) * SECOND if held.rate is not None else now + AGAIN_US
+            pool.paused_until = (period + 1) * SECOND_US if spec.rate is not None else now + RETRY_US
             return []
-        chunk = max(units, min(pool.shortage * CHUNK_S, left * MOST_CHUNK))
+        chunk = max(units, min(pool.shortage_rate * CHUNK_PERIOD_S, left * MAX_CHUNK_SHARE))
         if not self.counter or gateways <= 1:
-            return self._alone(pool, period, limit / max(gateways, 1), chunk)
+            return self._lease_locally(pool, period, limit / max(gateways, 1), chunk)
         chunk = float(math.ceil(chunk))
-        introduced = self._introduction(pool, period)
-        closing = self._closing(pool, period)
-        if closing:
-            pool.calling = True
-            return closing
-        return [self._call(pool, period, introduced, chunk)]
-
-    def _closing(self, pool: _Pool, period: int) -> list[Ask]:
+        introduced = self._not_introduced(pool, period)
+        close_calls = self._close_epoch(pool, period)
+        if close_calls:
+            pool.call_pending = True
+            return close_calls
+        return [self._count_call(pool, period, introduced, chunk)]
+
+    def _close_epoch(self, pool: _Pool, period: int) -> list[LeaseAction]:
         """The call that reads the epoch before to its end, where that is still owed."""
-        if pool.held.rate is not None or pool.closed >= period - 1:
+        if pool.spec.rate is not None or pool.closed_period >= period - 1:
             return []
-        return [self._call(pool, period - 1, 0.0, 0.0)]
+        return [self._count_call(pool, period - 1, 0.0, 0.0)]
 
-    def _alone(self, pool: _Pool, period: int, limit: float, chunk: float) -> list[Ask]:
+    def _lease_locally(self, pool: _Pool, period: int, limit: float, chunk: float) -> list[LeaseAction]:
         """Nobody to share with, or no means to: the even part is this gatekeeper's own."""
-        if pool.held.rate is not None and pool.period != period:
-            pool.period, pool.own = period, 0.0
-        got = min(chunk, limit - pool.own)
-        if got <= 0.0:
+        if pool.spec.rate is not None and pool.period != period:
+            pool.period, pool.leased = period, 0.0
+        granted = min(chunk, limit - pool.leased)
+        if granted <= 0.0:
             return []
-        pool.own += got
-        return [Leased(pool.held.customer, got)]
+        pool.leased += granted
+        return [Leased(pool.spec.customer, granted)]
 
-    def _introduction(self, pool: _Pool, period: int) -> float:
+    def _not_introduced(self, pool: _Pool, period: int) -> float:
         """What this gatekeeper leased and has not yet put under the period's name."""
-        if pool.held.rate is not None:
+        if pool.spec.rate is not None:
             return 0.0
-        return max(0.0, pool.own - pool.added.get(period, 0.0))
+        return max(0.0, pool.leased - pool.added.get(period, 0.0))
 
-    def _call(self, pool: _Pool, period: int, introduced: float, chunk: float) -> api.Count:
-        windowed = pool.held.rate is not None
-        name = api.stable_hash(pool.held.key, windowed, period)
-        pool.calling = pool.calling or chunk > 0.0
+    def _count_call(self, pool: _Pool, period: int, introduced: float, chunk: float) -> api.Count:
+        windowed = pool.spec.rate is not None
+        name = api.stable_hash(pool.spec.key, windowed, period)
+        pool.call_pending = pool.call_pending or chunk > 0.0
         pool.added[period] = pool.added.get(period, 0.0) + introduced + chunk
-        pool.own += chunk
-        for kept in (pool.added, pool.sure):
+        pool.leased += chunk
+        for kept in (pool.added, pool.confirmed):
             for old in [p for p in kept if p < period - 1]:
                 del kept[old]
         self._calls.setdefault(name, []).append((pool, period, introduced, chunk))
-        return api.Count(name, introduced + chunk, WINDOW_TTL_US if windowed else TTL_US)
+        return api.Count(name, introduced + chunk, WINDOW_TTL_US if windowed else EPOCH_TTL_US)
 
-    def answered(self, now: int, name: int, outcome: api.Outcome, total: float) -> list[Ask] | None:
+    def handle_answer(
+        self, now: int, name: int, outcome: api.Outcome, total: float
+    ) -> list[LeaseAction] | None:
         """A counter call has ended; None: it was none of these."""
         calls = self._calls.get(name)
         if not calls:
@@ -187,78 +194,81 @@
         pool, period, introduced, chunk = calls.pop(0)
         if not calls:
             del self._calls[name]
-        pool.calling = False
+        pool.call_pending = False
         if outcome is not api.Outcome.OK:
             # An introduction that may be lost is made again: counted twice it costs the customer units, not
             # counted it would cost the bound. A chunk that may be lost is spent.
             pool.added[period] = pool.added.get(period, 0.0) - introduced
             if outcome not in (api.Outcome.TIMEOUT, api.Outcome.RESET):  # surely not added
                 pool.added[period] -= chunk
-                pool.own -= chunk
-            pool.rests_until = now + AGAIN_US
+                pool.leased -= chunk
+            pool.paused_until = now + RETRY_US
             return []
-        pool.sure[period] = pool.sure.get(period, 0.0) + introduced + chunk
-        return self._told(now, pool, period, chunk, total)
-
-    def _told(self, now: int, pool: _Pool, period: int, chunk: float, total: float) -> list[Ask]:
-        held = pool.held
-        limit = held.rate if held.rate is not None else held.units or 0.0
-        current = now // SECOND if held.rate is not None else now // EPOCH_US
-        if total < pool.sure[period] - 0.5:  # it forgot, or is another one
-            pool.rests_until = now + AGAIN_US
-            pool.own -= chunk
+        pool.confirmed[period] = pool.confirmed.get(period, 0.0) + introduced + chunk
+        return self._apply_total(now, pool, period, chunk, total)
+
+    def _apply_total(
+        self, now: int, pool: _Pool, period: int, chunk: float, total: float
+    ) -> list[LeaseAction]:
+        spec = pool.spec
+        limit = spec.rate if spec.rate is not None else spec.units or 0.0
+        current = now // SECOND_US if spec.rate is not None else now // EPOCH_US
+        if total < pool.confirmed[period] - 0.5:  # it forgot, or is another one
+            pool.paused_until = now + RETRY_US
+            pool.leased -= chunk
             return []
-        if held.rate is None and period == current - 1:
-            pool.closed = max(pool.closed, period)
-            pool.spent = max(pool.spent, total + (pool.lacking if pool.period == period else 0.0))
-            pool.own -= chunk
+        if spec.rate is None and period == current - 1:
+            pool.closed_period = max(pool.closed_period, period)
+            pool.spent = max(pool.spent, total + (pool.missing if pool.period == period else 0.0))
+            pool.leased -= chunk
             return []
         others = total - chunk
-        late = period < pool.period or period < current - (held.rate is not None)
+        late = period < pool.period or period < current - (spec.rate is not None)
         if late or period > current:  # an introduction ahead is no lease
-            pool.own -= chunk
+            pool.leased -= chunk
             return []
         if period != pool.period:
-            pool.lacking = max(0.0, pool.spent - others) if held.rate is None else 0.0
+            pool.missing = max(0.0, pool.spent - others) if spec.rate is None else 0.0
             pool.period = period
-        pool.spent = max(pool.spent if held.rate is None else 0.0, total + pool.lacking)
-        got = max(0.0, min(chunk, limit - others - pool.lacking))
-        pool.own -= chunk - got  # never sent on; the name goes on showing it, which errs on the safe side
-        if got <= 0.0:
+        pool.spent = max(pool.spent if spec.rate is None else 0.0, total + pool.missing)
+        granted = max(0.0, min(chunk, limit - others - pool.missing))
+        # Never sent on; the name goes on showing it, which errs on the safe side.
+        pool.leased -= chunk - granted
+        if granted <= 0.0:
             if chunk > 0.0:
-                pool.rests_until = (period + 1) * SECOND if held.rate is not None else now + AGAIN_US
+                pool.paused_until = (period + 1) * SECOND_US if spec.rate is not None else now + RETRY_US
             return []
-        if not held.from_us <= now < held.until_us or pool.lapsed:
+        if not spec.from_us <= now < spec.until_us or pool.ended:
             return []
-        return [Leased(held.customer, got)]
+        return [Leased(spec.customer, granted)]
 
-    def beat(self, now: int) -> list[Ask]:
+    def tick(self, now: int) -> list[LeaseAction]:
         """About once a second: what ends gives back, and what was leased is told ahead of the next epoch."""
-        asks: list[Ask] = []
+        actions: list[LeaseAction] = []
         for pool in self._pools.values():
-            held = pool.held
-            if now >= held.until_us:
-                asks += self._lapse(pool)
+            spec = pool.spec
+            if now >= spec.until_us:
+                actions += self._end(pool)
                 continue
-            if held.units is None or now < held.from_us or not self.counter:
+            if spec.units is None or now < spec.from_us or not self.counter:
                 continue
             period = now // EPOCH_US
-            spread = held.key % (AHEAD_US // 2)  # not all at one instant
-            owed = self._introduction(pool, period + 1)
-            if (period + 1) * EPOCH_US - now <= AHEAD_US - spread and owed > 0.0:
-                asks.append(self._call(pool, period + 1, owed, 0.0))
-            elif not pool.calling and now % EPOCH_US >= spread % SECOND:
+            spread = spec.key % (INTRODUCE_AHEAD_US // 2)  # not all at one instant
+            introduced = self._not_introduced(pool, period + 1)
+            if (period + 1) * EPOCH_US - now <= INTRODUCE_AHEAD_US - spread and introduced > 0.0:
+                actions.append(self._count_call(pool, period + 1, introduced, 0.0))
+            elif not pool.call_pending and now % EPOCH_US >= spread % SECOND_US:
                 # A witness: who has read a total keeps it, should the gatekeeper that spent it die.
-                if closing := self._closing(pool, period):
-                    asks += closing
+                if close_calls := self._close_epoch(pool, period):
+                    actions += close_calls
                 elif pool.period != period:
-                    asks.append(self._call(pool, period, self._introduction(pool, period), 0.0))
-        return asks
+                    actions.append(self._count_call(pool, period, self._not_introduced(pool, period), 0.0))
+        return actions
 
-    def _lapse(self, pool: _Pool) -> list[Ask]:
+    def _end(self, pool: _Pool) -> list[LeaseAction]:
         """Ended or cancelled: what is leased and unused may not be sent on any more. Units are not told apart
         once leased: those of the customer's other reservations end with them, a chunk at the most."""
-        if pool.lapsed:
+        if pool.ended:
             return []
-        pool.lapsed = True
-        return [Leased(pool.held.customer, -math.inf)]
+        pool.ended = True
+        return [Leased(pool.spec.customer, -math.inf)]
--- a/millfront/plans/store.py
+++ b/millfront/plans/store.py
@@ -47,10 +47,10 @@
         :raises OSError: the disk is full or may not be written; the book is as it was
         """
         with self._locked():
-            now, held = self.read()
-            if held != expected:
+            current, current_tag = self.read()
+            if current_tag != expected:
                 raise Conflict("the book has been changed meanwhile")
-            if now and version <= books.decode(now).version:
+            if current and version <= books.decode(current).version:
                 raise Conflict(f"version {version} does not go up")
             self.history.mkdir(exist_ok=True)
             write_atomically(self.history / f"{version:09d}.json", text)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,8 +9,8 @@
 from millfront import choice
 from millfront import interface as api
 from millfront.choice import Gateway
-from millfront.plans.carry import carry
-from millfront.plans.leases import Ask, Leased, Leases
+from millfront.plans.carry import change_plan
+from millfront.plans.leases import LeaseAction, Leased, Leases
 from tests.test_choice import SAFE, SECOND, SETTINGS
 
 BEGIN_US = 1_700_000_000 * SECOND + 7_300_000
@@ -59,7 +59,7 @@
             self._start(me)
 
     def _start(self, me: int) -> None:
-        self.gateways[me].on_plan_change = carry
+        self.gateways[me].on_plan_change = change_plan
         entries = tuple(api.BackendEntry(i, 0, 0, 0, api.BackendState.READY, 1.0, 0) for i in range(40))
         self._handle(me, api.Started())
         self._handle(me, api.BackendList(api.ListKind.CACHED, entries))
@@ -108,13 +108,13 @@
                 case api.Count():
                     self._count(me, action)
                 case api.Short(customer, short, held, spread):
-                    self._carry_out(me, self.leases[me].short(self.now, customer, short, held, spread))
+                    self._carry_out(me, self.leases[me].on_short(self.now, customer, short, held, spread))
 
     def _fire(self, me: int, gateway: Gateway, token: int) -> None:
         if self.gateways[me] is gateway:  # the timer of a gateway that was restarted since is dropped
             self._handle(me, api.TimerFired(token))
             if token == choice.TIMER_TOKEN and self.draws.random() < choice.TIMER_PERIOD_US / SECOND:
-                self._carry_out(me, self.leases[me].beat(self.now))
+                self._carry_out(me, self.leases[me].tick(self.now))
 
     def _count(self, me: int, count: api.Count) -> None:
         gateway = self.gateways[me]
@@ -124,7 +124,7 @@
         def answered() -> None:
             if self.gateways[me] is not gateway:
                 return
-            asks = self.leases[me].answered(self.now, count.name, outcome, total)
+            asks = self.leases[me].handle_answer(self.now, count.name, outcome, total)
             if asks is None:
                 self._handle(me, api.CounterAnswered(count.name, outcome, total))
             else:
@@ -132,7 +132,7 @@
 
         self.at(self.now + delay, answered)
 
-    def _carry_out(self, me: int, asks: list[Ask]) -> None:
+    def _carry_out(self, me: int, asks: list[LeaseAction]) -> None:
         for ask in asks:
             if isinstance(ask, Leased):
                 self._handle(me, api.UnitsLeased(ask.customer, ask.units))
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -13,8 +13,8 @@
 from millfront.operators.faults import InvalidDocument
 from millfront.operators.slices import run_to_end
 from millfront.plans import book as books
-from millfront.plans.carry import carry
-from millfront.plans.leases import EPOCH_US, Held
+from millfront.plans.carry import change_plan
+from millfront.plans.leases import EPOCH_US, ReservationSpec
 from tests.fleet import BEGIN_US, Fleet
 from tests.test_choice import SECOND
 
@@ -99,7 +99,7 @@
         ],
         reservations=[{"name": "r", "customer": OTHER, "rate": 1, "from": instant(10), "until": instant(20)}],
     )
-    made, _ = run_to_end(books.compiling(held, SETTLED, None, 0))
+    made, _ = run_to_end(books.compile_in_slices(held, SETTLED, None, 0))
 
     def asked(second: float, customer: str = ONE, named: str = "casual") -> books.Terms | None:
         return made.terms(int(customer, 16), named, int(second * SECOND))
@@ -116,13 +116,15 @@
 
 
 def test_what_is_late_is_told_and_plans_that_stay_keep_their_identity() -> None:
-    first, _ = run_to_end(books.compiling(book(plans=[{"name": "a", "rate": 1, "burst": 1}]), {}, None, 0))
+    first, _ = run_to_end(
+        books.compile_in_slices(book(plans=[{"name": "a", "rate": 1, "burst": 1}]), {}, None, 0)
+    )
     entries = [{"customer": ONE, "plan": "a", "from": instant(10)}]
     second = book(version=4, plans=[{"name": "a", "rate": 1, "burst": 1}], assignments=entries)
-    made, late = run_to_end(books.compiling(second, {}, first, 12_500_000))
-    assert late == books.Late(1, 2_500_000)
-    _, again = run_to_end(books.compiling(second, {}, made, 99_000_000))
-    assert again == books.Late(0, 0)
+    made, late = run_to_end(books.compile_in_slices(second, {}, first, 12_500_000))
+    assert late == books.Lateness(1, 2_500_000)
+    _, again = run_to_end(books.compile_in_slices(second, {}, made, 99_000_000))
+    assert again == books.Lateness(0, 0)
     assert made.defined["a"][0][2] is first.defined["a"][0][2]
 
 
@@ -226,7 +228,7 @@
 def test_a_deficit_goes_over_to_each_plan_and_back(moves: list[api.Plan], store: float) -> None:
     customer = Customer(7, CASUAL, 2, 1.0, 1.0, 0, 0.0, 0, 0, 0.5, 2.0)
     for plan in moves:
-        carry(0, customer, plan)
+        change_plan(0, customer, plan)
     assert customer.bucket / customer.share == store
     if moves:
         assert (customer.price, customer.refill_rate) == (1.0, moves[-1].rate / 2)
@@ -234,14 +236,14 @@
 
 def test_what_filled_up_again_is_no_deficit_any_more() -> None:
     customer = Customer(7, COLLECTOR, 1, 0.0, 30.0, 0, 0.0, 0, 0, 1.0, 0.0)
-    carry(0, customer, CASUAL)
+    change_plan(0, customer, CASUAL)
     assert customer.bucket == 0.0  # 60 are spent: 8 show, 52 are kept
     customer.bucket = 8.0  # full again, and not yet for long enough
-    carry(20 * SECOND, customer, COLLECTOR)
+    change_plan(20 * SECOND, customer, COLLECTOR)
     assert customer.bucket == 8.0
-    carry(20 * SECOND, customer, CASUAL)
+    change_plan(20 * SECOND, customer, CASUAL)
     customer.bucket = 8.0
-    carry(50 * SECOND, customer, COLLECTOR)
+    change_plan(50 * SECOND, customer, COLLECTOR)
     assert customer.bucket == 60.0
 
 
@@ -262,9 +264,9 @@
 def reserving(rate: float | None, units: float | None, seconds: float = 60.0, **fleet: float) -> Fleet:
     made = Fleet(3, CASUAL, int(fleet.get("seed", 1)), fleet.get("lost", 0.0))
     made.reserves = True
-    held = Held(99, 7, BEGIN_US, BEGIN_US + int(seconds * SECOND), rate, units)
+    held = ReservationSpec(99, 7, BEGIN_US, BEGIN_US + int(seconds * SECOND), rate, units)
     for leases in made.leases:
-        leases.book(BEGIN_US, [held])
+        leases.update(BEGIN_US, [held])
     return made
 
 
@@ -296,7 +298,7 @@
     spent = fleet.units(RESERVED)
     assert 150.0 < spent < 300.0
     fleet.restart(0)  # knows nothing any more
-    fleet.leases[0].book(fleet.now, [Held(99, 7, BEGIN_US, BEGIN_US + 99 * SECOND, None, 600.0)])
+    fleet.leases[0].update(fleet.now, [ReservationSpec(99, 7, BEGIN_US, BEGIN_US + 99 * SECOND, None, 600.0)])
     for me in range(3):
         fleet.asks(me, 20.0, 2.0, 40.0, start_s=25.0)  # the name that it spent under is forgotten by then
     fleet.run(70.0)
@@ -311,7 +313,7 @@
         fleet.run(5.0)
         if cancelled:
             for me, leases in enumerate(fleet.leases):
-                fleet._carry_out(me, leases.book(fleet.now, []))
+                fleet._carry_out(me, leases.update(fleet.now, []))
         fleet.run(5.0)
         assert fleet.units(RESERVED, since=BEGIN_US + 6 * SECOND + SECOND // 2) == 0.0
 
@@ -332,7 +334,7 @@
     seed: int, lost: float, troubles: list[tuple[float, int, str]]
 ) -> None:
     fleet = reserving(None, 400.0, seed=seed, lost=lost)
-    held = Held(99, 7, BEGIN_US, BEGIN_US + 60 * SECOND, None, 400.0)
+    held = ReservationSpec(99, 7, BEGIN_US, BEGIN_US + 60 * SECOND, None, 400.0)
     at_risk = 0.0
 
     def trouble(me: int, kind: str) -> None:
@@ -341,7 +343,7 @@
             # Stated: what a dead gatekeeper leased since any other one has read a total is forgotten
             at_risk += sum(u for _, at, u, s in fleet.sent if at == me and s is RESERVED)
             fleet.restart(me)
-            fleet.leases[me].book(fleet.now, [held])
+            fleet.leases[me].update(fleet.now, [held])
         else:
             fleet.counter.down = kind == "down"
 
