--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -27,7 +27,7 @@
 from typing import Any
 
 from millfront.usage import audit
-from millfront.usage.receiver import Receiving, server
+from millfront.usage.receiver import BatchReceiver, create_server
 from tests.peers import configuration, row, settings
 
 CLIENTS = 12
@@ -190,7 +190,7 @@
         play.kills += 1
         over.set()
         await asyncio.gather(*clients)
-        seen = audit.look(folder / "ledger")
+        seen = audit.read_ledger(folder / "ledger")
         play.out |= {entry.request: entry.guess for entry in seen.open.values()}
     over.set()
     await asyncio.gather(*clients)
@@ -208,12 +208,12 @@
     """:returns: what was seen, and every difference found"""
     draws = random.Random(seed + 1)
     faulty = [FAULTY]
-    receiving = Receiving()
+    receiving = BatchReceiver()
 
     def fault(method: str, path: str) -> str:
         return draws.choice(FAULTS) if draws.random() < faulty[0] else ""
 
-    made = server(receiving, "127.0.0.1", 0, fault)
+    made = create_server(receiving, "127.0.0.1", 0, fault)
     threading.Thread(target=made.serve_forever, daemon=True).start()
     receiver = f"127.0.0.1:{made.server_port}"
     play = asyncio.run(play_it(kills, seed, folder, receiver, spool, lambda: faulty.__setitem__(0, 0.0)))
--- a/benchmarks/ledger_speed.py
+++ b/benchmarks/ledger_speed.py
@@ -15,7 +15,7 @@
 
 from millfront.operators.document import Usage
 from millfront.operators.slices import run_to_end
-from millfront.usage.batches import making
+from millfront.usage.batches import build_in_slices
 from millfront.usage.ledger import Ledger
 from millfront.usage.records import Opened, Result
 
@@ -34,7 +34,7 @@
 
 def a_try(ledger: Ledger, number: int) -> None:
     held = entry(number)
-    ledger.settled(ledger.opened(held), held, Result.TOLD, 3.0)
+    ledger.record_settled(ledger.record_opened(held), held, Result.TOLD, 3.0)
 
 
 def at_rate(folder: Path) -> None:
@@ -52,13 +52,13 @@
         ledger.tick()
         if ledger.unsynced and (syncing is None or not syncing.is_alive()):
             pending = list(ledger.unsynced)
-            ledger.synced([one for one in pending if one[0].first < 0])
+            ledger.mark_synced([one for one in pending if one[0].first < 0])
             syncing = threading.Thread(target=ledger.sync)
             syncing.start()
             syncing.join()
-            ledger.synced(pending)
-        if (segment := ledger.due()) is not None and segment.path.exists():
-            run_to_end(making(segment.path.read_bytes(), segment.first, segment.next_seq, 60))
+            ledger.mark_synced(pending)
+        if (segment := ledger.oldest_sealed()) is not None and segment.path.exists():
+            run_to_end(build_in_slices(segment.path.read_bytes(), segment.first, segment.next_seq, 60))
             ledger.sealed.pop(0)
             batches += 1
         time.sleep(0.001)
--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -22,7 +22,7 @@
 
 from millfront.operators.document import Usage
 from millfront.usage.ledger import Ledger
-from millfront.usage.records import Kind, Opened, Scan, frame, read
+from millfront.usage.records import Kind, Opened, Scan, encode_frame, read_records
 
 ENTRY = Opened(1_700_000_000_000_000, "9b1f03aa5c7e2d41", 0xB4D65521, "collector", 12, "page-fetch", 0, 2.0)
 
@@ -36,7 +36,7 @@
         self.ledger.open()
 
     def append(self, seq: int) -> None:
-        self.ledger.opened(ENTRY)
+        self.ledger.record_opened(ENTRY)
         if seq % 5000 == 0:
             self.ledger.tick()
             self.ledger._open.clear()  # a few hundred are out at once in service
@@ -81,12 +81,12 @@
         self.at = 0
         if not fresh:
             scan = Scan()
-            for _ in read(self.map[:], scan):
+            for _ in read_records(self.map[:], scan):
                 pass
             self.at = scan.end
 
     def append(self, seq: int) -> None:
-        data = frame(Kind.OPENED, seq, ENTRY)
+        data = encode_frame(Kind.OPENED, seq, ENTRY)
         if self.at + len(data) > self.size:
             self.at = 0
         self.map[self.at : self.at + len(data)] = data
--- a/examples/try.py
+++ b/examples/try.py
@@ -20,7 +20,7 @@
 
 from page_server import PageServer
 
-from millfront.usage.receiver import Showing, server
+from millfront.usage.receiver import PrintingReceiver, create_server
 
 HERE = Path(__file__).parent
 CUSTOMER = "00000000b4d65521"
@@ -63,7 +63,7 @@
     parser.add_argument("--listen", default="127.0.0.1:8081")
     told = parser.parse_args()
     pages = [behind(ThreadingHTTPServer(("127.0.0.1", 0), PageServer)) for _ in range(2)]
-    receiver = behind(server(Showing(say), "127.0.0.1", 0))
+    receiver = behind(create_server(PrintingReceiver(say), "127.0.0.1", 0))
     with tempfile.TemporaryDirectory(prefix="millfront-") as name:
         given = written(Path(name), told.listen, pages, receiver)
         command = [sys.executable, "-B", "-m", "millfront"]
--- a/millfront/cli/usage.py
+++ b/millfront/cli/usage.py
@@ -15,9 +15,9 @@
 from millfront.operators import document
 from millfront.operators.faults import InvalidDocument
 from millfront.usage import audit
-from millfront.usage.ledger import Foreign, Ledger
-from millfront.usage.part import Exporter, sink_of
-from millfront.usage.receiver import Receiving, Showing, server
+from millfront.usage.ledger import Ledger, UnsupportedFormat
+from millfront.usage.part import Exporter, create_sink
+from millfront.usage.receiver import BatchReceiver, PrintingReceiver, create_server
 
 
 class Told:
@@ -39,10 +39,10 @@
     def period_s(self) -> int:
         return self.usage.period_s if self.usage else 60
 
-    def seen(self) -> audit.Seen:
+    def seen(self) -> audit.LedgerContents:
         if not self.folder.is_dir():
             fail(UNUSABLE, f"{self.folder}: there is no ledger")
-        return audit.look(self.folder)
+        return audit.read_ledger(self.folder)
 
 
 @click.group()
@@ -157,11 +157,11 @@
     ledger = Ledger(told.folder, seen.source or "export", usage, lambda: time.time_ns() // 1000)
     try:
         ledger.open()
-    except (OSError, Foreign) as wrong:
+    except (OSError, UnsupportedFormat) as wrong:
         fail(UNREACHABLE, wrong)
 
     async def exported() -> Exporter:
-        exporter = Exporter(ledger, usage, sink_of(usage), random.Random())
+        exporter = Exporter(ledger, usage, create_sink(usage), random.Random())
         with anyio.move_on_after(seconds):
             await exporter.run(until_idle=True)
         await exporter.sink.close()
@@ -173,7 +173,7 @@
     what = {"batches": exporter.batches, "lines": exporter.lines, "left": left}
     show(as_json, what, f"{exporter.batches} batches with {exporter.lines} lines exported, {left} left")
     if left:
-        fail(UNREACHABLE, exporter.sending.trouble or "time is up")
+        fail(UNREACHABLE, exporter.state.last_error or "time is up")
 
 
 @group.command()
@@ -189,8 +189,8 @@
         raise click.UsageError(f"{listen!r} is no loopback HOST:PORT")
 
     kept = Path(folder) if folder else None
-    receiving = Receiving(kept) if quiet else Showing(click.echo, kept)
-    made = server(receiving, host, int(port))
+    receiving = BatchReceiver(kept) if quiet else PrintingReceiver(click.echo, kept)
+    made = create_server(receiving, host, int(port))
     click.echo(f"receiver at {host}:{made.server_port}")
     try:
         made.serve_forever()
--- a/millfront/usage/batches.py
+++ b/millfront/usage/batches.py
@@ -12,11 +12,20 @@
 
 import msgspec
 
-from millfront.usage.records import RESULT_NAMES, STANDING_NAMES, Gap, Head, Result, Scan, Settled, read
-
-SLICE = 200  # records in one go: about a millisecond
+from millfront.usage.records import (
+    RESULT_NAMES,
+    STANDING_NAMES,
+    Gap,
+    Head,
+    Result,
+    Scan,
+    Settled,
+    read_records,
+)
+
+RECORDS_PER_SLICE = 200  # records in one go: about a millisecond
 Key = tuple[int, str, str, int, str, str, str]  # period to figure, as in a Line
-DIGITS = 6  # of a unit: sums of floats must not tell in which order they were made
+UNIT_DIGITS = 6  # of a unit: sums of floats must not tell in which order they were made
 
 
 class BatchHead(msgspec.Struct, frozen=True):
@@ -63,11 +72,11 @@
         return self.head.lines
 
 
-def name_of(source: str, ledger: str, first: int, last: int) -> str:
+def batch_name(source: str, ledger: str, first: int, last: int) -> str:
     return f"{source}.{ledger}.{first:016x}-{last:016x}"
 
 
-def making(data: bytes, first: int, next_seq: int, period_s: int) -> Iterator[Batch | None]:
+def build_in_slices(data: bytes, first: int, next_seq: int, period_s: int) -> Iterator[Batch | None]:
     """The batch of a segment's bytes, in slices; yields None in between.
 
     :param next_seq: the segment after this one begins there: what lies between the last sound record and it
@@ -75,19 +84,27 @@
     """
     scan = Scan()
     sums: dict[Key, list[float]] = {}
-    never = gap_tries = 0
+    never_ran = gap_tries = 0
     gap_units = 0.0
     source = ledger = ""
-    for records, (_, _, record) in enumerate(read(data, scan), 1):
+    for records, (_, _, record) in enumerate(read_records(data, scan), 1):
         if isinstance(record, Settled):
             if record.result == Result.NEVER:
-                never += 1
+                never_ran += 1
             else:
-                of = record.of
+                attempt = record.attempt
                 period = record.at_us // 1_000_000 // period_s * period_s
                 figure = RESULT_NAMES[record.result]
-                standing = STANDING_NAMES[of.standing]
-                key = (period, f"{of.customer:016x}", of.plan, of.version, of.cls, standing, figure)
+                standing = STANDING_NAMES[attempt.standing]
+                key = (
+                    period,
+                    f"{attempt.customer:016x}",
+                    attempt.plan,
+                    attempt.version,
+                    attempt.cls,
+                    standing,
+                    figure,
+                )
                 found = sums.setdefault(key, [0, 0.0])
                 found[0] += 1
                 found[1] += record.units
@@ -96,37 +113,37 @@
             gap_units += record.units
         elif isinstance(record, Head):
             source, ledger = record.source, record.ledger
-        if records % SLICE == 0:
+        if records % RECORDS_PER_SLICE == 0:
             yield None
     missing = list(scan.missing)
     if scan.next_seq < next_seq:
         missing.append((scan.next_seq, next_seq - 1))
     lines = [_line(key, source, *sums[key]) for key in sorted(sums)]
     head = BatchHead(
-        name_of(source, ledger, first, next_seq - 1),
+        batch_name(source, ledger, first, next_seq - 1),
         source,
         ledger,
         first,
         next_seq - 1,
         sum(line.tries for line in lines),
-        round(math.fsum(line.units for line in lines), DIGITS),
-        never,
+        round(math.fsum(line.units for line in lines), UNIT_DIGITS),
+        never_ran,
         gap_tries,
-        round(gap_units, DIGITS),
+        round(gap_units, UNIT_DIGITS),
         missing,
         len(lines),
     )
-    text = b"".join(msgspec.json.encode(what) + b"\n" for what in (head, *lines))
+    text = b"".join(msgspec.json.encode(entry) + b"\n" for entry in (head, *lines))
     yield Batch(head.batch, first, next_seq - 1, head, text, hashlib.sha256(text).hexdigest())
 
 
 def _line(key: Key, source: str, tries: float, units: float) -> Line:
     period, customer, plan, version, cls, standing, figure = key
-    whole, billed = int(tries), round(units, DIGITS)
-    return Line(period, customer, plan, version, cls, standing, figure, source, whole, billed)
+    count, billed = int(tries), round(units, UNIT_DIGITS)
+    return Line(period, customer, plan, version, cls, standing, figure, source, count, billed)
 
 
-def key_of(line: Line) -> tuple[str, ...]:
+def line_key(line: Line) -> tuple[str, ...]:
     """What a sum goes by on both sides, in the order of the fields."""
     return (
         str(line.period),
@@ -140,7 +157,7 @@
     )
 
 
-def parsed(text: bytes) -> tuple[BatchHead, list[Line]]:
+def parse_batch(text: bytes) -> tuple[BatchHead, list[Line]]:
     """:raises msgspec.MsgspecError: it is no batch"""
     head, *lines = text.splitlines()
     return msgspec.json.decode(head, type=BatchHead), [msgspec.json.decode(line, type=Line) for line in lines]
--- a/millfront/usage/ledger.py
+++ b/millfront/usage/ledger.py
@@ -28,20 +28,31 @@
 from millfront.operators.document import Usage
 from millfront.operators.files import fsync_path, write_atomically
 from millfront.usage.batches import Batch
-from millfront.usage.records import FORMAT, Gap, Head, Kind, Opened, Result, Scan, Settled, frame, read
+from millfront.usage.records import (
+    FORMAT,
+    Gap,
+    Head,
+    Kind,
+    Opened,
+    Result,
+    Scan,
+    Settled,
+    encode_frame,
+    read_records,
+)
 
 log = Log(__name__)
 
-MOST_OWED = 10_000  # settled tries kept for a disk that fails for a while
-SECOND = 1_000_000
-SENT_SHARE = 0.25  # of most_bytes: exported batches kept for reconciling
+MAX_PENDING = 10_000  # settled tries kept for a disk that fails for a while
+SECOND_US = 1_000_000
+SENT_BYTES_SHARE = 0.25  # of most_bytes: exported batches kept for reconciling
 
 
-class Locked(OSError):
+class LedgerLocked(OSError):
     """Another process has the ledger."""
 
 
-class Foreign(Exception):
+class UnsupportedFormat(Exception):
     """The folder holds a ledger of a format that this version can't read."""
 
 
@@ -79,11 +90,11 @@
 
 class Ledger:
     def __init__(
-        self, folder: str | os.PathLike[str], source: str, told: Usage, now_us: Callable[[], int]
+        self, folder: str | os.PathLike[str], source: str, options: Usage, now_us: Callable[[], int]
     ) -> None:
         self.folder = Path(folder)
         self.source = source
-        self.told = told
+        self.options = options
         self.now_us = now_us
         self.id = ""
         self.next_seq = 0
@@ -97,13 +108,13 @@
         self._gap_tries = 0  # of the unrecorded ones: not yet told by a record
         self._gap_units = 0.0
         self._open: dict[int, Opened] = {}
-        self._owed: deque[tuple[int, Opened, Result, float, int]] = deque()
+        self._pending: deque[tuple[int, Opened, Result, float, int]] = deque()
         self._lock = -1
         self._fd = -1
-        self._first = 0
-        self._end = 0
-        self._begun_us = 0
-        self._path = Path()
+        self._first_seq = 0
+        self._size = 0
+        self._started_us = 0
+        self._segment_path = Path()
         self._digest = hashlib.blake2b(digest_size=16)  # of the segment so far: the next one's chain
         self._dirty = False
         self._last_us = 0
@@ -115,14 +126,14 @@
     def open(self) -> Recovered:
         """Take the folder, read what a former life left, and begin a segment.
 
-        :raises Locked: another process has it
-        :raises Foreign: its format is another one's
+        :raises LedgerLocked: another process has it
+        :raises UnsupportedFormat: its format is another one's
         :raises OSError: the disk does not do its part
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         self._take_lock()
         try:
-            return self._opened()
+            return self._recover()
         except BaseException:
             self.close()
             raise
@@ -131,32 +142,32 @@
         self._lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as wrong:
+        except OSError as error:
             os.close(self._lock)
             self._lock = -1
-            raise Locked(wrong.errno, "another process has this ledger", str(self.folder)) from None
+            raise LedgerLocked(error.errno, "another process has this ledger", str(self.folder)) from None
 
-    def _opened(self) -> Recovered:
-        for left in self.folder.glob("*.new"):
-            left.unlink()
+    def _recover(self) -> Recovered:
+        for leftover in self.folder.glob("*.new"):
+            leftover.unlink()
         (self.folder / "sent").mkdir(exist_ok=True)
         self.id = self._identity()
         self._read_receipts()
         found = Recovered()
-        segments = segments_of(self.folder)
+        segments = list_segments(self.folder)
         found.segments = len(segments)
         opened: dict[int, Opened] = {}
         chain = ""
         if segments:
             data = segments[-1].path.read_bytes()
             scan = Scan()
-            for kind, seq, record in read(data, scan):
+            for kind, seq, record in read_records(data, scan):
                 if isinstance(record, Head):
                     opened = dict(record.open)
                 elif isinstance(record, Opened):
                     opened[seq] = record
                 elif isinstance(record, Settled):
-                    opened.pop(record.opened, None)
+                    opened.pop(record.opened_seq, None)
                 if kind != Kind.HEAD:
                     self._last_us = max(self._last_us, record.at_us)  # type: ignore[union-attr]
             self.next_seq = max(scan.next_seq, segments[-1].first)
@@ -169,12 +180,12 @@
             fsync_path(segment.path)
         self._bytes_sealed = sum(s.size for s in self.sealed)
         self._sent_bytes = sum(p.stat().st_size for p in (self.folder / "sent").iterdir())
-        now = self._now()
-        ended = [
+        now = self._monotonic_us()
+        abandoned = [
             Settled(seq, now, Result.ABANDONED, entry.guess, entry) for seq, entry in sorted(opened.items())
         ]
-        found.abandoned = len(ended)
-        self._begin(chain, ended)
+        found.abandoned = len(abandoned)
+        self._start_segment(chain, abandoned)
         fsync_path(self.folder)
         self.compact(self.acknowledged)
         return found
@@ -182,24 +193,26 @@
     def _identity(self) -> str:
         path = self.folder / "ledger.json"
         try:
-            held = json.loads(path.read_bytes())
+            identity = json.loads(path.read_bytes())
         except FileNotFoundError:
-            held = {"format": FORMAT, "ledger": secrets.token_hex(8)}
-            write_atomically(path, json.dumps(held).encode() + b"\n")
+            identity = {"format": FORMAT, "ledger": secrets.token_hex(8)}
+            write_atomically(path, json.dumps(identity).encode() + b"\n")
         except ValueError:
-            raise Foreign(f"{path} is not a ledger's identity") from None
-        if held.get("format", 0) > FORMAT:
-            raise Foreign(f"{path}: format {held.get('format')}; this version reads up to {FORMAT}")
-        if held.get("format", 0) < FORMAT:
+            raise UnsupportedFormat(f"{path} is not a ledger's identity") from None
+        if identity.get("format", 0) > FORMAT:
+            raise UnsupportedFormat(
+                f"{path}: format {identity.get('format')}; this version reads up to {FORMAT}"
+            )
+        if identity.get("format", 0) < FORMAT:
             # Segments of an older format are read by their own frames; new ones are written in this one.
-            held = {"format": FORMAT, "ledger": held.get("ledger") or secrets.token_hex(8)}
-            write_atomically(path, json.dumps(held).encode() + b"\n")
-        return str(held["ledger"])
+            identity = {"format": FORMAT, "ledger": identity.get("ledger") or secrets.token_hex(8)}
+            write_atomically(path, json.dumps(identity).encode() + b"\n")
+        return str(identity["ledger"])
 
     def _read_receipts(self) -> None:
         """A torn last line is dropped: its segment is still there, and the receiver's mark knows better."""
         path = self.folder / "receipts.jsonl"
-        sound, receipts = 0, list[Receipt]()
+        valid_bytes, receipts = 0, list[Receipt]()
         try:
             data = path.read_bytes()
         except FileNotFoundError:
@@ -212,14 +225,14 @@
             if not line.endswith(b"\n"):
                 receipts.pop()
                 break
-            sound += len(line)
-        if sound < len(data):
-            os.truncate(path, sound)
+            valid_bytes += len(line)
+        if valid_bytes < len(data):
+            os.truncate(path, valid_bytes)
         if receipts:
             self.receipts_chain = receipts[-1].chain
             self.acknowledged = max(receipt.last for receipt in receipts)
 
-    def _now(self) -> int:
+    def _monotonic_us(self) -> int:
         """Never before what is recorded: a clock that steps back between two lives must not move usage into
         a period that is billed already."""
         self._last_us = max(self._last_us, self.now_us())
@@ -227,43 +240,43 @@
 
     # ---- appending ---------------------------------------------------------------------------
 
-    def opened(self, entry: Opened) -> int:
+    def record_opened(self, entry: Opened) -> int:
         """A try is about to go out; returns its number, or -1 if it can't be recorded."""
-        if self._fd < 0 or self.fault or self._full():
+        if self._fd < 0 or self.fault or self._is_full():
             return -1
         seq = self.next_seq
-        if not self._append(frame(Kind.OPENED, seq, entry)):
+        if not self._append(encode_frame(Kind.OPENED, seq, entry)):
             return -1
         self.next_seq = seq + 1
         self._open[seq] = entry
         return seq
 
-    def settled(self, seq: int, entry: Opened, result: Result, units: float) -> None:
+    def record_settled(self, seq: int, entry: Opened, result: Result, units: float) -> None:
         """Nothing of the try is out any more.
 
-        :param seq: as opened() told
+        :param seq: as record_opened() returned it
         :param units: what is billed
         """
         if seq < 0:
             if result is not Result.NEVER:
-                self._miss(units)
+                self._count_unrecorded(units)
             return
-        if self._owed or self.fault or not self._settle(seq, entry, result, units, self._now()):
-            if len(self._owed) >= MOST_OWED:
+        if self._pending or self.fault or not self._settle(seq, entry, result, units, self._monotonic_us()):
+            if len(self._pending) >= MAX_PENDING:
                 self._open.pop(seq, None)
-                self._miss(units)
+                self._count_unrecorded(units)
             else:
-                self._owed.append((seq, entry, result, units, self._now()))
+                self._pending.append((seq, entry, result, units, self._monotonic_us()))
 
     def _settle(self, seq: int, entry: Opened, result: Result, units: float, at_us: int) -> bool:
         record = Settled(seq, at_us, result, units, entry)
-        if self._fd < 0 or not self._append(frame(Kind.SETTLED, self.next_seq, record)):
+        if self._fd < 0 or not self._append(encode_frame(Kind.SETTLED, self.next_seq, record)):
             return False
         self.next_seq += 1
         self._open.pop(seq, None)
         return True
 
-    def _miss(self, units: float) -> None:
+    def _count_unrecorded(self, units: float) -> None:
         self.unrecorded_tries += 1
         self.unrecorded_units += units
         self._gap_tries += 1
@@ -272,59 +285,59 @@
     def _append(self, data: bytes) -> bool:
         try:
             written = os.write(self._fd, data)
-        except OSError as wrong:
-            self._failed(wrong)
+        except OSError as error:
+            self._set_fault(error)
             return False
         if written != len(data):  # the disk took a part: a reader would stop at it, so it goes again
             try:
-                os.ftruncate(self._fd, self._end)
-            except OSError as wrong:
-                self._failed(wrong)
+                os.ftruncate(self._fd, self._size)
+            except OSError as error:
+                self._set_fault(error)
             self.fault = self.fault or "a short write"
             return False
-        self._end += written
+        self._size += written
         self._digest.update(data)
         self._dirty = True
         return True
 
-    def _failed(self, wrong: OSError) -> None:
+    def _set_fault(self, error: OSError) -> None:
         if not self.fault:
-            log.error("the ledger does not record", why=wrong.strerror, folder=self.folder)
-        self.fault = wrong.strerror or str(wrong)
+            log.error("the ledger does not record", why=error.strerror, folder=self.folder)
+        self.fault = error.strerror or str(error)
 
-    def _full(self) -> bool:
-        return self._bytes_sealed + self._end >= self.told.most_bytes
+    def _is_full(self) -> bool:
+        return self._bytes_sealed + self._size >= self.options.most_bytes
 
     def tick(self) -> None:
         """Some times a second: seal what is due, and try again what failed."""
         if self._fd < 0:
             return
         if self.fault:
-            self._again()
+            self._probe_disk()
         if self.fault:
             return
-        while self._owed:
-            if not self._settle(*self._owed[0]):
+        while self._pending:
+            if not self._settle(*self._pending[0]):
                 return
-            self._owed.popleft()
-        if self._gap_tries and not self._full():
-            gap = Gap(self._now(), self._gap_tries, self._gap_units)
-            if self._append(frame(Kind.GAP, self.next_seq, gap)):
+            self._pending.popleft()
+        if self._gap_tries and not self._is_full():
+            gap = Gap(self._monotonic_us(), self._gap_tries, self._gap_units)
+            if self._append(encode_frame(Kind.GAP, self.next_seq, gap)):
                 self.next_seq += 1
                 self._gap_tries, self._gap_units = 0, 0.0
-        used = self.next_seq - self._first > 1
-        old = self.now_us() - self._begun_us >= self.told.segment_s * SECOND
-        if used and (old or self._end >= self.told.segment_bytes):
+        used = self.next_seq - self._first_seq > 1
+        old = self.now_us() - self._started_us >= self.options.segment_s * SECOND_US
+        if used and (old or self._size >= self.options.segment_bytes):
             self.seal()
 
-    def _again(self) -> None:
+    def _probe_disk(self) -> None:
         """A probe of the disk: the same bytes as a record would be, taken back at once."""
         try:
-            os.ftruncate(self._fd, self._end)
+            os.ftruncate(self._fd, self._size)
             written = os.write(self._fd, bytes(256))
-            os.ftruncate(self._fd, self._end)
-        except OSError as wrong:
-            self.fault = wrong.strerror or str(wrong)
+            os.ftruncate(self._fd, self._size)
+        except OSError as error:
+            self.fault = error.strerror or str(error)
             return
         if written == 256:
             log.info("the ledger records again", unrecorded=self.unrecorded_tries)
@@ -334,48 +347,53 @@
 
     def seal(self) -> None:
         """Begin a segment; the one before is exported once sync() has made it lasting."""
-        before = Segment(self._first, self.next_seq, self._path, self._end)
+        previous = Segment(self._first_seq, self.next_seq, self._segment_path, self._size)
         fd = self._fd
         try:
-            self._begin(self._digest.hexdigest(), [])
-        except OSError as wrong:
+            self._start_segment(self._digest.hexdigest(), [])
+        except OSError as error:
             self._fd = fd
-            self._failed(wrong)
+            self._set_fault(error)
             return
-        self._bytes_sealed += before.size
-        self.unsynced.append((before, fd))
+        self._bytes_sealed += previous.size
+        self.unsynced.append((previous, fd))
 
-    def _begin(self, chain: str, ended: list[Settled]) -> None:
+    def _start_segment(self, chain: str, abandoned: list[Settled]) -> None:
         """Head and first records in one piece, put in place by a rename: never half a beginning."""
         first = self.next_seq
         head = Head(
-            FORMAT, self.id, self.source, self._now(), chain, [] if ended else sorted(self._open.items())
+            FORMAT,
+            self.id,
+            self.source,
+            self._monotonic_us(),
+            chain,
+            [] if abandoned else sorted(self._open.items()),
         )
-        frames = [frame(Kind.HEAD, first, head)]
-        frames += [frame(Kind.SETTLED, first + 1 + i, record) for i, record in enumerate(ended)]
+        frames = [encode_frame(Kind.HEAD, first, head)]
+        frames += [encode_frame(Kind.SETTLED, first + 1 + i, record) for i, record in enumerate(abandoned)]
         data = b"".join(frames)
         path = self.folder / f"seg-{first:016x}.log"
-        aside = path.with_suffix(".new")
-        fd = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
+        temporary = path.with_suffix(".new")
+        fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
         try:
             if os.write(fd, data) != len(data):
                 raise OSError(28, "a short write")
-            if ended and self.told.fsync != "never":
+            if abandoned and self.options.fsync != "never":
                 os.fsync(fd)
-            os.rename(aside, path)
+            os.rename(temporary, path)
         except BaseException:
             os.close(fd)
             raise
-        self._fd, self._path, self._first, self._end = fd, path, first, len(data)
+        self._fd, self._segment_path, self._first_seq, self._size = fd, path, first, len(data)
         self.next_seq = first + len(frames)
         self._digest = hashlib.blake2b(data, digest_size=16)
-        self._begun_us = self.now_us()
+        self._started_us = self.now_us()
         self._dirty = True
 
     def sync(self) -> None:
         """Make lasting what is written; may wait for the disk, so it is called in a thread of its own.
 
-        It touches descriptors alone; what follows from it is taken up by synced().
+        It touches descriptors alone; what follows from it is taken up by mark_synced().
         """
         if self._dirty:
             self._dirty = False
@@ -384,7 +402,7 @@
             os.fsync(fd)
         fsync_path(self.folder)
 
-    def synced(self, sealed: list[tuple[Segment, int]]) -> None:
+    def mark_synced(self, sealed: list[tuple[Segment, int]]) -> None:
         """Those segments are lasting: they may be exported."""
         for segment, fd in sealed:
             if self.unsynced and self.unsynced[0][0] is segment:
@@ -394,19 +412,19 @@
 
     # ---- export ------------------------------------------------------------------------------
 
-    def due(self) -> Segment | None:
+    def oldest_sealed(self) -> Segment | None:
         """The oldest segment that is not exported."""
         return self.sealed[0] if self.sealed else None
 
-    def keep(self, batch: Batch, packed: bytes) -> None:
+    def keep_sent(self, batch: Batch, compressed: bytes) -> None:
         """Before it is sent: the batch as it goes out, for reconciling."""
-        write_atomically(self.folder / "sent" / f"{batch.name}.jsonl.zst", packed)
-        self._sent_bytes += len(packed)
+        write_atomically(self.folder / "sent" / f"{batch.name}.jsonl.zst", compressed)
+        self._sent_bytes += len(compressed)
 
-    def receipt(self, batch: Batch) -> None:
+    def record_receipt(self, batch: Batch) -> None:
         """The receiver has the batch: written down first, then its segment goes."""
         head = batch.head
-        bare = Receipt(
+        unchained = Receipt(
             batch.name,
             batch.first,
             batch.last,
@@ -417,8 +435,8 @@
             self.now_us(),
             "",
         )
-        chain = chained(self.receipts_chain, bare)
-        line = msgspec.json.encode(msgspec.structs.replace(bare, chain=chain)) + b"\n"
+        chain = receipt_chain(self.receipts_chain, unchained)
+        line = msgspec.json.encode(msgspec.structs.replace(unchained, chain=chain)) + b"\n"
         fd = os.open(
             self.folder / "receipts.jsonl", os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600
         )
@@ -440,10 +458,10 @@
             segment.path.unlink(missing_ok=True)
             self.sealed.remove(segment)
             self._bytes_sealed -= segment.size
-        most = int(self.told.most_bytes * SENT_SHARE)
-        if self._sent_bytes > most:
+        max_bytes = int(self.options.most_bytes * SENT_BYTES_SHARE)
+        if self._sent_bytes > max_bytes:
             for path in sorted((self.folder / "sent").iterdir(), key=lambda p: p.stat().st_mtime):
-                if self._sent_bytes <= most:
+                if self._sent_bytes <= max_bytes:
                     break
                 self._sent_bytes -= path.stat().st_size
                 path.unlink()
@@ -453,15 +471,15 @@
     def finish(self) -> None:
         """A planned end: what is still out is settled as a guess, all is sealed and lasting."""
         for seq, entry in list(self._open.items()):
-            if not any(owed[0] == seq for owed in self._owed):
-                self.settled(seq, entry, Result.GUESSED, entry.guess)
+            if not any(item[0] == seq for item in self._pending):
+                self.record_settled(seq, entry, Result.GUESSED, entry.guess)
         self.tick()
         if self._fd >= 0 and not self.fault:
-            if self.next_seq - self._first > 1:
+            if self.next_seq - self._first_seq > 1:
                 self.seal()
             pending = list(self.unsynced)
             self.sync()
-            self.synced(pending)
+            self.mark_synced(pending)
 
     def close(self) -> None:
         for _, fd in self.unsynced:
@@ -477,22 +495,22 @@
             "ledger": self.id,
             "next": self.next_seq,
             "open": len(self._open),
-            "bytes": self._bytes_sealed + self._end,
+            "bytes": self._bytes_sealed + self._size,
             "segments_to_export": len(self.sealed) + len(self.unsynced),
             "acknowledged": self.acknowledged,
             "unrecorded_tries": self.unrecorded_tries,
             "unrecorded_units": round(self.unrecorded_units, 6),
-            "fault": self.fault or ("full" if self._fd >= 0 and self._full() else ""),
+            "fault": self.fault or ("full" if self._fd >= 0 and self._is_full() else ""),
         }
 
 
-def chained(before: str, receipt: Receipt) -> str:
+def receipt_chain(previous: str, receipt: Receipt) -> str:
     """The chain's next link: BLAKE2b over the link before and the receipt without its own."""
-    bare = msgspec.json.encode(msgspec.structs.replace(receipt, chain=""))
-    return hashlib.blake2b(before.encode() + bare, digest_size=16).hexdigest()
+    unchained = msgspec.json.encode(msgspec.structs.replace(receipt, chain=""))
+    return hashlib.blake2b(previous.encode() + unchained, digest_size=16).hexdigest()
 
 
-def segments_of(folder: Path) -> list[Segment]:
+def list_segments(folder: Path) -> list[Segment]:
     """Those in a folder, the oldest first; each ends where the next one begins. The last one's end is not
     known without reading it."""
     paths = sorted(folder.glob("seg-*.log"))
@@ -504,7 +522,7 @@
     ]
 
 
-def receipts_of(folder: Path) -> Iterator[Receipt]:
+def read_receipts(folder: Path) -> Iterator[Receipt]:
     """:raises msgspec.MsgspecError: a line that is none"""
     path = folder / "receipts.jsonl"
     if path.exists():
--- a/millfront/usage/part.py
+++ b/millfront/usage/part.py
@@ -14,18 +14,18 @@
 from millfront.operators.slices import run_in_slices
 from millfront.usage import batches
 from millfront.usage.batches import Batch
-from millfront.usage.ledger import Foreign, Ledger, Segment
+from millfront.usage.ledger import Ledger, Segment, UnsupportedFormat
 from millfront.usage.records import STANDINGS, Opened, Result
-from millfront.usage.sending import Offer, Sending, What
-from millfront.usage.sinks import HttpSink, Sink, SpoolSink, packed
+from millfront.usage.sending import ExportState, PendingBatch, StepKind
+from millfront.usage.sinks import HttpSink, Sink, SpoolSink, compress
 
 log = Log(__name__)
 
 TICK_S = 0.2
-AGAIN_S = 0.5  # before a ledger that could not be opened is tried again
+REOPEN_INTERVAL_S = 0.5  # before a ledger that could not be opened is tried again
 SYNC_ALWAYS_S = 0.01
-PAUSE_S = 0.001  # between slices of making a batch
-LAST_EXPORT_S = 2.0  # for what is sealed at a planned end; what is left goes out in the next life
+SLICE_PAUSE_S = 0.001  # between slices of making a batch
+FINAL_EXPORT_TIMEOUT_S = 2.0  # for what is sealed at a planned end; what is left goes out in the next life
 
 
 @dataclass(slots=True)
@@ -39,18 +39,18 @@
 class UsagePart:
     name = "usage"
 
-    def __init__(self, node: Node, told: Usage) -> None:
+    def __init__(self, node: Node, options: Usage) -> None:
         self.node = node
-        self.told = told
+        self.options = options
         config = node.config
-        self.ledger = Ledger(told.folder, config.name, told, node.clock.now)
+        self.ledger = Ledger(options.folder, config.name, options, node.clock.now)
         self._ready = False
-        self._running = anyio.CancelScope()
-        self._ended = anyio.Event()
-        self._why = ""
+        self._scope = anyio.CancelScope()
+        self._stopped = anyio.Event()
+        self._open_error = ""
         self.exporter: Exporter | None = None
-        if told.export is not None:
-            self.exporter = Exporter(self.ledger, told, sink_of(told), random.Random(config.seed))
+        if options.export is not None:
+            self.exporter = Exporter(self.ledger, options, create_sink(options), random.Random(config.seed))
 
     # ---- as a part ---------------------------------------------------------------------------
 
@@ -62,12 +62,12 @@
     def _open(self) -> None:
         try:
             found = self.ledger.open()
-        except (OSError, Foreign) as wrong:
-            if str(wrong) != self._why:
-                log.error("the ledger can't be opened", folder=self.told.folder, why=wrong)
-            self._why = str(wrong)
+        except (OSError, UnsupportedFormat) as error:
+            if str(error) != self._open_error:
+                log.error("the ledger can't be opened", folder=self.options.folder, why=error)
+            self._open_error = str(error)
             return
-        self._ready, self._why = True, ""
+        self._ready, self._open_error = True, ""
         fields = {"segments": found.segments, "abandoned": found.abandoned, "next": self.ledger.next_seq}
         if found.missing or found.torn_bytes:
             log.warning("the ledger is open", missing=found.missing, torn=found.torn_bytes, **fields)
@@ -75,27 +75,27 @@
             log.info("the ledger is open", **fields)
 
     async def run(self) -> None:
-        self._running = anyio.CancelScope()
+        self._scope = anyio.CancelScope()
         while not self._ready:
-            await anyio.sleep(AGAIN_S)
+            await anyio.sleep(REOPEN_INTERVAL_S)
             self._open()
-        with self._running:
+        with self._scope:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._ticks)
-                tasks.start_soon(self._syncs)
+                tasks.start_soon(self._run_ticks)
+                tasks.start_soon(self._run_syncs)
                 if self.exporter is not None:
                     tasks.start_soon(self.exporter.run)
-        self._ended.set()
+        self._stopped.set()
 
-    async def _ticks(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             await anyio.sleep(TICK_S)
             self.ledger.tick()
 
-    async def _syncs(self) -> None:
+    async def _run_syncs(self) -> None:
         """fsync in a thread: the loop never waits for the disk."""
-        policy = self.told.fsync
-        pause = SYNC_ALWAYS_S if policy == "always" else self.told.fsync_s
+        policy = self.options.fsync
+        pause = SYNC_ALWAYS_S if policy == "always" else self.options.fsync_s
         while True:
             await anyio.sleep(pause)
             pending = list(self.ledger.unsynced)
@@ -103,22 +103,22 @@
                 continue
             try:
                 await anyio.to_thread.run_sync(self.ledger.sync)
-            except OSError as wrong:
-                log.error("the ledger could not be synced", why=wrong.strerror)
+            except OSError as error:
+                log.error("the ledger could not be synced", why=error.strerror)
                 continue
-            self.ledger.synced(pending)
+            self.ledger.mark_synced(pending)
             if pending and self.exporter is not None:
                 self.exporter.wake()
 
     async def stop(self) -> None:
         if not self._ready:
             return
-        self._running.cancel()
-        with anyio.move_on_after(LAST_EXPORT_S):
-            await self._ended.wait()
+        self._scope.cancel()
+        with anyio.move_on_after(FINAL_EXPORT_TIMEOUT_S):
+            await self._stopped.wait()
         await anyio.to_thread.run_sync(self.ledger.finish)
         if self.exporter is not None:
-            with anyio.move_on_after(LAST_EXPORT_S):
+            with anyio.move_on_after(FINAL_EXPORT_TIMEOUT_S):
                 await self.exporter.run(until_idle=True)
             await self.exporter.sink.close()
         self.ledger.close()
@@ -142,7 +142,7 @@
                 STANDINGS[standing],
                 arrival.units,
             )
-            opened.tallied = Mark(self.ledger.opened(entry), entry)
+            opened.tallied = Mark(self.ledger.record_opened(entry), entry)
         except Exception:
             log.exception("a try could not be recorded")
 
@@ -150,40 +150,40 @@
         mark: Mark = opened.tallied
         try:
             if not opened.ran:
-                self.ledger.settled(mark.seq, mark.entry, Result.NEVER, 0.0)
+                self.ledger.record_settled(mark.seq, mark.entry, Result.NEVER, 0.0)
             elif opened.units > 0.0:
-                self.ledger.settled(mark.seq, mark.entry, Result.TOLD, opened.units)
+                self.ledger.record_settled(mark.seq, mark.entry, Result.TOLD, opened.units)
             else:
-                self.ledger.settled(mark.seq, mark.entry, Result.GUESSED, mark.entry.guess)
+                self.ledger.record_settled(mark.seq, mark.entry, Result.GUESSED, mark.entry.guess)
         except Exception:
             log.exception("a try's end could not be recorded")
 
     def status(self) -> dict[str, object]:
-        told: dict[str, object] = {"ready": self._ready, "why": self._why} | self.ledger.status()
-        return told | (self.exporter.status() if self.exporter is not None else {})
+        report: dict[str, object] = {"ready": self._ready, "why": self._open_error} | self.ledger.status()
+        return report | (self.exporter.status() if self.exporter is not None else {})
 
 
-def sink_of(told: Usage) -> Sink:
-    assert told.export is not None
-    if told.export.receiver is not None:
-        return HttpSink(told.export.receiver)
-    return SpoolSink(told.export.spool or "")
+def create_sink(options: Usage) -> Sink:
+    assert options.export is not None
+    if options.export.receiver is not None:
+        return HttpSink(options.export.receiver)
+    return SpoolSink(options.export.spool or "")
 
 
 class Exporter:
-    """Carries out what Sending decides, one batch at a time."""
+    """Carries out what ExportState decides, one batch at a time."""
 
-    def __init__(self, ledger: Ledger, told: Usage, sink: Sink, draws: random.Random) -> None:
+    def __init__(self, ledger: Ledger, options: Usage, sink: Sink, rng: random.Random) -> None:
         self.ledger = ledger
-        self.told = told
+        self.options = options
         self.sink = sink
-        receiver = told.export.receiver if told.export is not None else None
-        first, most = (receiver.first_wait_s, receiver.most_wait_s) if receiver else (0.5, 60.0)
-        self.sending = Sending(first, most, draws)
+        receiver = options.export.receiver if options.export is not None else None
+        first, max_wait_s = (receiver.first_wait_s, receiver.most_wait_s) if receiver else (0.5, 60.0)
+        self.state = ExportState(first, max_wait_s, rng)
         self.batches = self.lines = 0
         self._wake = anyio.Event()
-        self._made: tuple[Segment, Batch, bytes] | None = None
-        self._said = ""
+        self._current: tuple[Segment, Batch, bytes] | None = None
+        self._logged_error = ""
 
     def wake(self) -> None:
         self._wake.set()
@@ -192,66 +192,66 @@
         """Export for ever, or until there is nothing left that is sealed."""
         while True:
             now = self.ledger.now_us()
-            step = self.sending.next(now, self.ledger.due() is not None)
-            if step.what is What.ASK_MARK:
-                told = await self.sink.mark(self.ledger.source, self.ledger.id)
-                self.sending.mark(self.ledger.now_us(), told)
-                self._say()
-            elif step.what is What.SEND:
+            step = self.state.next_step(now, self.ledger.oldest_sealed() is not None)
+            if step.kind is StepKind.ASK_MARK:
+                answer = await self.sink.mark(self.ledger.source, self.ledger.id)
+                self.state.handle_mark(self.ledger.now_us(), answer)
+                self._log_state()
+            elif step.kind is StepKind.SEND:
                 try:
                     await self._send()
-                except OSError as wrong:  # the local disk: the receiver's side knows names twice seen
-                    log.error("usage is not exported", why=wrong.strerror)
+                except OSError as error:  # the local disk: the receiver's side knows names twice seen
+                    log.error("usage is not exported", why=error.strerror)
                     await anyio.sleep(1.0)
-            elif step.what is What.IDLE and until_idle:
+            elif step.kind is StepKind.IDLE and until_idle:
                 return
             else:
-                wait_s = (step.until_us - now) / 1e6 if step.what is What.WAIT else 1.0
+                wait_s = (step.until_us - now) / 1e6 if step.kind is StepKind.WAIT else 1.0
                 with anyio.move_on_after(max(wait_s, 0.001)):
                     await self._wake.wait()
                 self._wake = anyio.Event()
 
     async def _send(self) -> None:
-        segment = self.ledger.due()
+        segment = self.ledger.oldest_sealed()
         assert segment is not None
-        batch, data = await self._batch(segment)
-        if self.sending.acknowledged >= batch.last:  # the receiver has it: only its answer was lost
-            self._done(batch)
+        batch, data = await self._build_batch(segment)
+        if self.state.acknowledged >= batch.last:  # the receiver has it: only its answer was lost
+            self._complete(batch)
             return
-        told = await self.sink.put(batch, data)
-        offer = Offer(batch.name, batch.last, batch.digest, batch.lines)
-        if self.sending.sent(self.ledger.now_us(), offer, told):
-            self._done(batch)
-        self._say()
-
-    def _done(self, batch: Batch) -> None:
-        self.ledger.receipt(batch)
-        self._made = None
+        answer = await self.sink.put(batch, data)
+        pending = PendingBatch(batch.name, batch.last, batch.digest, batch.lines)
+        if self.state.handle_answer(self.ledger.now_us(), pending, answer):
+            self._complete(batch)
+        self._log_state()
+
+    def _complete(self, batch: Batch) -> None:
+        self.ledger.record_receipt(batch)
+        self._current = None
         self.batches += 1
         self.lines += batch.lines
 
-    async def _batch(self, segment: Segment) -> tuple[Batch, bytes]:
+    async def _build_batch(self, segment: Segment) -> tuple[Batch, bytes]:
         """Made once, and again only after a restart."""
-        if self._made is None or self._made[0] is not segment:
+        if self._current is None or self._current[0] is not segment:
             data = await anyio.to_thread.run_sync(segment.path.read_bytes)
-            steps = batches.making(data, segment.first, segment.next_seq, self.told.period_s)
-            batch = await run_in_slices(steps, PAUSE_S)
+            steps = batches.build_in_slices(data, segment.first, segment.next_seq, self.options.period_s)
+            batch = await run_in_slices(steps, SLICE_PAUSE_S)
             if batch.head.missing:
                 log.error("the ledger lost records", batch=batch.name, missing=batch.head.missing)
-            text = await anyio.to_thread.run_sync(packed, batch.text)
+            text = await anyio.to_thread.run_sync(compress, batch.text)
             try:
-                await anyio.to_thread.run_sync(self.ledger.keep, batch, text)
-            except OSError as wrong:  # a full disk is relieved by exporting, not by waiting
-                log.warning("an exported batch is not kept", batch=batch.name, why=wrong.strerror)
-            self._made = (segment, batch, text)
-        return self._made[1], self._made[2]
+                await anyio.to_thread.run_sync(self.ledger.keep_sent, batch, text)
+            except OSError as error:  # a full disk is relieved by exporting, not by waiting
+                log.warning("an exported batch is not kept", batch=batch.name, why=error.strerror)
+            self._current = (segment, batch, text)
+        return self._current[1], self._current[2]
 
-    def _say(self) -> None:
+    def _log_state(self) -> None:
         """At changes only: a receiver that is down for hours is said once."""
-        if self.sending.trouble != self._said:
-            self._said = self.sending.trouble
-            if self._said:
-                log.warning("usage is not exported", why=self._said, due=len(self.ledger.sealed))
+        if self.state.last_error != self._logged_error:
+            self._logged_error = self.state.last_error
+            if self._logged_error:
+                log.warning("usage is not exported", why=self._logged_error, due=len(self.ledger.sealed))
             else:
                 log.info("usage is exported again", due=len(self.ledger.sealed))
 
@@ -259,7 +259,7 @@
         return {
             "exported_batches": self.batches,
             "exported_lines": self.lines,
-            "export_trouble": self.sending.trouble,
-            "partial_answers": self.sending.partial,
-            "conflicts": self.sending.conflicts,
+            "export_trouble": self.state.last_error,
+            "partial_answers": self.state.partial_answers,
+            "conflicts": self.state.conflicts,
         }
--- a/millfront/usage/receiver.py
+++ b/millfront/usage/receiver.py
@@ -1,6 +1,7 @@
 """A receiver of usage batches: the other side of docs/export-protocol.md, for rehearsals and first tries.
 
-Receiving holds what came, by name; serve() puts it behind HTTP. Batches are kept in a folder, or in memory.
+BatchReceiver holds what came, by name; create_server() puts it behind HTTP. Batches are kept in a folder,
+or in memory.
 """
 
 import hashlib
@@ -17,16 +18,16 @@
 import zstandard
 
 from millfront.operators.files import write_atomically
-from millfront.usage.batches import key_of, parsed
-from millfront.usage.sinks import packed, unpacked
+from millfront.usage.batches import line_key, parse_batch
+from millfront.usage.sinks import compress, decompress
 
 NAME = re.compile(
     r"(?P<ledger>[A-Za-z0-9._-]+\.[0-9a-f]{16})\.(?P<first>[0-9a-f]{16})-(?P<last>[0-9a-f]{16})"
 )
-Said = tuple[int, dict[str, Any]]
+Response = tuple[int, dict[str, Any]]
 
 
-class Receiving:
+class BatchReceiver:
     """Idempotent by name: the same batch again is the same answer, another one under its name is refused."""
 
     def __init__(self, folder: Path | None = None) -> None:
@@ -37,44 +38,44 @@
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
             for path in sorted(folder.glob("*.jsonl.zst")):
-                self._take(path.name.removesuffix(".jsonl.zst"), unpacked(path.read_bytes()))
+                self._add(path.name.removesuffix(".jsonl.zst"), decompress(path.read_bytes()))
 
-    def put(self, name: str, digest: str, data: bytes) -> Said:
+    def put(self, name: str, digest: str, data: bytes) -> Response:
         match = NAME.fullmatch(name)
         if match is None:
             return 400, {"error": "no batch's name"}
         if name in self.digests:
-            held, lines = self.digests[name]
-            if held != digest:
-                return 409, {"error": "another batch has this name", "digest": held}
-            return 200, {"digest": held, "lines": lines, "next": self.marks[match["ledger"]]}
+            known, lines = self.digests[name]
+            if known != digest:
+                return 409, {"error": "another batch has this name", "digest": known}
+            return 200, {"digest": known, "lines": lines, "next": self.marks[match["ledger"]]}
         if int(match["first"], 16) < self.marks.get(match["ledger"], 0):
             return 409, {"error": "a part of it is here under another name"}
         try:
-            text = unpacked(data)
-            head, lines_of = parsed(text)
-        except (zstandard.ZstdError, msgspec.MsgspecError, ValueError) as wrong:
-            return 400, {"error": f"can't be read: {wrong}"}
+            text = decompress(data)
+            head, lines_of = parse_batch(text)
+        except (zstandard.ZstdError, msgspec.MsgspecError, ValueError) as error:
+            return 400, {"error": f"can't be read: {error}"}
 
         if hashlib.sha256(text).hexdigest() != digest or head.lines != len(lines_of) or head.batch != name:
             return 400, {"error": "not what its digest, its name or its head say"}
         if self.folder is not None:
-            write_atomically(self.folder / f"{name}.jsonl.zst", packed(text))
-        self._take(name, text)
+            write_atomically(self.folder / f"{name}.jsonl.zst", compress(text))
+        self._add(name, text)
         return 201, {"digest": digest, "lines": head.lines, "next": self.marks[match["ledger"]]}
 
-    def _take(self, name: str, text: bytes) -> None:
+    def _add(self, name: str, text: bytes) -> None:
 
-        head, lines = parsed(text)
+        head, lines = parse_batch(text)
         match = NAME.fullmatch(name)
         assert match is not None
         self.digests[name] = (hashlib.sha256(text).hexdigest(), head.lines)
         self.marks[match["ledger"]] = max(self.marks.get(match["ledger"], 0), int(match["last"], 16) + 1)
         for line in lines:
-            key = key_of(line)
+            key = line_key(line)
             self.totals.setdefault(match["ledger"], Counter())[key] += round(line.units * 1e6)
 
-    def mark(self, ledger: str) -> Said:
+    def mark(self, ledger: str) -> Response:
         if ledger not in self.marks:
             return 404, {"error": "nothing of it yet"}
         return 200, {"next": self.marks[ledger]}
@@ -94,26 +95,28 @@
         ]
 
 
-class Showing(Receiving):
+class PrintingReceiver(BatchReceiver):
     """Says what comes, for people who try it."""
 
-    def __init__(self, say: Callable[[str], None], folder: Path | None = None) -> None:
+    def __init__(self, echo: Callable[[str], None], folder: Path | None = None) -> None:
         super().__init__(folder)
-        self.say = say
+        self.echo = echo
 
-    def put(self, name: str, digest: str, data: bytes) -> Said:
-        status, said = super().put(name, digest, data)
+    def put(self, name: str, digest: str, data: bytes) -> Response:
+        status, content = super().put(name, digest, data)
         if status == 201:
-            for line in parsed(unpacked(data))[1]:
-                what = f"{line.customer} {line.plan} {line.cls} {line.standing}"
-                self.say(f"usage: {what}: {line.tries} tries, {line.units:g} units {line.figure}")
-        return status, said
+            for line in parse_batch(decompress(data))[1]:
+                subject = f"{line.customer} {line.plan} {line.cls} {line.standing}"
+                self.echo(f"usage: {subject}: {line.tries} tries, {line.units:g} units {line.figure}")
+        return status, content
 
 
-Fault = Callable[[str, str], str]  # (method, path) to "", "before", "after" or "half"
+FaultInjector = Callable[[str, str], str]  # (method, path) to "", "before", "after" or "half"
 
 
-def server(receiving: Receiving, host: str, port: int, fault: Fault | None = None) -> ThreadingHTTPServer:
+def create_server(
+    receiving: BatchReceiver, host: str, port: int, fault: FaultInjector | None = None
+) -> ThreadingHTTPServer:
     """An HTTP server that answers for it.
 
     :param fault: by call: "before" answers 500 and takes nothing, "after" takes it and breaks the connection,
@@ -129,35 +132,35 @@
             body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
             kind = fault("PUT", self.path) if fault else ""
             if kind in ("before", "busy"):
-                self._say(500 if kind == "before" else 503, {"error": "not now"}, kind == "busy")
+                self._respond(500 if kind == "before" else 503, {"error": "not now"}, kind == "busy")
                 return
             name = self.path.rpartition("/")[2]
             with lock:
-                status, said = receiving.put(name, self.headers.get("Millfront-Digest", ""), body)
+                status, content = receiving.put(name, self.headers.get("Millfront-Digest", ""), body)
             if kind == "after":
                 self.close_connection = True
                 return
-            if kind == "half" and "lines" in said:
-                said = said | {"lines": said["lines"] // 2}
-            self._say(500 if kind == "error" else status, said)
+            if kind == "half" and "lines" in content:
+                content = content | {"lines": content["lines"] // 2}
+            self._respond(500 if kind == "error" else status, content)
 
         def do_GET(self) -> None:
             if fault and fault("GET", self.path) == "before":
-                self._say(500, {"error": "not now"})
+                self._respond(500, {"error": "not now"})
                 return
             parts = self.path.strip("/").split("/")
             with lock:
                 if parts[-1] == "mark" and len(parts) >= 2:
-                    self._say(*receiving.mark(parts[-2]))
+                    self._respond(*receiving.mark(parts[-2]))
                 elif parts[-1] == "tally" and len(parts) >= 2:
-                    self._say(200, {"lines": receiving.tally(parts[-2])})
+                    self._respond(200, {"lines": receiving.tally(parts[-2])})
                 elif parts[-1] == "batches":
-                    self._say(200, {"batches": receiving.batches()})
+                    self._respond(200, {"batches": receiving.batches()})
                 else:
-                    self._say(404, {"error": "no such resource"})
+                    self._respond(404, {"error": "no such resource"})
 
-        def _say(self, status: int, what: dict[str, Any], later: bool = False) -> None:
-            body = json.dumps(what).encode() + b"\n"
+        def _respond(self, status: int, content: dict[str, Any], later: bool = False) -> None:
+            body = json.dumps(content).encode() + b"\n"
             self.send_response(status)
             if later:
                 self.send_header("Retry-After", "1")
--- a/millfront/usage/records.py
+++ b/millfront/usage/records.py
@@ -19,8 +19,9 @@
 FORMAT = 1
 MAGIC = b"\xa7u"
 FRAME = struct.Struct("<2sBHQI")
-MOST_PAYLOAD = 0xFFFF
-HEAD_LENGTH = 0  # in a head's frame: its length stands in the payload's first four bytes, as it may be long
+MAX_PAYLOAD_BYTES = 0xFFFF
+# In a head's frame: its length stands in the payload's first four bytes, as it may be long
+HEAD_LENGTH_MARKER = 0
 
 
 class Kind(IntEnum):
@@ -60,11 +61,11 @@
 class Settled(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """Holds the whole try again: a segment is read without the ones before it."""
 
-    opened: int  # the sequence number of its OPENED
+    opened_seq: int  # the sequence number of its OPENED
     at_us: int
     result: int
     units: float  # what is billed
-    of: Opened
+    attempt: Opened
 
 
 class Gap(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -77,7 +78,7 @@
     format: int
     ledger: str  # drawn when the ledger was made: another disk under the same name is another ledger
     source: str
-    made_us: int
+    created_us: int
     chain: str  # digest of the segment before, as far as it is sound; empty at the first
     open: list[tuple[int, Opened]]  # tries out when the segment was begun
 
@@ -92,12 +93,12 @@
 }
 
 
-def frame(kind: Kind, seq: int, what: Payload) -> bytes:
+def encode_frame(kind: Kind, seq: int, what: Payload) -> bytes:
     payload = _encode(what)
     length = len(payload)
     if kind is Kind.HEAD:
-        payload, length = struct.pack("<I", length) + payload, HEAD_LENGTH
-    elif length > MOST_PAYLOAD:
+        payload, length = struct.pack("<I", length) + payload, HEAD_LENGTH_MARKER
+    elif length > MAX_PAYLOAD_BYTES:
         raise ValueError(f"a record of {length} bytes")
     crc = zlib.crc32(payload, zlib.crc32(struct.pack("<BHQ", kind, length, seq)))
     return FRAME.pack(MAGIC, kind, length, seq, crc) + payload
@@ -113,7 +114,7 @@
     torn_bytes: int = 0  # behind the last sound frame: a write that was cut
 
 
-def read(data: bytes, scan: Scan) -> Iterator[tuple[int, int, Payload]]:
+def read_records(data: bytes, scan: Scan) -> Iterator[tuple[int, int, Payload]]:
     """The sound records of a segment, as (kind, sequence number, record).
 
     Damage in the middle is stepped over to the next sound frame; what lies behind the last one is torn.
--- a/millfront/usage/sending.py
+++ b/millfront/usage/sending.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SECOND = 1_000_000
-MOST_ASKED_S = 3600.0  # a Retry-After beyond it is taken for a mistake
+SECOND_US = 1_000_000
+MAX_RETRY_AFTER_S = 3600.0  # a Retry-After beyond it is taken for a mistake
 
 
-class What(Enum):
+class StepKind(Enum):
     ASK_MARK = "ask for the mark"
     SEND = "send the oldest batch"
     WAIT = "wait"
@@ -22,13 +22,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Next:
-    what: What
+class Step:
+    kind: StepKind
     until_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class PendingBatch:
     """The oldest batch that is not acknowledged."""
 
     name: str
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Answer:
     """What came back for a batch, or for a question after the mark (`next_seq`)."""
 
     status: int  # 0: nothing that could be read
@@ -49,66 +49,66 @@
     why: str = ""  # where there was no answer
 
 
-class Sending:
+class ExportState:
     """The state of one export. Times in µs."""
 
-    def __init__(self, first_wait_s: float, most_wait_s: float, draws: random.Random) -> None:
+    def __init__(self, first_wait_s: float, max_wait_s: float, rng: random.Random) -> None:
         self.first_wait_s = first_wait_s
-        self.most_wait_s = most_wait_s
-        self.draws = draws
+        self.max_wait_s = max_wait_s
+        self.rng = rng
         self.acknowledged = -1  # the last sequence number that the receiver has
         self.mark_known = False
         self.failures = 0
-        self.rests_until = 0
-        self.trouble = ""  # what the receiver's last word was, if it was no good one
-        self.partial = 0  # times that it acknowledged less than was sent
+        self.paused_until = 0
+        self.last_error = ""  # what the receiver's last word was, if it was no good one
+        self.partial_answers = 0  # times that it acknowledged less than was sent
         self.conflicts = 0  # times that it held another batch under the same name
 
-    def next(self, now: int, offered: bool) -> Next:
-        if now < self.rests_until:
-            return Next(What.WAIT, self.rests_until)
-        if not offered:
-            return Next(What.IDLE)
-        return Next(What.SEND if self.mark_known else What.ASK_MARK)
+    def next_step(self, now: int, has_batch: bool) -> Step:
+        if now < self.paused_until:
+            return Step(StepKind.WAIT, self.paused_until)
+        if not has_batch:
+            return Step(StepKind.IDLE)
+        return Step(StepKind.SEND if self.mark_known else StepKind.ASK_MARK)
 
-    def mark(self, now: int, told: Told) -> None:
+    def handle_mark(self, now: int, answer: Answer) -> None:
         """The answer to the question after the mark; 404 says that the source is not known yet."""
-        if told.status == 404 or (told.status == 200 and told.next_seq >= 0):
+        if answer.status == 404 or (answer.status == 200 and answer.next_seq >= 0):
             self.mark_known = True
-            self.acknowledged = max(self.acknowledged, told.next_seq - 1)
+            self.acknowledged = max(self.acknowledged, answer.next_seq - 1)
             return
-        self._fails(now, told, f"the mark: {_word(told)}")
+        self._back_off(now, answer, f"the mark: {_describe(answer)}")
 
-    def sent(self, now: int, offer: Offer, told: Told) -> bool:
+    def handle_answer(self, now: int, pending: PendingBatch, answer: Answer) -> bool:
         """The answer to a batch; True if it is received."""
-        good = told.status in (200, 201)
-        if good and told.digest == offer.digest and told.lines == offer.lines:
-            self.acknowledged = max(self.acknowledged, offer.last)
-            self.failures, self.trouble, self.rests_until = 0, "", 0
+        success = answer.status in (200, 201)
+        if success and answer.digest == pending.digest and answer.lines == pending.lines:
+            self.acknowledged = max(self.acknowledged, pending.last)
+            self.failures, self.last_error, self.paused_until = 0, "", 0
             return True
-        if good:
-            self.partial += 1
-            why = f"acknowledged {told.lines} of {offer.lines} lines"
-        elif told.status == 409:
+        if success:
+            self.partial_answers += 1
+            why = f"acknowledged {answer.lines} of {pending.lines} lines"
+        elif answer.status == 409:
             self.conflicts += 1
-            why = f"holds another batch named {offer.name}: compare both by hand"
+            why = f"holds another batch named {pending.name}: compare both by hand"
         else:
-            why = _word(told)
-        self._fails(now, told, why)
+            why = _describe(answer)
+        self._back_off(now, answer, why)
         return False
 
-    def _fails(self, now: int, told: Told, why: str) -> None:
+    def _back_off(self, now: int, answer: Answer, why: str) -> None:
         """Capped exponential backoff with full jitter, or what the receiver asks for, whichever is longer."""
         self.mark_known = False
-        self.trouble = why
-        most = min(self.most_wait_s, self.first_wait_s * 2 ** min(self.failures, 30))
+        self.last_error = why
+        max_s = min(self.max_wait_s, self.first_wait_s * 2 ** min(self.failures, 30))
         self.failures += 1
-        wait_s = max(self.draws.uniform(0.0, most), min(told.retry_after_s, MOST_ASKED_S))
-        self.rests_until = now + int(wait_s * SECOND)
+        wait_s = max(self.rng.uniform(0.0, max_s), min(answer.retry_after_s, MAX_RETRY_AFTER_S))
+        self.paused_until = now + int(wait_s * SECOND_US)
 
 
-def _word(told: Told) -> str:
-    return f"status {told.status}" if told.status else f"no answer: {told.why or 'in time'}"
+def _describe(answer: Answer) -> str:
+    return f"status {answer.status}" if answer.status else f"no answer: {answer.why or 'in time'}"
 
 
 def compactable(segments: list[tuple[int, int]], acknowledged: int) -> list[tuple[int, int]]:
--- a/millfront/usage/sinks.py
+++ b/millfront/usage/sinks.py
@@ -24,100 +24,102 @@
 from millfront.operators import document
 from millfront.operators.files import fsync_path, write_atomically
 from millfront.usage.batches import Batch
-from millfront.usage.sending import Told
+from millfront.usage.sending import Answer
 
-LEVEL = 3
-MOST_UNPACKED = 64 * 1024 * 1024
+COMPRESSION_LEVEL = 3
+MAX_BATCH_BYTES = 64 * 1024 * 1024
 
 
-def packed(text: bytes) -> bytes:
-    return zstandard.ZstdCompressor(level=LEVEL).compress(text)
+def compress(text: bytes) -> bytes:
+    return zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(text)
 
 
-def unpacked(data: bytes) -> bytes:
+def decompress(data: bytes) -> bytes:
     """:raises zstandard.ZstdError: it is not packed, or is longer than any batch is"""
-    return zstandard.ZstdDecompressor().decompress(data, max_output_size=MOST_UNPACKED)
+    return zstandard.ZstdDecompressor().decompress(data, max_output_size=MAX_BATCH_BYTES)
 
 
 class Sink(Protocol):
-    async def mark(self, source: str, ledger: str) -> Told: ...
-    async def put(self, batch: Batch, data: bytes) -> Told: ...
+    async def mark(self, source: str, ledger: str) -> Answer: ...
+    async def put(self, batch: Batch, data: bytes) -> Answer: ...
     async def close(self) -> None: ...
 
 
 class HttpSink:
     """One connection, kept while it serves; a batch is one PUT."""
 
-    def __init__(self, told: document.Receiver) -> None:
-        self.told = told
-        self.address = Address.parse(told.address, "usage.export.receiver.address")
-        self._wire: HttpConnection | None = None
+    def __init__(self, options: document.Receiver) -> None:
+        self.options = options
+        self.address = Address.parse(options.address, "usage.export.receiver.address")
+        self._connection: HttpConnection | None = None
 
-    async def mark(self, source: str, ledger: str) -> Told:
-        return await self._call(b"GET", f"{self.told.path}/sources/{source}.{ledger}/mark", b"", [])
+    async def mark(self, source: str, ledger: str) -> Answer:
+        return await self._call(b"GET", f"{self.options.path}/sources/{source}.{ledger}/mark", b"", [])
 
-    async def put(self, batch: Batch, data: bytes) -> Told:
+    async def put(self, batch: Batch, data: bytes) -> Answer:
         fields = [
             (b"Content-Type", b"application/x-ndjson"),
             (b"Content-Encoding", b"zstd"),
             (b"Millfront-Digest", batch.digest.encode()),
             (b"Content-Length", b"%d" % len(data)),
         ]
-        return await self._call(b"PUT", f"{self.told.path}/batches/{batch.name}", data, fields)
+        return await self._call(b"PUT", f"{self.options.path}/batches/{batch.name}", data, fields)
 
-    async def _call(self, method: bytes, target: str, body: bytes, fields: list[tuple[bytes, bytes]]) -> Told:
+    async def _call(
+        self, method: bytes, target: str, body: bytes, fields: list[tuple[bytes, bytes]]
+    ) -> Answer:
         """Whatever happens is an answer; after no answer the connection is not used again."""
-        answer, why = None, ""
-        with anyio.move_on_after(self.told.timeout_s):
+        response, why = None, ""
+        with anyio.move_on_after(self.options.timeout_s):
             try:
-                answer = await self._exchange(method, target, body, fields)
-            except ExchangeError as ended:
-                why = str(ended)
+                response = await self._exchange(method, target, body, fields)
+            except ExchangeError as error:
+                why = str(error)
             except BaseException:  # given up in the middle: its answer must not be taken for the next one's
                 await self.close()
                 raise
-        if answer is None:
+        if response is None:
             await self.close()
-            return Told(0, why=why)
-        return told_of(answer)
+            return Answer(0, why=why)
+        return parse_answer(response)
 
     async def _exchange(
         self, method: bytes, target: str, body: bytes, fields: list[tuple[bytes, bytes]]
     ) -> Message:
-        if self._wire is None:
-            stream = await dial(self.address, int(self.told.timeout_s * 1e6))
-            self._wire = HttpConnection(stream, h11.CLIENT)
+        if self._connection is None:
+            stream = await dial(self.address, int(self.options.timeout_s * 1e6))
+            self._connection = HttpConnection(stream, h11.CLIENT)
         head = h11.Request(
             method=method, target=target.encode(), headers=[(b"Host", str(self.address).encode()), *fields]
         )
         events: list[h11.Event] = [head, *([h11.Data(data=body)] if body else []), h11.EndOfMessage()]
-        await self._wire.write(*events)
-        answer = await self._wire.read_response()
-        if not self._wire.reusable():
+        await self._connection.write(*events)
+        response = await self._connection.read_response()
+        if not self._connection.reusable():
             await self.close()
-        return answer
+        return response
 
     async def close(self) -> None:
-        if self._wire is not None:
-            wire, self._wire = self._wire, None
-            await wire.close()
+        if self._connection is not None:
+            connection, self._connection = self._connection, None
+            await connection.close()
 
 
-def told_of(answer: Message) -> Told:
+def parse_answer(response: Message) -> Answer:
     """A receiver's answer; what can't be read in it counts as not said."""
-    assert isinstance(answer.start, int)
+    assert isinstance(response.start, int)
     try:
-        said: Any = json.loads(answer.body)
+        content: Any = json.loads(response.body)
     except ValueError:
-        said = {}
-    said = said if isinstance(said, dict) else {}
-    lines, mark = said.get("lines"), said.get("next")
-    return Told(
-        answer.start,
-        digest=str(said.get("digest", "")),
+        content = {}
+    content = content if isinstance(content, dict) else {}
+    lines, mark = content.get("lines"), content.get("next")
+    return Answer(
+        response.start,
+        digest=str(content.get("digest", "")),
         lines=lines if isinstance(lines, int) else -1,
         next_seq=mark if isinstance(mark, int) else -1,
-        retry_after_s=_seconds(answer.field(b"retry-after") or b""),
+        retry_after_s=_seconds(response.field(b"retry-after") or b""),
     )
 
 
@@ -152,10 +154,10 @@
     def __init__(self, folder: str | os.PathLike[str]) -> None:
         self.folder = Path(folder)
 
-    async def mark(self, source: str, ledger: str) -> Told:
+    async def mark(self, source: str, ledger: str) -> Answer:
         return await anyio.to_thread.run_sync(self._mark, f"{source}.{ledger}.")
 
-    async def put(self, batch: Batch, data: bytes) -> Told:
+    async def put(self, batch: Batch, data: bytes) -> Answer:
         return await anyio.to_thread.run_sync(self._put, batch, data)
 
     async def close(self) -> None:
@@ -168,7 +170,7 @@
             data = path.read_bytes()
         except FileNotFoundError:
             return []
-        found, sound = [], 0
+        found, valid_bytes = [], 0
         for line in data.splitlines(keepends=True):
             try:
                 entry = msgspec.json.decode(line, type=SpoolEntry)
@@ -177,37 +179,37 @@
             if not line.endswith(b"\n"):
                 break
             found.append(entry)
-            sound += len(line)
-        if sound < len(data):
-            os.truncate(path, sound)
+            valid_bytes += len(line)
+        if valid_bytes < len(data):
+            os.truncate(path, valid_bytes)
         return found
 
-    def _mark(self, prefix: str) -> Told:
+    def _mark(self, prefix: str) -> Answer:
         try:
             marks = [entry.next for entry in self.entries() if entry.batch.startswith(prefix)]
-        except OSError as wrong:
-            return Told(0, why=str(wrong))
-        return Told(200, next_seq=max(marks)) if marks else Told(404)
+        except OSError as error:
+            return Answer(0, why=str(error))
+        return Answer(200, next_seq=max(marks)) if marks else Answer(404)
 
-    def _put(self, batch: Batch, data: bytes) -> Told:
+    def _put(self, batch: Batch, data: bytes) -> Answer:
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             entries = self.entries()
             if not any(entry.batch == batch.name for entry in entries):
-                self._place(batch, data, entries[-1].chain if entries else "")
-        except OSError as wrong:
-            return Told(0, why=str(wrong))
-        return Told(201, batch.digest, batch.lines)
+                self._add_file(batch, data, entries[-1].chain if entries else "")
+        except OSError as error:
+            return Answer(0, why=str(error))
+        return Answer(201, batch.digest, batch.lines)
 
-    def _place(self, batch: Batch, data: bytes, chain: str) -> None:
+    def _add_file(self, batch: Batch, data: bytes, chain: str) -> None:
         write_atomically(self.folder / f"{batch.name}.jsonl.zst", data, 0o644)
-        link = linked(chain, batch.name, batch.digest)
-        entry = SpoolEntry(batch.name, batch.digest, batch.lines, batch.last + 1, link)
+        next_chain = manifest_chain(chain, batch.name, batch.digest)
+        entry = SpoolEntry(batch.name, batch.digest, batch.lines, batch.last + 1, next_chain)
         with open(self.folder / "manifest.jsonl", "ab", buffering=0) as manifest:
             manifest.write(msgspec.json.encode(entry) + b"\n")
             os.fsync(manifest.fileno())
         fsync_path(self.folder)
 
 
-def linked(before: str, name: str, digest: str) -> str:
+def manifest_chain(before: str, name: str, digest: str) -> str:
     return hashlib.sha256(f"{before} {name} {digest}".encode()).hexdigest()
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -19,12 +19,12 @@
 from millfront.operators.document import Usage
 from millfront.operators.slices import run_to_end
 from millfront.usage import audit
-from millfront.usage.batches import Batch, making, parsed
-from millfront.usage.ledger import Foreign, Ledger, Locked, segments_of
-from millfront.usage.receiver import Receiving
-from millfront.usage.records import Gap, Head, Kind, Opened, Result, Scan, Settled, frame, read
-from millfront.usage.sending import Offer, Sending, Told, What
-from millfront.usage.sinks import packed
+from millfront.usage.batches import Batch, build_in_slices, parse_batch
+from millfront.usage.ledger import Ledger, LedgerLocked, UnsupportedFormat, list_segments
+from millfront.usage.receiver import BatchReceiver
+from millfront.usage.records import Gap, Head, Kind, Opened, Result, Scan, Settled, encode_frame, read_records
+from millfront.usage.sending import Answer, ExportState, PendingBatch, StepKind
+from millfront.usage.sinks import compress
 
 SECOND = 1_000_000
 NAMES = itertools.count(1)
@@ -48,19 +48,19 @@
 
 def a_try(made: Ledger, clock: Clock, units: float = 3.0, result: Result = Result.TOLD) -> None:
     held = entry(clock)
-    made.settled(made.opened(held), held, result, units)
+    made.record_settled(made.record_opened(held), held, result, units)
 
 
 def batch_of(made: Ledger) -> Batch:
-    segment = made.due()
+    segment = made.oldest_sealed()
     assert segment is not None
-    return run_to_end(making(segment.path.read_bytes(), segment.first, segment.next_seq, 60))
+    return run_to_end(build_in_slices(segment.path.read_bytes(), segment.first, segment.next_seq, 60))
 
 
 def make_lasting(made: Ledger) -> None:
     pending = list(made.unsynced)
     made.sync()
-    made.synced(pending)
+    made.mark_synced(pending)
 
 
 # ---- records
@@ -68,11 +68,11 @@
 
 def a_segment(count: int = 12) -> tuple[bytes, list[int]]:
     clock = Clock()
-    frames = [frame(Kind.HEAD, 0, Head(1, "l", "n0", clock.us, "", []))]
+    frames = [encode_frame(Kind.HEAD, 0, Head(1, "l", "n0", clock.us, "", []))]
     for seq in range(1, count):
         held = Opened(clock.us, f"{seq:x}", 7, "casual", 3, "page-fetch", 0, 2.0)
         what = held if seq % 2 else Settled(seq - 1, clock.us, 0, 2.5, held)
-        frames.append(frame(Kind.OPENED if seq % 2 else Kind.SETTLED, seq, what))
+        frames.append(encode_frame(Kind.OPENED if seq % 2 else Kind.SETTLED, seq, what))
     ends = list(itertools.accumulate(len(f) for f in frames))
     return b"".join(frames), ends
 
@@ -81,7 +81,7 @@
     data, ends = a_segment()
     for cut in range(len(data) + 1):
         scan = Scan()
-        seqs = [seq for _, seq, _ in read(data[:cut], scan)]
+        seqs = [seq for _, seq, _ in read_records(data[:cut], scan)]
         assert seqs == list(range(sum(end <= cut for end in ends)))
         assert scan.torn_bytes == cut - scan.end and not scan.missing
 
@@ -96,9 +96,9 @@
         at = data.draw(st.integers(0, len(text) - 1))
         spoilt[at] ^= 1 << data.draw(st.integers(0, 7))
         hit.add(sum(end <= at for end in ends))
-    sound = {seq: record for _, seq, record in read(text, Scan())}
+    sound = {seq: record for _, seq, record in read_records(text, Scan())}
     scan = Scan()
-    got = {seq: record for _, seq, record in read(bytes(spoilt), scan)}
+    got = {seq: record for _, seq, record in read_records(bytes(spoilt), scan)}
     assert all(sound[seq] == record for seq, record in got.items())
     lost = set(sound) - set(got)
     assert lost <= hit
@@ -116,27 +116,29 @@
     for units in (1.0, 2.0):
         a_try(made, clock, units)
     out = entry(clock, guess=5.0)
-    made.opened(out)
-    (segment,) = segments_of(made.folder)
+    made.record_opened(out)
+    (segment,) = list_segments(made.folder)
     data = segment.path.read_bytes()
     made.close()
     for cut in range(0, len(data) + 1, 7):
         folder = tmp_path / f"c{cut}"
         shutil.copytree(made.folder, folder)
         os.truncate(folder / segment.path.name, cut)
-        whole = {seq: record for _, seq, record in read(data[:cut], Scan())}
+        whole = {seq: record for _, seq, record in read_records(data[:cut], Scan())}
         opened = {seq for seq, record in whole.items() if isinstance(record, Opened)}
-        settled = {record.opened: record.units for record in whole.values() if isinstance(record, Settled)}
+        settled = {
+            record.opened_seq: record.units for record in whole.values() if isinstance(record, Settled)
+        }
         again = ledger(folder, clock)
         found = again.open()
         assert found.abandoned == len(opened - set(settled))
         again.finish()
         again.close()
         bills: Counter[int] = Counter()
-        for part in segments_of(folder):
-            for _, _, record in read(part.path.read_bytes(), Scan()):
+        for part in list_segments(folder):
+            for _, _, record in read_records(part.path.read_bytes(), Scan()):
                 if isinstance(record, Settled):
-                    bills[record.opened] += 1
+                    bills[record.opened_seq] += 1
         assert set(bills) == opened and set(bills.values()) <= {1}
 
 
@@ -152,7 +154,7 @@
     made.open()
     a_try(made, clock)
     out = entry(clock, guess=4.0)
-    made.opened(out)
+    made.record_opened(out)
 
     def dies(*_: object, **__: object) -> None:
         raise Died
@@ -166,7 +168,7 @@
     assert again.open().abandoned == 1
     assert not list(tmp_path.glob("*.new"))
     again.close()
-    assert audit.look(tmp_path).faults == []
+    assert audit.read_ledger(tmp_path).faults == []
 
 
 def test_a_death_between_receipt_and_removal_sends_nothing_twice(
@@ -188,9 +190,9 @@
     with monkeypatch.context() as patched:
         patched.setattr(Path, "unlink", dies)
         with pytest.raises(Died):
-            made.receipt(batch)
+            made.record_receipt(batch)
     made.close()
-    assert len(segments_of(tmp_path)) == 2
+    assert len(list_segments(tmp_path)) == 2
     again = ledger(tmp_path, clock)
     again.open()
     assert [segment.first for segment in again.sealed] == [batch.last + 1]
@@ -199,7 +201,7 @@
 
 
 def test_two_exporters_of_one_ledger_bill_it_once(tmp_path: Path) -> None:
-    clock, receiving = Clock(), Receiving()
+    clock, receiving = Clock(), BatchReceiver()
     made = ledger(tmp_path / "one", clock)
     made.open()
     for _ in range(3):
@@ -214,9 +216,9 @@
     for _ in range(3):
         for each in both:
             batch = batch_of(each)
-            status, said = receiving.put(batch.name, batch.digest, packed(batch.text))
+            status, said = receiving.put(batch.name, batch.digest, compress(batch.text))
             assert status in (200, 201) and said["digest"] == batch.digest
-            each.receipt(batch)
+            each.record_receipt(batch)
     assert sum(sum(lines.values()) for lines in receiving.totals.values()) == 6_000_000
     for each in both:
         each.close()
@@ -229,12 +231,12 @@
     made = ledger(tmp_path, clock)
     made.open()
     before = entry(clock)
-    seq = made.opened(before)
+    seq = made.record_opened(before)
     write = os.write
     with monkeypatch.context() as patched:
         # half of a record fits: it must not stay as a torn middle
         patched.setattr(os, "write", lambda fd, data: write(fd, data[: len(data) // 2]))
-        made.settled(seq, before, Result.TOLD, 6.0)
+        made.record_settled(seq, before, Result.TOLD, 6.0)
         assert made.fault
 
         def full(fd: int, data: bytes) -> int:
@@ -249,11 +251,11 @@
     made.tick()
     a_try(made, clock, units=1.0)
     made.finish()
-    head, lines = parsed(batch_of(made).text)
+    head, lines = parse_batch(batch_of(made).text)
     assert [(line.tries, line.units) for line in lines] == [(2, 7.0)]  # 6 was owed meanwhile
     assert (head.unrecorded_tries, head.unrecorded_units) == (1, 2.0)
     made.close()
-    assert audit.look(tmp_path).faults == []
+    assert audit.read_ledger(tmp_path).faults == []
 
 
 def test_the_bound_on_bytes_stops_recording_and_says_so(tmp_path: Path) -> None:
@@ -265,8 +267,8 @@
         made.tick()
     assert made.status()["fault"] == "full" and 0 < made.unrecorded_tries < 1000
     make_lasting(made)
-    while made.due() is not None:
-        made.receipt(batch_of(made))
+    while made.oldest_sealed() is not None:
+        made.record_receipt(batch_of(made))
     a_try(made, clock)
     made.tick()
     assert made.status()["fault"] == ""
@@ -277,7 +279,7 @@
     clock = Clock()
     made = ledger(tmp_path, clock)
     made.open()
-    with pytest.raises(Locked):
+    with pytest.raises(LedgerLocked):
         ledger(tmp_path, clock).open()
     a_try(made, clock)
     made.close()
@@ -289,15 +291,15 @@
     again.finish()
     times = [
         record.at_us
-        for part in segments_of(tmp_path)
-        for _, _, record in read(part.path.read_bytes(), Scan())
+        for part in list_segments(tmp_path)
+        for _, _, record in read_records(part.path.read_bytes(), Scan())
         if isinstance(record, Settled)
     ]
     assert min(times) >= late  # never into a period that is billed already
     again.close()
     identity = tmp_path / "ledger.json"
     identity.write_text('{"format": 99, "ledger": "x"}')
-    with pytest.raises(Foreign, match="format 99"):
+    with pytest.raises(UnsupportedFormat, match="format 99"):
         ledger(tmp_path, clock).open()
     identity.write_text('{"format": 0, "ledger": "0123456789abcdef"}')
     older = ledger(tmp_path, clock)
@@ -315,16 +317,16 @@
             a_try(made, clock)
         made.seal()
     make_lasting(made)
-    made.receipt(batch_of(made))
+    made.record_receipt(batch_of(made))
     made.close()
-    assert audit.look(tmp_path).faults == []
-    middle = segments_of(tmp_path)[0].path
+    assert audit.read_ledger(tmp_path).faults == []
+    middle = list_segments(tmp_path)[0].path
     data = bytearray(middle.read_bytes())
     data[len(data) // 2] ^= 4
     middle.write_bytes(data)
     receipts = tmp_path / "receipts.jsonl"
     receipts.write_bytes(receipts.read_bytes().replace(b'"tries":4', b'"tries":5'))
-    found = " | ".join(audit.look(tmp_path).faults)
+    found = " | ".join(audit.read_ledger(tmp_path).faults)
     assert "are damaged" in found and "the chain is broken here" in found
 
 
@@ -340,13 +342,13 @@
     for result, units in ((Result.TOLD, 0.1), (Result.TOLD, 0.2), (Result.GUESSED, 2.0), (Result.NEVER, 0.0)):
         a_try(made, clock, units, result)
     held = msgspec.structs.replace(entry(clock), standing=1)
-    made.settled(made.opened(held), held, Result.TOLD, 4.0)
+    made.record_settled(made.record_opened(held), held, Result.TOLD, 4.0)
     clock.us += 61 * SECOND
     a_try(made, clock, 1.0)
     made.finish()
     one, other = batch_of(made), batch_of(made)
     assert one == other
-    head, lines = parsed(one.text)
+    head, lines = parse_batch(one.text)
     assert (head.tries, head.units, head.never_ran) == (5, 7.3, 1)
     said = [(line.standing, line.figure, line.tries, line.units) for line in lines]
     expected = [("inside", "guessed", 1, 2.0), ("inside", "told", 2, 0.3), ("reserved", "told", 1, 4.0)]
@@ -356,24 +358,28 @@
 
 
 def test_what_is_not_acknowledged_whole_is_asked_about_and_sent_again() -> None:
-    sending = Sending(1.0, 8.0, random.Random(1))
-    offer = Offer("b", 9, "d", 4)
-    assert sending.next(0, False).what is What.IDLE
-    assert sending.next(0, True).what is What.ASK_MARK
-    sending.mark(0, Told(404))
+    sending = ExportState(1.0, 8.0, random.Random(1))
+    offer = PendingBatch("b", 9, "d", 4)
+    assert sending.next_step(0, False).kind is StepKind.IDLE
+    assert sending.next_step(0, True).kind is StepKind.ASK_MARK
+    sending.handle_mark(0, Answer(404))
     now = 0
-    for answer in (Told(0), Told(500), Told(200, "d", 2), Told(200, "other", 4), Told(409)):
-        assert sending.next(now, True).what is What.SEND
-        assert not sending.sent(now, offer, answer) and sending.trouble
-        step = sending.next(now, True)
-        assert step.what is What.WAIT and step.until_us - now <= 8 * SECOND
+    for answer in (Answer(0), Answer(500), Answer(200, "d", 2), Answer(200, "other", 4), Answer(409)):
+        assert sending.next_step(now, True).kind is StepKind.SEND
+        assert not sending.handle_answer(now, offer, answer) and sending.last_error
+        step = sending.next_step(now, True)
+        assert step.kind is StepKind.WAIT and step.until_us - now <= 8 * SECOND
         now = step.until_us
-        assert sending.next(now, True).what is What.ASK_MARK
-        sending.mark(now, Told(200, next_seq=5))
-    assert sending.acknowledged == 4 and (sending.partial, sending.conflicts) == (2, 1)
-    assert sending.sent(now, offer, Told(201, "d", 4)) and sending.acknowledged == 9 and not sending.trouble
-    sending.sent(now, offer, Told(503, retry_after_s=120.0))
-    assert sending.next(now, True).until_us - now == 120 * SECOND
+        assert sending.next_step(now, True).kind is StepKind.ASK_MARK
+        sending.handle_mark(now, Answer(200, next_seq=5))
+    assert sending.acknowledged == 4 and (sending.partial_answers, sending.conflicts) == (2, 1)
+    assert (
+        sending.handle_answer(now, offer, Answer(201, "d", 4))
+        and sending.acknowledged == 9
+        and not sending.last_error
+    )
+    sending.handle_answer(now, offer, Answer(503, retry_after_s=120.0))
+    assert sending.next_step(now, True).until_us - now == 120 * SECOND
 
 
 class Export(RuleBasedStateMachine):
@@ -384,7 +390,7 @@
         super().__init__()
         self.folder = Path(ROOT_FOLDER) / f"{next(NAMES)}"
         self.clock = Clock()
-        self.receiving = Receiving()
+        self.receiving = BatchReceiver()
         self.tally = 0  # millionths billed
         self.out: dict[int, Opened] = {}
         self.born()
@@ -395,12 +401,12 @@
         assert found.abandoned == len(self.out)
         self.tally += sum(round(held.guess * 1e6) for held in self.out.values())
         self.out = {}
-        self.sending = Sending(0.1, 1.0, random.Random(1))
+        self.sending = ExportState(0.1, 1.0, random.Random(1))
 
     @rule(units=st.floats(0.1, 8.0))
     def a_try_begins(self, units: float) -> None:
         held = entry(self.clock, guess=round(units, 2))
-        self.out[self.made.opened(held)] = held
+        self.out[self.made.record_opened(held)] = held
 
     @rule(data=st.data(), units=st.floats(0.1, 8.0), result=st.sampled_from(list(Result)[:3]))
     def a_try_ends(self, data: st.DataObject, units: float, result: Result) -> None:
@@ -408,7 +414,7 @@
             seq = data.draw(st.sampled_from(sorted(self.out)))
             held = self.out.pop(seq)
             billed = {Result.TOLD: round(units, 2), Result.GUESSED: held.guess}.get(result, 0.0)
-            self.made.settled(seq, held, result, billed)
+            self.made.record_settled(seq, held, result, billed)
             self.tally += round(billed * 1e6)
 
     @rule(seconds=st.integers(1, 9))
@@ -422,35 +428,35 @@
 
     @rule(fault=st.sampled_from(["", "lost before", "lost after", "half", "error after"]))
     def exports(self, fault: str) -> None:
-        step = self.sending.next(self.clock.us, self.made.due() is not None)
-        if step.what is What.ASK_MARK:
+        step = self.sending.next_step(self.clock.us, self.made.oldest_sealed() is not None)
+        if step.kind is StepKind.ASK_MARK:
             ledger_name = f"n0.{self.made.id}"
             status, said = self.receiving.mark(ledger_name)
-            self.sending.mark(self.clock.us, Told(status, next_seq=said.get("next", -1)))
-        elif step.what is What.SEND:
+            self.sending.handle_mark(self.clock.us, Answer(status, next_seq=said.get("next", -1)))
+        elif step.kind is StepKind.SEND:
             batch = batch_of(self.made)
             if self.sending.acknowledged >= batch.last:
-                self.made.receipt(batch)
+                self.made.record_receipt(batch)
                 return
-            told = Told(0)
+            told = Answer(0)
             if fault != "lost before":
-                status, said = self.receiving.put(batch.name, batch.digest, packed(batch.text))
-                told = Told(status, said.get("digest", ""), said.get("lines", -1))
-                told = {"lost after": Told(0), "error after": Told(500)}.get(fault, told)
+                status, said = self.receiving.put(batch.name, batch.digest, compress(batch.text))
+                told = Answer(status, said.get("digest", ""), said.get("lines", -1))
+                told = {"lost after": Answer(0), "error after": Answer(500)}.get(fault, told)
                 if fault == "half":
-                    told = Told(told.status, told.digest, told.lines - 1)
-            offer = Offer(batch.name, batch.last, batch.digest, batch.lines)
-            if self.sending.sent(self.clock.us, offer, told):
-                self.made.receipt(batch)
+                    told = Answer(told.status, told.digest, told.lines - 1)
+            offer = PendingBatch(batch.name, batch.last, batch.digest, batch.lines)
+            if self.sending.handle_answer(self.clock.us, offer, told):
+                self.made.record_receipt(batch)
 
     @rule(torn=st.integers(0, 40), receipt_torn=st.booleans())
     def dies(self, torn: int, receipt_torn: bool) -> None:
         """Killed, perhaps within a write of either file."""
-        path = self.made._path
+        path = self.made._segment_path
         self.made.close()
         with open(path, "ab") as file:
             held = Settled(0, self.clock.us, 0, 1.0, entry(self.clock))
-            file.write(frame(Kind.SETTLED, self.made.next_seq, held)[:torn])
+            file.write(encode_frame(Kind.SETTLED, self.made.next_seq, held)[:torn])
         if receipt_torn:
             with open(self.folder / "receipts.jsonl", "ab") as file:
                 file.write(b'{"batch":"n0.')
@@ -462,18 +468,18 @@
 
     def teardown(self) -> None:
         for seq, held in self.out.items():
-            self.made.settled(seq, held, Result.GUESSED, held.guess)
+            self.made.record_settled(seq, held, Result.GUESSED, held.guess)
             self.tally += round(held.guess * 1e6)
         self.made.finish()
         for _ in range(200):
             self.clock.us += 2 * SECOND
             self.exports("")
-            if self.made.due() is None:
+            if self.made.oldest_sealed() is None:
                 break
         arrived = sum(sum(lines.values()) for lines in self.receiving.totals.values())
         assert arrived == self.tally
         self.made.close()
-        seen = audit.look(self.folder)
+        seen = audit.read_ledger(self.folder)
         assert seen.faults == []
         shutil.rmtree(self.folder)
 
@@ -512,18 +518,18 @@
     made.finish()
     batch = batch_of(made)
     made.close()
-    call: dict[str, Any] = {"name": name or batch.name, "digest": batch.digest, "data": packed(batch.text)}
-    receiving = Receiving(tmp_path / "kept")
+    call: dict[str, Any] = {"name": name or batch.name, "digest": batch.digest, "data": compress(batch.text)}
+    receiving = BatchReceiver(tmp_path / "kept")
     assert receiving.put(**call | change)[0] == status
     if status == 201:
         assert receiving.put(**call)[0] == 200
         assert receiving.put(**call | {"digest": "0" * 64})[0] == 409
-        again = Receiving(tmp_path / "kept")  # after a restart
+        again = BatchReceiver(tmp_path / "kept")  # after a restart
         assert again.put(**call)[0] == 200 and again.marks == receiving.marks
     else:
         assert not receiving.digests
 
 
 def test_gaps_are_read_as_they_were_written() -> None:
-    data = frame(Kind.GAP, 5, Gap(1, 2, 3.5))
-    assert [record for _, _, record in read(data, Scan())] == [Gap(1, 2, 3.5)]
+    data = encode_frame(Kind.GAP, 5, Gap(1, 2, 3.5))
+    assert [record for _, _, record in read_records(data, Scan())] == [Gap(1, 2, 3.5)]
--- a/tests/test_usage_node.py
+++ b/tests/test_usage_node.py
@@ -12,7 +12,7 @@
 from benchmarks import kills
 from millfront.node.config import Address
 from millfront.usage.part import UsagePart
-from millfront.usage.receiver import Receiving, server
+from millfront.usage.receiver import BatchReceiver, create_server
 from millfront.usage.sinks import HttpSink
 from tests.peers import (
     TEST_TIMEOUT_S,
@@ -35,9 +35,9 @@
 
 
 @pytest.fixture
-def receiver() -> Iterator[tuple[Receiving, str]]:
-    receiving = Receiving()
-    made = server(receiving, "127.0.0.1", 0)
+def receiver() -> Iterator[tuple[BatchReceiver, str]]:
+    receiving = BatchReceiver()
+    made = create_server(receiving, "127.0.0.1", 0)
     threading.Thread(target=made.serve_forever, daemon=True).start()
     yield receiving, f"127.0.0.1:{made.server_port}"
     made.shutdown()
@@ -51,7 +51,7 @@
 
 
 async def test_each_way_a_try_ends_is_billed_as_stated(
-    tmp_path: Path, receiver: tuple[Receiving, str]
+    tmp_path: Path, receiver: tuple[BatchReceiver, str]
 ) -> None:
     receiving, address = receiver
     told = answer(200, b"page", b"Billed-Units: 3.5")
@@ -77,7 +77,7 @@
 
 
 async def test_a_receiver_that_is_silent_then_down_then_back_gets_each_batch_once(
-    tmp_path: Path, receiver: tuple[Receiving, str]
+    tmp_path: Path, receiver: tuple[BatchReceiver, str]
 ) -> None:
     receiving, address = receiver
     never = Peer(*[silent] * 100)
