--- a/millfront/dataplane/proxy.py
+++ b/millfront/dataplane/proxy.py
@@ -39,7 +39,7 @@
 from millfront.node.members import Members, PoolMember
 from millfront.node.stages import relay
 from millfront.node.stages.send import Send, ServerSideFlow
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 from millfront.quotas.requester import Decision, Outcome
 
 if TYPE_CHECKING:
@@ -85,8 +85,8 @@
             self.classify_answer,
             self.server_fields,
         )
-        self.send.rest_s = 3.0
-        self.send.part_may_run = True  # a server may run a request that it has received in part
+        self.send.completion_timeout_s = 3.0
+        self.send.partial_may_run = True  # a server may run a request that it has received in part
         self.server = VirtualServer(self.clock, self, self.parse_request, self.admit, None, sockets * 2 // 3)
         self.server.buffer_budget = BufferBudget(memory // RESPONSES_MEMORY_DIVISOR)
         self.server.may_send_408 = lambda request: request.progress.known_not_run()
@@ -94,8 +94,8 @@
         self.retry_budgets: dict[str, RetryBudget] = {}
         self.answer_sizes: dict[str, float] = {}  # mean bytes of an answer, by route
         self.open_requests = 0
-        gatekeeper.relisted = self.on_servers_changed
-        gatekeeper.changed = self.on_configuration_changed
+        gatekeeper.on_servers_changed = self.on_servers_changed
+        gatekeeper.on_configuration_changed = self.on_configuration_changed
         self.on_configuration_changed()  # the configuration loaded from disk is already in force
 
     # ---- callbacks of the gatekeeper -----------------------------------------------------------------
@@ -110,9 +110,9 @@
                 self.gatekeeper.invariants.check(
                     Invariant.SERVER_NOT_REVIVED, known is None or known.ready, detail
                 )
-                self.members.listed(server.ident, server.address, Address.parse(server.address, "address"))
+                self.members.set_ready(server.ident, server.address, Address.parse(server.address, "address"))
         for ident in stopped:
-            self.members.stopped(ident)
+            self.members.set_stopped(ident)
         self.update_cold_owners()
 
     def update_cold_owners(self) -> None:
@@ -153,11 +153,11 @@
     def parse_request(self, message: Message, arrived_us: int) -> ClientRequest:
         """Extract from a request what decisions need.
 
-        :raises NotTaken: the request is not allowed; with status and reason
+        :raises RequestRejected: the request is not allowed; with status and reason
         """
         configuration = self.gatekeeper.configuration
         if configuration is None:
-            raise NotTaken(503, "no configuration yet", RETRY_AFTER_S)
+            raise RequestRejected(503, "no configuration yet", RETRY_AFTER_S)
         assert isinstance(message.start, tuple)
         fields = dict(reversed(message.fields))  # the first field of a name counts
         host = fields.get(b"host", b"").decode("latin-1").lower().partition(":")[0]
@@ -175,7 +175,7 @@
         timeout_s = route.deadline
         if (text := fields.get(DEADLINE)) is not None:
             if not text.isdigit():
-                raise NotTaken(400, "Millfront-Deadline-Ms: not a number")
+                raise RequestRejected(400, "Millfront-Deadline-Ms: not a number")
             timeout_s = min(timeout_s, int(text) / 1e3)
         progress = RequestProgress(route.repeatable, route.max_tries)
         arrival = Arrival(message, max(1000, int(timeout_s * 1e6)))
@@ -191,18 +191,18 @@
             tenant,
             arrived_us,
             progress,
-            whole=not message.body_incomplete,
+            body_received=not message.body_incomplete,
         )
         if route.kind == KEYED_KIND:
             request.operation_key = fields.get(OPERATION_KEY, b"")
         return request
 
-    def _denied(self, status: int, reason: str) -> NotTaken:
+    def _denied(self, status: int, reason: str) -> RequestRejected:
         """The rejection of a request that the configuration here does not allow. Clients take it as final, so
         if a newer version may have been in force elsewhere for long, the client is told to retry instead."""
-        if self.gatekeeper.sure(self.now()):
-            return NotTaken(status, reason)
-        return NotTaken(503, "out of touch with the registry", RETRY_AFTER_S)
+        if self.gatekeeper.recent_enough(self.now()):
+            return RequestRejected(status, reason)
+        return RequestRejected(503, "out of touch with the registry", RETRY_AFTER_S)
 
     def admit(self, request: ClientRequest, caller: Caller) -> ClientRequest | None:
         """Start a request or refuse it; returns None if it is already answered."""
@@ -224,11 +224,11 @@
             if not self._apply_quota_decision(request, decision):
                 return None
         self._start(request)
-        return None if request.over else request
+        return None if request.finished else request
 
     def _on_quota_decision(self, request: ClientRequest, decision: Decision) -> None:
         """Handle the decision on a request that waited for a token."""
-        if request.over:  # its client has disconnected
+        if request.finished:  # its client has disconnected
             if decision.outcome is Outcome.ADMITTED and request.tenant is not None:
                 self.gatekeeper.admission.refund(request.tenant)
         elif self._apply_quota_decision(request, decision):
@@ -270,8 +270,8 @@
     def still_allowed(self, request: ClientRequest) -> bool:
         """Whether the configuration in force still allows the request's key and its chosen service."""
         configuration = self.gatekeeper.configuration
-        if configuration is None or request.over:
-            return not request.over
+        if configuration is None or request.finished:
+            return not request.finished
         if request.tenant is not None:
             tenant = configuration.tenants.get(request.key)
             if tenant is None or tenant.name != request.tenant.name:
@@ -284,7 +284,7 @@
 
     def in_evacuated_zone(self, flow: ServerSideFlow) -> bool:
         """Whether the chosen server's zone is being evacuated."""
-        server_state = flow.opened.server_states.get(flow.number)
+        server_state = flow.open_request.server_states.get(flow.number)
         return server_state is not None and server_state.server.zone in self.load_balancer.evacuated
 
     # ---- attempts ------------------------------------------------------------------------------------
@@ -308,7 +308,7 @@
         if service is not None:
             size: float = (
                 len(request.arrival.message.body)
-                if request.whole
+                if request.body_received
                 else (request.arrival.message.length or 100_000)
             )
             size += self.answer_sizes.get(route.name, 1000.0)
@@ -324,7 +324,7 @@
         request.server_states[number] = server_state
         self.load_balancer.record_sent(now, server_state, number)
         self.send(request, number, AttemptTarget(server_state.server.ident))
-        if request.progress.repeatable and not request.over and request.timer is None:
+        if request.progress.repeatable and not request.finished and request.timer is None:
             service_time = self.load_balancer.service_times.get(request.service, 0.3)
             after = max(HEDGE_TARGET_SHARE * request.route.target_time, HEDGE_SERVICE_TIMES * service_time)
             request.timer = asyncio.get_running_loop().call_later(after, self._hedge, request)
@@ -351,14 +351,14 @@
 
     def _retry_held(self, request: ClientRequest) -> None:
         request.timer = None
-        if not request.over:
+        if not request.finished:
             self.dispatch(request)
 
     def _hedge(self, request: ClientRequest) -> None:
         """Send an unanswered request to a second server if the retry budget allows it."""
         request.timer = None
         if (
-            request.over
+            request.finished
             or request.streaming_flow >= 0
             or request.progress.in_flight != 1
             or not request.progress.may_retry()
@@ -374,7 +374,7 @@
 
     def classify_answer(self, flow: ServerSideFlow, answer: Message) -> Ending:
         """Classify an answer by its head, before any byte of it goes to the client."""
-        request: ClientRequest = flow.opened
+        request: ClientRequest = flow.open_request
         fields = dict(reversed(answer.fields))
         server_state = request.server_states.get(flow.number)
         if fields.get(ATTEMPT_ID, b"") != request.attempt_id:
@@ -402,8 +402,8 @@
 
     def server_fields(self, flow: ServerSideFlow, member: PoolMember, message: Message) -> Fields:
         """The header fields of a request as sent to a server."""
-        request: ClientRequest = flow.opened
-        left_ms = max(1, (flow.ends_us - self.clock.now()) // 1000)
+        request: ClientRequest = flow.open_request
+        left_ms = max(1, (flow.deadline_us - self.clock.now()) // 1000)
         fields = end_to_end_fields(message, *OWN_FIELDS)
         fields.append((b"Millfront-Deadline-Ms", b"%d" % left_ms))
         fields.append((b"Millfront-Target-Instance", str(member.id).encode()))
@@ -413,23 +413,23 @@
 
     def begin_stream(self, flow: ServerSideFlow) -> bool:
         """Start streaming a long answer to the client; returns False if the client has an answer already."""
-        request: ClientRequest = flow.opened
-        if request.over or request.streaming_flow >= 0:
+        request: ClientRequest = flow.open_request
+        if request.finished or request.streaming_flow >= 0:
             return False
         request.streaming_flow = flow.number
-        request.caller.begin(flow.answer, flow)
+        request.caller.begin_response(flow.answer, flow)
         return True
 
     def attempt_ended(self, flow: ServerSideFlow, ending: Ending, answer: Message | None) -> None:
         """Handle the end of an attempt."""
-        request: ClientRequest = flow.opened
+        request: ClientRequest = flow.open_request
         request.flows.pop(flow.number, None)
         now = self.now()
         server_state = request.server_states.pop(flow.number, None)
         request.progress.attempt_ended(ending)
         if server_state is not None:
             self._update_load_balancer(now, server_state, flow.number, ending, request)
-        if request.over:
+        if request.finished:
             self._ended_after_client_left(request, ending, answer)
             return
         if request.streaming_flow not in (-1, flow.number):
@@ -440,7 +440,7 @@
         if request.streaming_flow == flow.number:
             self.keyed.complete_unknown(request)
             self.finish(request)
-            request.caller.cut()
+            request.caller.abort_response()
             return
         if ending is Ending.ERRORED and (request.progress.repeatable or not promises_not_run(answer)):
             request.fallback_answer = answer
@@ -460,7 +460,7 @@
         self.keyed.complete(request, answer, lambda: self._deliver(request, answer))
 
     def _deliver(self, request: ClientRequest, answer: Message) -> None:
-        if not request.over:
+        if not request.finished:
             self.finish(request)
             request.caller.served(answer)
 
@@ -483,7 +483,7 @@
     ) -> None:
         elapsed_s = self.load_balancer.record_ended(now, server_state, number)
         member = self.members.get(server_state.server.ident)
-        server_state.idle_connections = len(member.idle) if member is not None else 0
+        server_state.idle_connections = len(member.idle_connections) if member is not None else 0
         if ending in (Ending.SERVED, Ending.ERRORED):
             self.load_balancer.record_answer(now, server_state, elapsed_s, False)
         elif ending is Ending.NOT_STARTED:
@@ -518,7 +518,7 @@
         elif request.progress.known_not_run():
             self.keyed.withdraw(request)
             self.refund_quota(request)
-            if request.revoked and self.gatekeeper.sure(self.now()):
+            if request.revoked and self.gatekeeper.recent_enough(self.now()):
                 self.refuse(request, 401, 0.0)
             else:
                 self.refuse(request, 503, 0.15 + 0.25 * self.random.random())
@@ -540,11 +540,11 @@
         """
         fields: Fields = [(b"Retry-After", b"%.3f" % retry_after_s)] if retry_after_s > 0 else []
         self.finish(request)
-        request.caller.send_response(relay.own(status, b"", fields))
+        request.caller.send_response(relay.own_response(status, b"", fields))
 
     def finish(self, request: ClientRequest) -> None:
         """Mark the request as answered; its only answer is about to be sent."""
-        request.over = True
+        request.finished = True
         self.open_requests -= 1
         if request.timer is not None:
             request.timer.cancel()
@@ -554,17 +554,17 @@
 
     def body_complete(self, request: ClientRequest) -> None:
         """The last byte of the body has arrived."""
-        request.whole = True
+        request.body_received = True
         for flow in list(request.flows.values()):
-            flow.whole()
+            flow.body_complete()
 
     def client_left(self, request: ClientRequest) -> None:
         """The client disconnected: cancel a repeatable or incomplete request, let others run to their end."""
-        if request.over:
+        if request.finished:
             return
         self.finish(request)
         for flow in list(request.flows.values()):
-            if request.progress.repeatable or not request.whole:
+            if request.progress.repeatable or not request.body_received:
                 flow.cancel()
         held = (
             request.claim is not None and request.claim.decided is None
--- a/millfront/node/clients.py
+++ b/millfront/node/clients.py
@@ -19,7 +19,7 @@
 from millfront.node.http1 import ServerCodec
 from millfront.node.link import RESOURCE_ERRNOS, Link, accept, create_listener
 from millfront.node.stages import relay
-from millfront.node.stages.take_in import NotTaken
+from millfront.node.stages.take_in import RequestRejected
 
 log = Log(__name__)
 
@@ -76,15 +76,15 @@
     """A Caller that gets its responses as messages, over any protocol."""
 
     __slots__ = ()
-    streams = False
+    accepts_streaming = False
 
-    def begin(self, response: Any, source: Source) -> None:
+    def begin_response(self, response: Any, source: Source) -> None:
         raise NotImplementedError
 
-    def more(self, data: bytes) -> bool:
+    def send_body(self, data: bytes) -> bool:
         raise NotImplementedError
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         raise NotImplementedError
 
     def send_response(self, response: Message) -> None:
@@ -130,7 +130,7 @@
         "stalled_unsent",
         "upload",
     )
-    streams = True
+    accepts_streaming = True
 
     def __init__(self, server: "VirtualServer", sock: socket.socket) -> None:
         self.server = server
@@ -210,7 +210,7 @@
             return
         try:
             message = self.codec.next_request()
-        except NotTaken as error:
+        except RequestRejected as error:
             self.reject_message(error.status, str(error))
             return
         if message is not None:
@@ -228,10 +228,10 @@
             return
         try:
             open_request = self.server.admit(self.server.take_in(message, came_us), self)
-        except NotTaken as error:
-            self.send_response(relay.own(error.status, f"{error}\n".encode(), error.fields))
+        except RequestRejected as error:
+            self.send_response(relay.own_response(error.status, f"{error}\n".encode(), error.fields))
             return
-        if open_request is not None and not open_request.over:  # admit() may have answered it
+        if open_request is not None and not open_request.finished:  # admit() may have answered it
             self.open_request = open_request
             if self.upload is not None:
                 self.body_progress_us = self.server.clock.now()
@@ -246,7 +246,7 @@
             return
         try:
             data = self.codec.read_body()
-        except NotTaken as error:
+        except RequestRejected as error:
             self.abort_upload(error.status, str(error))
             return
         last = not self.codec.body_pending
@@ -281,7 +281,7 @@
         """Answer a message that can't be read to its end; no more requests are read on this connection."""
         self.input_closed = self.busy = True
         self.ending = Ending.TIMED_OUT if status == HTTPStatus.REQUEST_TIMEOUT else Ending.MALFORMED
-        self.send_response(relay.own(status, f"{why}\n".encode()))
+        self.send_response(relay.own_response(status, f"{why}\n".encode()))
 
     def check_timeouts(self, now_us: int, read_timeout_us: int) -> None:
         started_us = self.request_started_us if self.had_request or self.in_body else self.idle_since_us
@@ -355,7 +355,7 @@
         if self.closed:
             return
         if self.source is not None:  # another response has begun: this one can't be sent
-            self.cut()
+            self.abort_response()
             return
         self.open_request = None
         data, reusable = self.codec.encode_response(
@@ -364,7 +364,7 @@
         if self.write(data):
             self.response_sent(reusable)
 
-    def begin(self, response: Message, source: Source) -> None:
+    def begin_response(self, response: Message, source: Source) -> None:
         """Begin a streamed response: its head and the first part of its body."""
         if self.closed:
             return
@@ -382,7 +382,7 @@
             return response
         return replace(response, raw_fields=[*response.raw_fields, (b"Keep-Alive", self.server.keep_alive)])
 
-    def more(self, data: bytes) -> bool:
+    def send_body(self, data: bytes) -> bool:
         if self.closed or not self.write(self.codec.encode_body(data)):
             return False
         self.account_held(self.link.unsent)
@@ -393,7 +393,7 @@
         self.server.buffer_budget.held += held - self.held
         self.held = held
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """End a response early, so that the client notices: no last chunk, or fewer bytes than announced."""
         self.open_request = self.source = None
         self.end(Ending.BROKEN)
@@ -472,7 +472,7 @@
         max_connections: int,
         make_connection: "Callable[[VirtualServer, socket.socket], Connection]" = ClientConnection,
     ) -> None:
-        """:param take_in: makes of a message and its time (µs) what `admit` needs; may raise NotTaken
+        """:param take_in: makes of a message and its time (µs) what `admit` needs; may raise RequestRejected
         :param admit: admits that for a caller; returns the open request or None
         :param ready: the health; None: HTTP/1.1 health checks are handled like other requests
         """
@@ -594,9 +594,9 @@
     def health(self) -> Message:
         """The response to a health check of the load balancer in front."""
         return (
-            relay.own(200, b"ready\n")
+            relay.own_response(200, b"ready\n")
             if self.ready is None or self.ready()
-            else relay.own(503, b"not ready\n")
+            else relay.own_response(503, b"not ready\n")
         )
 
     def connection_closed(self, connection: Connection) -> None:
--- a/millfront/operators/admin.py
+++ b/millfront/operators/admin.py
@@ -150,7 +150,7 @@
             return json_reply(500, {"error": "it failed; the log says why"})
 
     async def _status(self, call: Message) -> Reply:
-        report: dict[str, object] = {"name": self.node.config.name, "open": len(self.node.host.open)}
+        report: dict[str, object] = {"name": self.node.config.name, "open": len(self.node.host.open_requests)}
         return json_reply(200, report | {part: status() for part, status in self._status_sources.items()})
 
 
--- a/millfront/plans/part.py
+++ b/millfront/plans/part.py
@@ -42,15 +42,15 @@
 
     @property
     def settings_plans(self) -> dict[str, api.Plan]:
-        tuning = self.node.tuning
+        tuning = self.node.active_settings
         return {name: tuning.settings.plans[place] for name, place in tuning.plans.items()}
 
     # ---- as a part ---------------------------------------------------------------------------
 
     async def start(self) -> None:
         """A book that can't be used does not keep a gatekeeper from starting: the last sound one holds."""
-        self.node.take_in.live = self._terms
-        self.node.host.live_plans(self, change_plan)
+        self.node.request_parser.live_plan = self._terms
+        self.node.host.enable_live_plans(self, change_plan)
         await self._reload_if_changed()
         if self.compiled is None and (last := self.store.last_good()) is not None:
             log.warning("the last sound plan book holds", version=last.version)
@@ -146,12 +146,12 @@
 
     # ---- reservations ------------------------------------------------------------------------
 
-    def short(self, short: api.Short) -> None:
+    def on_short(self, short: api.Short) -> None:
         now = self.node.clock.now()
         actions = self.leases.on_short(now, short.customer, short.units, short.held, short.gateways)
         self._execute(actions)
 
-    def answered(self, answer: api.CounterAnswered) -> bool:
+    def handle_answer(self, answer: api.CounterAnswered) -> bool:
         now = self.node.clock.now()
         actions = self.leases.handle_answer(now, answer.name, answer.outcome, answer.total)
         self._execute(actions or [])
@@ -165,7 +165,7 @@
     def _execute(self, actions: list[LeaseAction]) -> None:
         for action in actions:
             if isinstance(action, Leased):
-                self.node.host.tell(api.UnitsLeased(action.customer, action.units))
+                self.node.host.post_event(api.UnitsLeased(action.customer, action.units))
             else:
                 self.node.host.start_count(action)
 
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -21,7 +21,7 @@
 from millfront.register.replica import Replica
 from millfront.register.values import Value
 from millfront.storage import disk, lmdb_folder
-from millfront.transport.connections import encoded
+from millfront.transport.connections import encode_message
 from tests.system_world import Node, World, document
 
 CAUGHT_UP_S = 4.0  # from its start or the end of the cut, on links of unlimited bandwidth
@@ -99,19 +99,19 @@
                 elif number in self.wiped and gatekeeper.replica.votes:
                     self.violation = f"{node.name} votes with {held_by(node)} of {version}"
 
-    def carry(self, sender: Node, address: str, give: Any, message: Any) -> None:
+    def deliver(self, sender: Node, address: str, give: Any, message: Any) -> None:
         to = self.by_address.get(address)
         if to is not None and to.number in self.bytes_received:
-            self.bytes_received[to.number] += len(encoded(message))
+            self.bytes_received[to.number] += len(encode_message(message))
         if message["t"] != "piece" or not self.chunk_delay_s:
-            super().carry(sender, address, give, message)
+            super().deliver(sender, address, give, message)
             return
-        life = sender.life
+        life = sender.incarnation
 
         def later() -> Generator[Any, Any, None]:
             yield self.env.timeout(self.chunk_delay_s)
-            if sender.life == life:
-                super(CatchUpWorld, self).carry(sender, address, give, message)
+            if sender.incarnation == life:
+                super(CatchUpWorld, self).deliver(sender, address, give, message)
 
         self.env.process(later())
 
@@ -219,7 +219,7 @@
     world = bootstrapped()
     node = world.nodes[4]
     world.wipe(4)
-    node.refuses = True
+    node.disk_refuses = True
     world.bring_back(4)
     world.run(5.0)
     assert (
@@ -227,7 +227,7 @@
         and node.gatekeeper.replica is not None
         and not node.gatekeeper.replica.votes
     )
-    node.refuses = False
+    node.disk_refuses = False
     world.wait_until_caught_up(within=6.0)
 
 
@@ -286,7 +286,7 @@
         and gatekeeper.configuration is not None
         and gatekeeper.configuration.version == world.acknowledged
     )
-    whole, bytes_per_change = len(encoded({"t": "", "v": long(1)})), world.bytes_received[5] / 4
+    whole, bytes_per_change = len(encode_message({"t": "", "v": long(1)})), world.bytes_received[5] / 4
     assert bytes_per_change < 0.5 * whole, f"{bytes_per_change} bytes a change; full document {whole}"
 
 
