--- a/millfront/plans/__init__.py
+++ b/millfront/plans/__init__.py
@@ -1,1 +1,1 @@
-"""Live plans: who holds which plan when, and what becomes of the allowance on a change."""
+"""Live plans: which customer is on which plan at what time, and how allowances carry over on a change."""
--- a/millfront/plans/api.py
+++ b/millfront/plans/api.py
@@ -1,8 +1,9 @@
 """The plan book over the admin API: GET and PUT /v1/plans, with entity tags against lost updates.
 
-A PUT wants `If-Match` with the tag of the book that it was made on (RFC 9110, 13.1.1), or `If-None-Match: *`
-where there is none yet. 428: neither was given (RFC 6585, 3). 412: another book is there by now. 422: the
-book has faults, all of them named. 507: the disk did not take it; the old book goes on.
+A PUT requires `If-Match` with the tag of the book it is based on (RFC 9110, 13.1.1), or `If-None-Match: *`
+if there is no book yet. 428: neither field was sent (RFC 6585, 3). 412: the book has changed meanwhile.
+422: the book is invalid; the answer lists every fault. 507: the disk write failed; the old book stays in
+force.
 """
 
 import anyio.to_thread
@@ -32,7 +33,7 @@
     async def put(self, call: Message) -> Reply:
         expected = call.field(b"if-match")
         if expected is None and call.field(b"if-none-match") != b"*":
-            return json_reply(428, {"error": "If-Match, or If-None-Match: *, is wanted"})
+            return json_reply(428, {"error": "If-Match, or If-None-Match: *, is required"})
         try:
             book = await self.plans.validate(call.body)
             current = self.plans.compiled
@@ -48,6 +49,6 @@
         except Conflict as error:
             return json_reply(412, {"error": str(error)})
         except OSError as error:
-            return json_reply(507, {"error": f"not written: {error.strerror}"})
+            return json_reply(507, {"error": f"the book could not be written: {error.strerror}"})
         result = {"version": book.version, "late_s": lateness.max_us / 1e6}
         return json_reply(200, result, [(b"ETag", tag.encode())])
--- a/millfront/plans/book.py
+++ b/millfront/plans/book.py
@@ -1,7 +1,8 @@
-"""The plan book: who holds which plan when, and what is reserved. Types, checks and a compiled form; no I/O.
+"""The plan book: which customer is on which plan when, and what is reserved. Types, checks, a compiled form.
 
-A book is one JSON document with a version. It is checked whole, with every fault named, before any of it
-counts. Instants are RFC 3339 with a zone; `from` counts, `until` no longer does.
+No I/O. A book is one JSON document with a version. The whole document is validated, and every fault listed,
+before any of it takes effect. Instants are RFC 3339 with a time zone; a span includes `from` and excludes
+`until`.
 """
 
 import datetime
@@ -22,10 +23,10 @@
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
 CustomerId = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{16}$")]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
-Units = Annotated[float, msgspec.Meta(gt=0, le=1e6)]  # a counter's total is exact to seven digits
+Units = Annotated[float, msgspec.Meta(gt=0, le=1e6)]  # the counter's totals have seven exact digits
 NO_END_US = 1 << 62
-ENTRIES_PER_SLICE = 1000  # entries decoded in one go: a few ms at most, so that a loop may run in between
-MAX_CACHED = 4096  # customers asked for lately
+ENTRIES_PER_SLICE = 1000  # takes a few ms at most; the event loop may run between slices
+MAX_CACHED = 4096  # recently looked-up pairs of customer and plan
 
 
 class PlanEntry(Strict, frozen=True):
@@ -46,9 +47,9 @@
 
     def __post_init__(self) -> None:
         if self.rate > 0 and self.burst <= 0:
-            raise ValueError("burst: a plan with a rate wants one above 0")
+            raise ValueError("burst: must be above 0 for a plan with a rate")
         if self.ceiling_rate > 0 and self.ceiling_burst <= 0:
-            raise ValueError("ceiling_burst: a plan with a ceiling wants one above 0")
+            raise ValueError("ceiling_burst: must be above 0 for a plan with a ceiling")
         _check_order(self.from_, self.until)
 
     def plan(self) -> api.Plan:
@@ -92,14 +93,14 @@
 
     @property
     def key(self) -> int:
-        """64 bits that every gatekeeper makes alike: the counter's names come from them."""
+        """64-bit key, the same at every gatekeeper; counter names are derived from it."""
         return int.from_bytes(
             hashlib.blake2b(f"{self.customer}/{self.name}".encode(), digest_size=8).digest()
         )
 
     @property
     def mean_rate(self) -> float:
-        """Units a second over its time."""
+        """Units a second, averaged over the reservation's span."""
         if self.rate is not None:
             return self.rate
         return (self.units or 0.0) / max((self.until - self.from_).total_seconds(), 1.0)
@@ -110,12 +111,12 @@
     plans: tuple[PlanEntry, ...] = ()
     assignments: tuple[Assignment, ...] = ()
     reservations: tuple[Reservation, ...] = ()
-    by: str = ""  # who made this version, and what for
-    note: str = ""
+    by: str = ""  # who made this version
+    note: str = ""  # what for
 
 
 class _Raw(Strict, frozen=True):
-    """The same, its entries not yet decoded."""
+    """A book whose assignments are not decoded yet."""
 
     version: Annotated[int, msgspec.Meta(ge=1)]
     plans: tuple[PlanEntry, ...] = ()
@@ -131,7 +132,7 @@
 
 
 def to_micros(at: datetime.datetime | None, default: int) -> int:
-    """An instant in µs of Unix time."""
+    """An instant in µs of Unix time, or the default for None."""
     return default if at is None else round(at.timestamp() * 1e6)
 
 
@@ -144,12 +145,15 @@
 
 
 def decode(text: bytes) -> Book:
-    """:raises InvalidDocument: with every fault of form; check() finds those of meaning"""
+    """Decodes a book and validates each entry; check() validates the entries together.
+
+    :raises InvalidDocument: with every fault
+    """
     return run_to_end(decode_in_slices(text))
 
 
 def decode_in_slices(text: bytes) -> Iterator["Book | None"]:
-    """The same in slices: yields None in between, and the book last, so that a loop can run meanwhile."""
+    """Like decode(), in slices: yields None between them, so that the event loop can run; the book last."""
     try:
         raw = msgspec.json.decode(text, type=_Raw)
     except msgspec.ValidationError:
@@ -158,7 +162,7 @@
         raise InvalidDocument("plan book", [Fault("$", f"is not JSON: {error}")]) from None
     yield None
     decoder = msgspec.json.Decoder(Assignment)
-    names: dict[str, str] = {}  # a plan's name once, not once a customer
+    names: dict[str, str] = {}  # plan names, shared by all assignments to save memory
     entries: list[Assignment] = []
     faults: list[Fault] = []
     for position, entry in enumerate(raw.assignments):
@@ -178,10 +182,10 @@
 
 
 def check(book: Book, known_plans: Iterable[str], max_reserved: float) -> list[Fault]:
-    """What the entries say together and can't.
+    """Checks that the entries are consistent with each other and with the settings; returns all faults.
 
-    :param known_plans: names in the settings, beside the book's own
-    :param most_reserved: units a second that reservations may come to at any instant
+    :param known_plans: names of the settings' plans, valid in addition to the book's own
+    :param max_reserved: limit on the sum of reserved rates at any instant, units a second
     """
     return run_to_end(check_in_slices(book, known_plans, max_reserved))
 
@@ -189,13 +193,13 @@
 def check_in_slices(
     book: Book, known_plans: Iterable[str], max_reserved: float
 ) -> Iterator[list[Fault] | None]:
-    """The same in slices; the faults come last."""
+    """Like check(), in slices: yields None between them and the faults last."""
     faults: list[Fault] = []
     plans = {entry.name for entry in book.plans} | set(known_plans)
     for one, other in _defined_twice(book.plans):
-        why = f"plan {book.plans[one].name!r} is defined twice at once, here and in [{other}]"
+        why = f"plan {book.plans[one].name!r} is defined twice at one time, here and in [{other}]"
         faults.append(Fault(f"$.plans[{one}]", why))
-    first: dict[str, int] = {}  # a customer's first entry: most have no other
+    first: dict[str, int] = {}  # each customer's first entry; most customers have only one
     more: dict[str, list[int]] = {}
     for position, entry in enumerate(book.assignments):
         if entry.plan not in plans:
@@ -205,7 +209,7 @@
             others = more.setdefault(entry.customer, [other])
             for one in others:
                 if _overlap(entry, book.assignments[one]):
-                    why = f"customer {entry.customer} is assigned twice at once, here and in [{one}]"
+                    why = f"customer {entry.customer} is assigned twice at one time, here and in [{one}]"
                     faults.append(Fault(f"$.assignments[{position}]", why))
             others.append(position)
         if position % ENTRIES_PER_SLICE == ENTRIES_PER_SLICE - 1:
@@ -224,7 +228,7 @@
 
 
 def _overlap(one: PlanEntry | Assignment, other: PlanEntry | Assignment) -> bool:
-    """Whether there is an instant at which both hold."""
+    """Whether the spans of two entries overlap."""
     return to_micros(one.from_, 0) < to_micros(other.until, NO_END_US) and to_micros(
         other.from_, 0
     ) < to_micros(one.until, NO_END_US)
@@ -238,7 +242,7 @@
 
 
 def _excess_reservations(entries: Iterable[Reservation], limit: float) -> Iterator[tuple[int, float]]:
-    """The instants at which the sum of reserved units a second goes over the most."""
+    """The instants (µs) at which the sum of reserved rates exceeds the limit, with that sum in units/s."""
     changes: dict[int, float] = {}
     for entry in entries:
         for at, sign in ((entry.from_, 1.0), (entry.until, -1.0)):
@@ -257,9 +261,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What holds for a customer now."""
+    """What the book grants a customer now."""
 
-    plan: api.Plan | None  # None: the settings' plan that the request names
+    plan: api.Plan | None  # None: the request's plan from the settings applies
     name: str
     version: int
     reserves: bool = False
@@ -267,14 +271,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lateness:
-    """Entries that were new in a version and whose instant had passed when it was applied."""
+    """How many new entries of a version had already begun when it was applied, and the longest delay."""
 
     entries: int
     max_us: int
 
 
 class CompiledBook:
-    """A checked book as it is asked: by customer and instant. Made in slices by compile_in_slices()."""
+    """A checked book, indexed by customer and instant. Built in slices by compile_in_slices()."""
 
     def __init__(self, book: Book, settings_plans: Mapping[str, api.Plan]) -> None:
         self.book = book
@@ -303,9 +307,9 @@
             self.assigned[key] = [before, entry]
 
     def terms(self, customer: int, requested: str, now_us: int) -> Terms | None:
-        """What the book says; None where it is silent and the request and the settings hold.
+        """What the book grants; None if it has no entry, so that the request and the settings decide.
 
-        :param named: the request's own plan
+        :param requested: the request's own plan
         :param now_us: Unix time, µs, by this gatekeeper's clock
         """
         cached = self._cache.get((customer, requested))
@@ -343,9 +347,10 @@
 def compile_in_slices(
     book: Book, settings_plans: Mapping[str, api.Plan], before: "CompiledBook | None", now_us: int
 ) -> Iterator[tuple[CompiledBook, Lateness] | None]:
-    """Makes the compiled form in slices; it and what of it is late come last.
+    """Compiles a book in slices: yields None between them, and the compiled book with its lateness last.
 
-    Plans that are as they were keep their identity, so that nobody's allowance is carried over for nothing.
+    Unchanged plans keep their object identity, so that their customers' allowances are not carried over
+    needlessly.
     """
     compiled = CompiledBook(book, settings_plans)
     if before is not None:
@@ -375,7 +380,7 @@
 
 
 def difference(old: Book, new: Book) -> list[str]:
-    """What changes from one book to another, a line each; + comes in, - goes out."""
+    """The changes from one book to another, one line each: `+` for added entries, `-` for removed ones."""
     lines = []
     for what in ("plans", "assignments", "reservations"):
         before = [msgspec.json.encode(e).decode() for e in getattr(old, what)]
--- a/millfront/plans/leases.py
+++ b/millfront/plans/leases.py
@@ -1,22 +1,24 @@
-"""Reservations held over all gatekeepers together: units leased from the shared counter. No I/O.
+"""Reservations enforced over all gatekeepers together: units leased from the shared counter. No I/O.
 
-A gatekeeper whose customer runs short of its plan leases a chunk of the reservation before it is needed: it
-adds the chunk to the reservation's name and reads the total, which tells how much of the chunk is still
-within what was reserved. What was not granted was never sent on, so all leases together stay within the
+A gatekeeper whose customer exceeds its plan leases a chunk of the reservation before it is needed: it adds
+the chunk to the reservation's counter name and reads the total, which shows how much of the chunk is still
+within the reservation. Units that are not granted are never sent on, so all leases together stay within the
 reservation whatever each gatekeeper believes.
 
-- `rate`: a name a second. Unused units are not saved up but for one chunk at each gatekeeper. Over any time
-  T all gatekeepers send on at most rate·(T + 2 s) plus a chunk each.
-- `units`: a name an epoch, as the counter forgets. In an epoch's first call a gatekeeper also adds all that
-  it leased before, and it does so ahead, before the epoch begins, so that the name's total is that of all
-  who live. Before it leases in an epoch, a gatekeeper reads the closed one's name to its end; what the new
-  total lacks against that (somebody died) stays deducted.
-- A call that may have been added, and was not answered, counts as spent. A total below what this gatekeeper
-  itself added grants nothing: the counter has forgotten.
-- Without a counter, or with one gatekeeper for the customer, each has its even part.
-
-Harm: a gatekeeper that was cut off from the counter for more than an epoch is deducted twice by those that
-took it for dead. If all gatekeepers die within an epoch's life the spent part of `units` is forgotten.
+- `rate`: one counter name per second. Unused units are not saved up, except one chunk at each gatekeeper.
+  Over any time T all gatekeepers send on at most rate·(T + 2 s) plus a chunk each.
+- `units`: one counter name per epoch, because the counter forgets names. In its first call of an epoch a
+  gatekeeper also adds all that it leased before (the introduction). It does so ahead of time, before the
+  epoch begins, so that the name's total covers all live gatekeepers. Before it leases in an epoch, a
+  gatekeeper reads the closed epoch's final total; what the new total is short of that one (a gatekeeper
+  died) stays deducted.
+- A call that may have been counted and was not answered counts as spent. A total below what this gatekeeper
+  itself added grants nothing: the counter has forgotten it.
+- Without a counter, or if the customer has a single gatekeeper, each gatekeeper has an even part.
+
+Limits: units of a gatekeeper that was cut off from the counter for more than an epoch are deducted twice by
+those that took it for dead. If all gatekeepers die within an epoch's lifetime, the spent part of `units` is
+forgotten.
 """
 
 import math
@@ -27,21 +29,21 @@
 
 SECOND_US = 1_000_000
 EPOCH_US = 15 * SECOND_US
-# Before an epoch: within it each adds what it leased so far under the new name
+# Before an epoch begins, gatekeepers add what they leased so far to its name within this time
 INTRODUCE_AHEAD_US = 5 * SECOND_US
-# Of an epoch's name: the epoch, what comes ahead, and room for clocks that differ
+# Lifetime of an epoch's name: the epoch, the time ahead of it, and a margin for differing clocks
 EPOCH_TTL_US = 40 * SECOND_US
 WINDOW_TTL_US = 5 * SECOND_US
-CHUNK_PERIOD_S = 0.25  # of the shortage seen lately: a call then carries what would be asked in so long
-# Of what is left of the reservation: the last of it is not stranded at one gatekeeper
+CHUNK_PERIOD_S = 0.25  # a chunk covers the recent shortage rate for this long
+# Of the units left in the reservation, so that its last units are not stranded at one gatekeeper
 MAX_CHUNK_SHARE = 0.25
-LOW_WATER_REQUESTS = 2.0  # requests' units held: below that the next chunk is asked for
-RETRY_US = 100_000  # after a call that brought nothing
+LOW_WATER_REQUESTS = 2.0  # the next chunk is leased when the units in hand cover fewer requests
+RETRY_US = 100_000  # pause after a call that granted nothing
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationSpec:
-    """One reservation as the leases need it; times in µs of Unix time."""
+    """A reservation in the form that Leases uses; times in µs of Unix time."""
 
     key: int
     customer: int
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leased:
-    """The customer may send on so many more units here; below 0, so many fewer."""
+    """The customer may send on this many more units at this gatekeeper; negative: fewer."""
 
     customer: int
     units: float
@@ -64,17 +66,17 @@
 
 @dataclass(slots=True)
 class _Pool:
-    """What this gatekeeper knows of one reservation."""
+    """What this gatekeeper knows of one reservation. A period is a second (`rate`) or an epoch (`units`)."""
 
     spec: ReservationSpec
-    leased: float = 0.0  # units leased here, and those that may have been
-    added: dict[int, float] = field(default_factory=dict)  # by period: put under its name, or perhaps put
-    confirmed: dict[int, float] = field(default_factory=dict)  # of that, what an answer has confirmed
-    period: int = -1  # the last one whose total was read
-    closed_period: int = -1  # the last one whose total was read after its end
-    missing: float = 0.0  # spent units that the period's total does not show
-    spent: float = 0.0  # over all gatekeepers, as far as known
-    shortage_rate: float = 0.0  # units a second asked for beyond the plan, lately
+    leased: float = 0.0  # units leased here, including those that may have been leased
+    added: dict[int, float] = field(default_factory=dict)  # by period: units added, or possibly added
+    confirmed: dict[int, float] = field(default_factory=dict)  # of `added`, what an answer has confirmed
+    period: int = -1  # the last period whose total was read
+    closed_period: int = -1  # the last period whose total was read after its end
+    missing: float = 0.0  # spent units that the period's total does not include
+    spent: float = 0.0  # units over all gatekeepers, as far as known
+    shortage_rate: float = 0.0  # recent demand beyond the plan, units a second
     short_at_us: int = 0
     call_pending: bool = False
     paused_until: int = 0
@@ -91,7 +93,7 @@
         self._calls: dict[int, list[tuple[_Pool, int, float, float]]] = {}
 
     def update(self, now: int, specs: Iterable[ReservationSpec]) -> list[LeaseAction]:
-        """A new book: reservations that stay keep what is known of them, those that are gone give back."""
+        """Applies a new book: remaining reservations keep their state, removed ones return unused units."""
         before, self._pools, self._by_customer = self._pools, {}, {}
         actions: list[LeaseAction] = []
         for spec in specs:
@@ -108,11 +110,11 @@
     def on_short(
         self, now: int, customer: int, units: float, in_hand: float, gateways: int
     ) -> list[LeaseAction]:
-        """The customer asks beyond its plan.
+        """The customer's demand exceeds its plan.
 
-        :param units: of the request that met the shortage
+        :param units: of the request that exceeded it
         :param in_hand: units leased and not used yet
-        :param gateways: of the customer's set
+        :param gateways: number of gateways that serve the customer
         """
         actions: list[LeaseAction] = []
         for pool in self._by_customer.get(customer, ()):
@@ -126,7 +128,7 @@
                 continue
             actions += self._lease(now, pool, units, gateways)
             if pool.call_pending:
-                break  # one reservation after the other: overlapping ones add up
+                break  # overlapping reservations are leased one after the other and add up
         return actions
 
     def _lease(self, now: int, pool: _Pool, units: float, gateways: int) -> list[LeaseAction]:
@@ -151,13 +153,13 @@
         return [self._count_call(pool, period, introduced, chunk)]
 
     def _close_epoch(self, pool: _Pool, period: int) -> list[LeaseAction]:
-        """The call that reads the epoch before to its end, where that is still owed."""
+        """The call that reads the previous epoch's final total, if that has not been done yet."""
         if pool.spec.rate is not None or pool.closed_period >= period - 1:
             return []
         return [self._count_call(pool, period - 1, 0.0, 0.0)]
 
     def _lease_locally(self, pool: _Pool, period: int, limit: float, chunk: float) -> list[LeaseAction]:
-        """Nobody to share with, or no means to: the even part is this gatekeeper's own."""
+        """Leases from this gatekeeper's even part: there is no other gateway, or no counter to share by."""
         if pool.spec.rate is not None and pool.period != period:
             pool.period, pool.leased = period, 0.0
         granted = min(chunk, limit - pool.leased)
@@ -167,7 +169,7 @@
         return [Leased(pool.spec.customer, granted)]
 
     def _not_introduced(self, pool: _Pool, period: int) -> float:
-        """What this gatekeeper leased and has not yet put under the period's name."""
+        """Units that this gatekeeper leased and has not yet added to the period's name."""
         if pool.spec.rate is not None:
             return 0.0
         return max(0.0, pool.leased - pool.added.get(period, 0.0))
@@ -187,7 +189,7 @@
     def handle_answer(
         self, now: int, name: int, outcome: api.Outcome, total: float
     ) -> list[LeaseAction] | None:
-        """A counter call has ended; None: it was none of these."""
+        """Handles the end of a counter call; returns None if the call is not one of these leases."""
         calls = self._calls.get(name)
         if not calls:
             return None
@@ -196,10 +198,10 @@
             del self._calls[name]
         pool.call_pending = False
         if outcome is not api.Outcome.OK:
-            # An introduction that may be lost is made again: counted twice it costs the customer units, not
-            # counted it would cost the bound. A chunk that may be lost is spent.
+            # An introduction that may be lost is repeated: counted twice it costs the customer units, not
+            # counted it would break the bound. A chunk that may be lost counts as spent.
             pool.added[period] = pool.added.get(period, 0.0) - introduced
-            if outcome not in (api.Outcome.TIMEOUT, api.Outcome.RESET):  # surely not added
+            if outcome not in (api.Outcome.TIMEOUT, api.Outcome.RESET):  # certainly not added
                 pool.added[period] -= chunk
                 pool.leased -= chunk
             pool.paused_until = now + RETRY_US
@@ -213,7 +215,7 @@
         spec = pool.spec
         limit = spec.rate if spec.rate is not None else spec.units or 0.0
         current = now // SECOND_US if spec.rate is not None else now // EPOCH_US
-        if total < pool.confirmed[period] - 0.5:  # it forgot, or is another one
+        if total < pool.confirmed[period] - 0.5:  # the counter forgot the name, or is another counter
             pool.paused_until = now + RETRY_US
             pool.leased -= chunk
             return []
@@ -224,7 +226,7 @@
             return []
         others = total - chunk
         late = period < pool.period or period < current - (spec.rate is not None)
-        if late or period > current:  # an introduction ahead is no lease
+        if late or period > current:  # an introduction made ahead leases nothing
             pool.leased -= chunk
             return []
         if period != pool.period:
@@ -232,7 +234,7 @@
             pool.period = period
         pool.spent = max(pool.spent if spec.rate is None else 0.0, total + pool.missing)
         granted = max(0.0, min(chunk, limit - others - pool.missing))
-        # Never sent on; the name goes on showing it, which errs on the safe side.
+        # These units are never sent on; the counter name still includes them, which errs on the safe side.
         pool.leased -= chunk - granted
         if granted <= 0.0:
             if chunk > 0.0:
@@ -243,7 +245,7 @@
         return [Leased(spec.customer, granted)]
 
     def tick(self, now: int) -> list[LeaseAction]:
-        """About once a second: what ends gives back, and what was leased is told ahead of the next epoch."""
+        """Called about once a second: ends reservations and introduces leased units ahead of an epoch."""
         actions: list[LeaseAction] = []
         for pool in self._pools.values():
             spec = pool.spec
@@ -253,12 +255,12 @@
             if spec.units is None or now < spec.from_us or not self.counter:
                 continue
             period = now // EPOCH_US
-            spread = spec.key % (INTRODUCE_AHEAD_US // 2)  # not all at one instant
+            spread = spec.key % (INTRODUCE_AHEAD_US // 2)  # spreads the reservations' calls over time
             introduced = self._not_introduced(pool, period + 1)
             if (period + 1) * EPOCH_US - now <= INTRODUCE_AHEAD_US - spread and introduced > 0.0:
                 actions.append(self._count_call(pool, period + 1, introduced, 0.0))
             elif not pool.call_pending and now % EPOCH_US >= spread % SECOND_US:
-                # A witness: who has read a total keeps it, should the gatekeeper that spent it die.
+                # Reads the total as a witness: a gatekeeper that has read it keeps it if the spender dies.
                 if close_calls := self._close_epoch(pool, period):
                     actions += close_calls
                 elif pool.period != period:
@@ -266,8 +268,8 @@
         return actions
 
     def _end(self, pool: _Pool) -> list[LeaseAction]:
-        """Ended or cancelled: what is leased and unused may not be sent on any more. Units are not told apart
-        once leased: those of the customer's other reservations end with them, a chunk at the most."""
+        """Ends a finished or cancelled reservation: its unused leased units may no longer be sent on. Leased
+        units are not kept apart, so those of the customer's other reservations end too, at most one chunk."""
         if pool.ended:
             return []
         pool.ended = True
--- a/millfront/plans/part.py
+++ b/millfront/plans/part.py
@@ -1,4 +1,4 @@
-"""The live plans of a running gatekeeper: follows the book's file, applies what is sound, leases units."""
+"""Live plans of a running gatekeeper: watches the book's file, applies valid books, leases reserved units."""
 
 import os
 import time
@@ -21,7 +21,7 @@
 log = Log(__name__)
 
 TICK_S = 1.0
-SLICE_PAUSE_S = 0.001  # between two slices of a large book: guards the loop, whatever the book's size
+SLICE_PAUSE_S = 0.001  # between slices of a large book, so that it does not hold up the event loop
 
 
 class LivePlans:
@@ -32,10 +32,10 @@
         self.options = options
         self.store = BookStore(options.file)
         self.compiled: CompiledBook | None = None
-        self.tag = ""  # of the bytes in force
+        self.tag = ""  # of the book in force
         self.applied_us = 0
-        self.refused: list[str] = []  # faults of the book that is in the file and was not taken
-        self._file_state: tuple[int, int, int] | None = None  # of the file that was read last
+        self.refused: list[str] = []  # faults of the file's current book, if it was rejected
+        self._file_state: tuple[int, int, int] | None = None  # inode, mtime and size of the file read last
         self._wakeup = anyio.Event()
         self._apply_lock = anyio.Lock()
         self.leases = Leases(node.config.counter is not None and node.config.settings.counter)
@@ -45,15 +45,17 @@
         tuning = self.node.active_settings
         return {name: tuning.settings.plans[place] for name, place in tuning.plans.items()}
 
-    # ---- as a part ---------------------------------------------------------------------------
+    # ---- node part ---------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """A book that can't be used does not keep a gatekeeper from starting: the last sound one holds."""
+        """An unusable book does not keep the gatekeeper from starting: the last readable version applies."""
         self.node.request_parser.live_plan = self._terms
         self.node.host.enable_live_plans(self, change_plan)
         await self._reload_if_changed()
         if self.compiled is None and (last := self.store.last_good()) is not None:
-            log.warning("the last sound plan book holds", version=last.version)
+            log.warning(
+                "no valid plan book in the file; using the newest one in the history", version=last.version
+            )
             await self.apply(last, tag(books.encode(last)))
 
     async def run(self) -> None:
@@ -79,7 +81,7 @@
         return self.options.fleet_units_per_s * self.options.most_reserved_share
 
     async def _reload_if_changed(self) -> None:
-        """Read the file if it is another one than before. A book that is torn or unsound changes nothing."""
+        """Reads the file if it has changed. A damaged or invalid book changes nothing."""
         try:
             found = os.stat(self.store.file)
             file_state = (found.st_ino, found.st_mtime_ns, found.st_size)
@@ -88,7 +90,7 @@
             text = await anyio.to_thread.run_sync(self.store.file.read_bytes)
         except OSError as error:
             if self._file_state is not None or (self.compiled is None and not self.refused):
-                log.warning("no plan book can be read", file=self.store.file, why=error.strerror)
+                log.warning("the plan book's file can't be read", file=self.store.file, why=error.strerror)
                 self.refused = [str(error.strerror)]
             self._file_state = None
             return
@@ -102,10 +104,15 @@
         except InvalidDocument as error:
             self.refused = [str(fault) for fault in error.faults]
             version = self.compiled.version if self.compiled else None
-            log.error("the plan book is not taken", holds=version, faults=self.refused[:10])
+            log.error(
+                "the plan book is invalid; the one in force stays", holds=version, faults=self.refused[:10]
+            )
 
     async def validate(self, text: bytes) -> Book:
-        """:raises InvalidDocument: with every fault, of form and of meaning"""
+        """Decodes and checks a book.
+
+        :raises InvalidDocument: with every fault
+        """
         book = await run_in_slices(books.decode_in_slices(text), SLICE_PAUSE_S)
         faults = await run_in_slices(
             books.check_in_slices(book, self.settings_plans, self.max_reserved), SLICE_PAUSE_S
@@ -115,16 +122,16 @@
         return book
 
     async def apply(self, book: Book, book_tag: str) -> Lateness:
-        """Put a checked book in force, at once for all requests that come from now on.
+        """Puts a checked book in force for all requests that arrive from now on.
 
-        :param its_tag: of the bytes that it was read from
+        :param book_tag: tag of the bytes that the book was read from
 
         :raises InvalidDocument: its version does not go up
         """
         async with self._apply_lock:
             before = self.compiled
             if before is not None and book_tag == self.tag:
-                return Lateness(0, 0)  # the file was looked at between its writing and this
+                return Lateness(0, 0)  # the file watcher has applied it already
             if before is not None and book.version <= before.version:
                 why = f"{book.version} does not go up; {before.version} is in force"
                 raise InvalidDocument("plan book", [Fault("$.version", why)])
@@ -169,7 +176,7 @@
             else:
                 self.node.host.start_count(action)
 
-    # ---- seen --------------------------------------------------------------------------------
+    # ---- status ------------------------------------------------------------------------------
 
     def status(self) -> dict[str, object]:
         current = self.compiled
--- a/millfront/plans/store.py
+++ b/millfront/plans/store.py
@@ -1,4 +1,4 @@
-"""A plan book on the local disk: replaced whole, one writer at a time, every version kept beside it."""
+"""The plan book on the local disk: replaced atomically, one writer at a time, with a history of versions."""
 
 import fcntl
 import hashlib
@@ -14,7 +14,7 @@
 
 
 class Conflict(Exception):
-    """The book is not the one that the change was made on."""
+    """The book is not the version that the change was based on."""
 
 
 def tag(text: bytes) -> str:
@@ -23,14 +23,14 @@
 
 
 class BookStore:
-    """The file that the operators' file names. Its lock and its history lie beside it."""
+    """The book's file, named in the operators' file, with a lock file and a history folder beside it."""
 
     def __init__(self, file: str | os.PathLike[str]) -> None:
         self.file = Path(file)
         self.history = self.file.with_name(self.file.name + ".history")
 
     def read(self) -> tuple[bytes, str]:
-        """The text and its tag; nothing and an empty tag where there is no book yet. Raises OSError."""
+        """The text and its tag, both empty if there is no book yet. Raises OSError."""
         try:
             text = self.file.read_bytes()
         except FileNotFoundError:
@@ -38,18 +38,18 @@
         return text, tag(text)
 
     def write(self, text: bytes, version: int, expected: str) -> str:
-        """Replace the book if it is still the expected one; returns the new tag.
+        """Replaces the book if its tag is still the expected one; returns the new tag.
 
-        What a crash leaves is the old book or the new one. The history is written first: a version that is
-        there and was never put in place does no harm.
+        A crash leaves either the old book or the new one. The history is written first: a version in the
+        history that never came into force does no harm.
 
-        :raises Conflict: another was written meanwhile, or the version does not go up
-        :raises OSError: the disk is full or may not be written; the book is as it was
+        :raises Conflict: the book was changed meanwhile, or the version does not go up
+        :raises OSError: the disk is full or not writable; the book is unchanged
         """
         with self._locked():
             current, current_tag = self.read()
             if current_tag != expected:
-                raise Conflict("the book has been changed meanwhile")
+                raise Conflict("the book has changed meanwhile")
             if current and version <= books.decode(current).version:
                 raise Conflict(f"version {version} does not go up")
             self.history.mkdir(exist_ok=True)
@@ -58,7 +58,7 @@
         return tag(text)
 
     def versions(self) -> list[int]:
-        """Those in the history, the newest last."""
+        """Version numbers in the history, in ascending order."""
         if not self.history.is_dir():
             return []
         return sorted(int(p.stem) for p in self.history.glob("*.json") if p.stem.isdigit())
@@ -67,7 +67,7 @@
         return (self.history / f"{number:09d}.json").read_bytes()
 
     def last_good(self) -> Book | None:
-        """The newest version in the history that can be read: for a start with a torn book."""
+        """The newest readable version in the history, used to start when the book's file is damaged."""
         for number in reversed(self.versions()):
             try:
                 return books.decode(self.version(number))
