--- a/millfront/usage/__init__.py
+++ b/millfront/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage for billing: a durable ledger on the local disk and its once-only export."""
+"""Usage records for billing: a durable ledger on the local disk and its exactly-once export."""
--- a/millfront/usage/audit.py
+++ b/millfront/usage/audit.py
@@ -1,4 +1,4 @@
-"""A ledger looked at from outside, offline: is it sound, and does everybody agree on what was used?"""
+"""Offline audit of a ledger: checks its integrity and compares its usage with the receiving side's."""
 
 import hashlib
 import json
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class LedgerContents:
-    """What lies in a ledger's folder."""
+    """What was read from a ledger's folder."""
 
     source: str = ""
     ledger: str = ""
@@ -28,17 +28,16 @@
     segments: list[Segment] = field(default_factory=list)
     records: int = 0
     open: dict[int, Opened] = field(default_factory=dict)
-    waiting: Counter[str] = field(default_factory=Counter)  # tries by result, not yet exported
+    waiting: Counter[str] = field(default_factory=Counter)  # attempts by result, not exported yet
     waiting_units: float = 0.0
     unrecorded_tries: int = 0
     unrecorded_units: float = 0.0
     faults: list[str] = field(default_factory=list)
-    notes: list[str] = field(default_factory=list)  # what is as a crash leaves it, and harmless
+    notes: list[str] = field(default_factory=list)  # harmless traces of a crash
 
 
 def read_ledger(folder: Path) -> LedgerContents:
-    """Read the whole of a ledger; it may be in use meanwhile, then its last segment is as far as it was
-    read."""
+    """Reads a whole ledger. If the ledger is in use, its last segment counts as far as it was read."""
     contents = LedgerContents()
     try:
         identity = json.loads((folder / "ledger.json").read_bytes())
@@ -61,7 +60,9 @@
             if receipt.chain != receipt_chain(before, receipt):
                 contents.faults.append(f"receipts.jsonl: {receipt.batch}: the chain is broken here")
             if contents.receipts and receipt.first <= contents.receipts[-1].last:
-                contents.faults.append(f"receipts.jsonl: {receipt.batch}: overlaps the one before")
+                contents.faults.append(
+                    f"receipts.jsonl: {receipt.batch}: its range overlaps the receipt before it"
+                )
             before = receipt.chain
             contents.receipts.append(receipt)
     except (msgspec.MsgspecError, OSError) as error:
@@ -83,15 +84,15 @@
             contents.source = record.source
             contents.open = dict(record.open)
             if record.ledger != contents.ledger:
-                contents.faults.append(f"{name}: of another ledger, {record.ledger}")
+                contents.faults.append(f"{name}: belongs to another ledger, {record.ledger}")
             if chain is not None and record.chain != chain:
-                contents.faults.append(f"{name}: does not follow the segment before it")
+                contents.faults.append(f"{name}: its chain does not match the segment before it")
         elif isinstance(record, Opened):
             contents.open[seq] = record
         elif isinstance(record, Settled):
             if contents.open.pop(record.opened_seq, None) is None and record.result != Result.ABANDONED:
-                # A former life's tries are settled at the beginning of the next one, whose head names none
-                contents.faults.append(f"{name}: {seq} settles {record.opened_seq}, which is not out")
+                # After a crash the next segment starts by settling the open attempts; its head lists none
+                contents.faults.append(f"{name}: record {seq} settles {record.opened_seq}, which is not open")
             if seq > acknowledged:
                 contents.waiting[Result(record.result).name.lower()] += 1
                 contents.waiting_units += record.units
@@ -99,15 +100,15 @@
             contents.unrecorded_tries += record.tries
             contents.unrecorded_units += record.units
     if head is None:
-        contents.faults.append(f"{name}: has no head")
+        contents.faults.append(f"{name}: has no head record")
     for first, end in scan.missing:
         contents.faults.append(f"{name}: records {first} to {end} are damaged")
     if not last and scan.next_seq < segment.next_seq:
         contents.faults.append(f"{name}: records {scan.next_seq} to {segment.next_seq - 1} are lost")
     if scan.torn_bytes:
-        contents.notes.append(f"{name}: {scan.torn_bytes} bytes of a write that was cut")
+        contents.notes.append(f"{name}: {scan.torn_bytes} bytes of an incomplete write at the end")
     if 0 <= after < segment.first - 1 and after + 1 > acknowledged + 1:
-        contents.faults.append(f"{name}: records {after + 1} to {segment.first - 1} are nowhere")
+        contents.faults.append(f"{name}: records {after + 1} to {segment.first - 1} before it are missing")
     contents.segments.append(
         Segment(segment.first, max(scan.next_seq, segment.first), segment.path, len(data))
     )
@@ -119,10 +120,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoteAccount:
-    """The other side's account of one ledger."""
+    """The receiving side's account of one ledger."""
 
-    digests: Mapping[str, tuple[str, int]]  # batch to digest and lines
-    lines: Counter[tuple[str, ...]] | None  # units by key, in millionths
+    digests: Mapping[str, tuple[str, int]]  # by batch: digest and number of lines
+    lines: Counter[tuple[str, ...]] | None  # units by key, in millionths; None: not known completely
 
 
 def from_receiver(batches: list[dict[str, Any]], lines: list[dict[str, Any]], ledger: str) -> RemoteAccount:
@@ -136,7 +137,7 @@
 
 
 def from_spool(folder: Path, ledger: str) -> tuple[RemoteAccount, list[str]]:
-    """A spool folder's account, and what is wrong with its own chain and files."""
+    """A spool folder's account, and the faults in its own chain and files."""
     faults: list[str] = []
     digests: dict[str, tuple[str, int]] = {}
     lines: Counter[tuple[str, ...]] = Counter()
@@ -150,7 +151,7 @@
         digests[entry.batch] = (entry.digest, entry.lines)
         path = folder / f"{entry.batch}.jsonl.zst"
         if not path.exists():
-            complete = False  # whoever empties the folder has it by now
+            complete = False  # already collected from the folder
             continue
         try:
             text = decompress(path.read_bytes())
@@ -158,7 +159,7 @@
             faults.append(f"{path.name}: {error}")
             continue
         if hashlib.sha256(text).hexdigest() != entry.digest:
-            faults.append(f"{path.name}: is not what the manifest says")
+            faults.append(f"{path.name}: its digest differs from the manifest")
         for line in parse_batch(text)[1]:
             lines[line_key(line)] += round(line.units * 1e6)
     return RemoteAccount(digests, lines if complete else None), faults
@@ -170,7 +171,7 @@
 
 
 def compare(folder: Path, contents: LedgerContents, other: RemoteAccount, period_s: int) -> list[str]:
-    """Every difference between the ledger with its receipts and the other side, a line each."""
+    """Every difference between the ledger with its receipts and the receiving side, one line each."""
     differences: list[str] = []
     own: Counter[tuple[str, ...]] = Counter()
     kept_all = True
@@ -178,16 +179,18 @@
     for name, receipt in names.items():
         remote = other.digests.get(name)
         if remote is None:
-            differences.append(f"{name}: has a receipt here, and is not there")
+            differences.append(f"{name}: has a receipt here, but the receiving side does not have it")
         elif remote != (receipt.digest, receipt.lines):
-            differences.append(f"{name}: is another one there: {remote[1]} lines, digest {remote[0][:12]}")
+            differences.append(
+                f"{name}: differs on the receiving side: {remote[1]} lines, digest {remote[0][:12]}"
+            )
         path = folder / "sent" / f"{name}.jsonl.zst"
         if not path.exists():
             kept_all = False
             continue
         text = decompress(path.read_bytes())
         if hashlib.sha256(text).hexdigest() != receipt.digest:
-            differences.append(f"{name}: the batch kept here is not what its receipt says")
+            differences.append(f"{name}: the copy kept here does not match its receipt")
         for line in parse_batch(text)[1]:
             own[line_key(line)] += round(line.units * 1e6)
     for name, (digest, _) in other.digests.items():
@@ -195,7 +198,7 @@
             continue
         batch = _rebuild_batch(contents, name, period_s)
         if batch is None or batch.digest != digest:
-            differences.append(f"{name}: is there, and neither has a receipt nor waits here")
+            differences.append(f"{name}: received, but has no receipt here and matches no waiting segment")
             continue
         for line in parse_batch(batch.text)[1]:
             own[line_key(line)] += round(line.units * 1e6)
@@ -203,13 +206,13 @@
         for key in sorted(set(own) | set(other.lines)):
             if own[key] != other.lines[key]:
                 differences.append(
-                    f"{' '.join(key)}: {own[key] / 1e6:g} here, {other.lines[key] / 1e6:g} there"
+                    f"{' '.join(key)}: {own[key] / 1e6:g} units here, {other.lines[key] / 1e6:g} received"
                 )
     return differences
 
 
 def _rebuild_batch(contents: LedgerContents, name: str, period_s: int) -> Batch | None:
-    """The batch of that name, made from a segment that is still here."""
+    """Rebuilds the batch of that name from its segment, if the segment is still here."""
     for segment in contents.segments:
         if f".{segment.first:016x}-" in name:
             data = segment.path.read_bytes()
--- a/millfront/usage/batches.py
+++ b/millfront/usage/batches.py
@@ -1,8 +1,8 @@
-"""From a sealed segment to the batch that bills it: the same bytes whenever it is made. No I/O.
+"""Builds the billing batch of a sealed segment; the same segment always gives the same bytes. No I/O.
 
-A batch is a head line and a line for each period and key, as JSON, in a fixed order. Its name holds the
-source, the ledger and the range of sequence numbers: made again after a crash it has the same name and
-digest.
+A batch is a head line and one line for each period and key, as JSON, in a fixed order. Its name contains the
+source, the ledger and the range of sequence numbers, so a batch that is rebuilt after a crash has the same
+name and digest.
 """
 
 import hashlib
@@ -23,36 +23,38 @@
     read_records,
 )
 
-RECORDS_PER_SLICE = 200  # records in one go: about a millisecond
-Key = tuple[int, str, str, int, str, str, str]  # period to figure, as in a Line
-UNIT_DIGITS = 6  # of a unit: sums of floats must not tell in which order they were made
+RECORDS_PER_SLICE = 200  # takes about a millisecond
+Key = tuple[
+    int, str, str, int, str, str, str
+]  # the fields period to figure of a Line, without the gatekeeper
+UNIT_DIGITS = 6  # decimal places, so that float sums don't depend on the order of addition
 
 
 class BatchHead(msgspec.Struct, frozen=True):
     batch: str
     source: str
     ledger: str
-    first: int  # sequence numbers, both in it
+    first: int  # sequence numbers, both included
     last: int
-    tries: int  # settled and billed
+    tries: int  # attempts settled and billed
     units: float  # billed, over all lines
-    never_ran: int  # settled and not billed
-    unrecorded_tries: int  # went out and could not be recorded; their units are not in the lines
+    never_ran: int  # attempts settled and not billed
+    unrecorded_tries: int  # sent but could not be recorded; their units are not in the lines
     unrecorded_units: float
-    missing: list[tuple[int, int]]  # records that the disk has lost
+    missing: list[tuple[int, int]]  # ranges of records lost by the disk
     lines: int
 
 
 class Line(msgspec.Struct, frozen=True, order=True):
-    """What one key used in one period."""
+    """Usage of one key in one period."""
 
-    period: int  # Unix time of its start, s
+    period: int  # start, s of Unix time
     customer: str
     plan: str
     plan_version: int
     cls: str = msgspec.field(name="class")
     standing: str  # inside, reserved or beyond
-    figure: str  # told, guessed or abandoned
+    figure: str  # told, guessed or abandoned: see records.Result
     gatekeeper: str
     tries: int
     units: float
@@ -77,10 +79,10 @@
 
 
 def build_in_slices(data: bytes, first: int, next_seq: int, period_s: int) -> Iterator[Batch | None]:
-    """The batch of a segment's bytes, in slices; yields None in between.
+    """Builds the batch of a segment's bytes in slices: yields None between them and the batch last.
 
-    :param next_seq: the segment after this one begins there: what lies between the last sound record and it
-        is missing too
+    :param next_seq: first sequence number of the following segment; records between the last valid one and it
+        count as missing
     """
     scan = Scan()
     sums: dict[Key, list[float]] = {}
@@ -144,7 +146,7 @@
 
 
 def line_key(line: Line) -> tuple[str, ...]:
-    """What a sum goes by on both sides, in the order of the fields."""
+    """The fields by which both sides sum up units, in the order of Line."""
     return (
         str(line.period),
         line.customer,
@@ -158,6 +160,9 @@
 
 
 def parse_batch(text: bytes) -> tuple[BatchHead, list[Line]]:
-    """:raises msgspec.MsgspecError: it is no batch"""
+    """Decodes a batch.
+
+    :raises msgspec.MsgspecError: the text is not a batch
+    """
     head, *lines = text.splitlines()
     return msgspec.json.decode(head, type=BatchHead), [msgspec.json.decode(line, type=Line) for line in lines]
--- a/millfront/usage/ledger.py
+++ b/millfront/usage/ledger.py
@@ -1,15 +1,15 @@
-"""The ledger on the local disk: appended to by one gatekeeper, never rewritten.
+"""The usage ledger on the local disk: one gatekeeper appends to it and never rewrites it.
 
-A folder holds segments (`seg-FIRST.log`, FIRST the first sequence number in hex), `ledger.json` (its
-identity), `lock`, `sent/` (batches as they were exported) and `receipts.jsonl` (what the receiver has, a
-line a batch).
+A folder holds segments (`seg-FIRST.log`, FIRST being the first sequence number in hex), `ledger.json` (its
+identity), `lock`, `sent/` (batches as they were exported) and `receipts.jsonl` (batches that the receiver
+has, one per line).
 
-Each record is one write() as it is made: what was written survives the end of the process at any instant.
-What a loss of power may take is set by `fsync`. A segment is begun aside and put in place by a rename; the
-one before it is sealed and synced, and only then may it be exported.
+Each record is written with one write() when it is made, so it survives a crash of the process at any
+instant. The `fsync` setting determines what a power failure may lose. A new segment is written to a temporary
+file and put in place by a rename; the previous one is sealed and synced, and may be exported only then.
 
-No fault of the disk reaches a request: what can't be recorded is counted, and recorded as a gap once that is
-possible again.
+Disk faults never affect a request: attempts that can't be recorded are counted, and the count is recorded as
+a gap once writing is possible again.
 """
 
 import fcntl
@@ -43,21 +43,21 @@
 
 log = Log(__name__)
 
-MAX_PENDING = 10_000  # settled tries kept for a disk that fails for a while
+MAX_PENDING = 10_000  # settled attempts kept in memory while the disk fails
 SECOND_US = 1_000_000
-SENT_BYTES_SHARE = 0.25  # of most_bytes: exported batches kept for reconciling
+SENT_BYTES_SHARE = 0.25  # of most_bytes, for exported batches kept for reconciling
 
 
 class LedgerLocked(OSError):
-    """Another process has the ledger."""
+    """Another process has the ledger open."""
 
 
 class UnsupportedFormat(Exception):
-    """The folder holds a ledger of a format that this version can't read."""
+    """The folder holds a ledger that this version can't read."""
 
 
 class Receipt(msgspec.Struct, frozen=True):
-    """A batch that the receiver has."""
+    """Proof that the receiver has a batch."""
 
     batch: str
     first: int
@@ -67,22 +67,22 @@
     tries: int
     units: float
     at_us: int
-    chain: str  # digest over the receipt before and this one: a line taken out or changed shows
+    chain: str  # digest over the previous chain and this receipt; reveals removed or changed lines
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
     first: int
-    next_seq: int  # the first one behind it
+    next_seq: int  # first sequence number after the segment
     path: Path
     size: int
 
 
 @dataclass(slots=True)
 class Recovered:
-    """What opening found."""
+    """What opening a ledger found."""
 
-    abandoned: int = 0  # tries out when the gatekeeper died
+    abandoned: int = 0  # attempts open when the gatekeeper died
     torn_bytes: int = 0
     missing: list[tuple[int, int]] = field(default_factory=list)
     segments: int = 0
@@ -98,14 +98,14 @@
         self.now_us = now_us
         self.id = ""
         self.next_seq = 0
-        self.sealed: list[Segment] = []  # the oldest first; synced and not yet compacted
-        self.unsynced: deque[tuple[Segment, int]] = deque()  # sealed, with the descriptor still open
-        self.fault = ""  # of the disk, while it lasts
+        self.sealed: list[Segment] = []  # oldest first; synced, not yet removed
+        self.unsynced: deque[tuple[Segment, int]] = deque()  # sealed segments and their open descriptors
+        self.fault = ""  # disk fault, while it lasts
         self.unrecorded_tries = 0
         self.unrecorded_units = 0.0
         self.receipts_chain = ""
         self.acknowledged = -1
-        self._gap_tries = 0  # of the unrecorded ones: not yet told by a record
+        self._gap_tries = 0  # of the unrecorded attempts, those not covered by a gap record yet
         self._gap_units = 0.0
         self._open: dict[int, Opened] = {}
         self._pending: deque[tuple[int, Opened, Result, float, int]] = deque()
@@ -124,11 +124,11 @@
     # ---- opening -----------------------------------------------------------------------------
 
     def open(self) -> Recovered:
-        """Take the folder, read what a former life left, and begin a segment.
+        """Locks the folder, recovers what the previous run left, and starts a segment.
 
-        :raises LedgerLocked: another process has it
-        :raises UnsupportedFormat: its format is another one's
-        :raises OSError: the disk does not do its part
+        :raises LedgerLocked: another process has the ledger open
+        :raises UnsupportedFormat: the ledger's identity is unreadable or of a newer format
+        :raises OSError: the disk refuses a read or write
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         self._take_lock()
@@ -145,7 +145,9 @@
         except OSError as error:
             os.close(self._lock)
             self._lock = -1
-            raise LedgerLocked(error.errno, "another process has this ledger", str(self.folder)) from None
+            raise LedgerLocked(
+                error.errno, "another process has this ledger open", str(self.folder)
+            ) from None
 
     def _recover(self) -> Recovered:
         for leftover in self.folder.glob("*.new"):
@@ -176,7 +178,7 @@
             segments[-1] = Segment(segments[-1].first, self.next_seq, segments[-1].path, len(data))
         self.next_seq = max(self.next_seq, self.acknowledged + 1)
         self.sealed = [s for s in segments if s.next_seq > s.first]
-        for segment in self.sealed:  # a former life may have ended before it made them lasting
+        for segment in self.sealed:  # the previous run may have ended before it synced them
             fsync_path(segment.path)
         self._bytes_sealed = sum(s.size for s in self.sealed)
         self._sent_bytes = sum(p.stat().st_size for p in (self.folder / "sent").iterdir())
@@ -198,19 +200,19 @@
             identity = {"format": FORMAT, "ledger": secrets.token_hex(8)}
             write_atomically(path, json.dumps(identity).encode() + b"\n")
         except ValueError:
-            raise UnsupportedFormat(f"{path} is not a ledger's identity") from None
+            raise UnsupportedFormat(f"{path} is not a ledger's identity: expected JSON") from None
         if identity.get("format", 0) > FORMAT:
             raise UnsupportedFormat(
                 f"{path}: format {identity.get('format')}; this version reads up to {FORMAT}"
             )
         if identity.get("format", 0) < FORMAT:
-            # Segments of an older format are read by their own frames; new ones are written in this one.
+            # Older segments are read by their own frames; new ones are written in the current format.
             identity = {"format": FORMAT, "ledger": identity.get("ledger") or secrets.token_hex(8)}
             write_atomically(path, json.dumps(identity).encode() + b"\n")
         return str(identity["ledger"])
 
     def _read_receipts(self) -> None:
-        """A torn last line is dropped: its segment is still there, and the receiver's mark knows better."""
+        """Drops an incomplete last line: its segment still exists, and the receiver's mark covers it."""
         path = self.folder / "receipts.jsonl"
         valid_bytes, receipts = 0, list[Receipt]()
         try:
@@ -233,15 +235,15 @@
             self.acknowledged = max(receipt.last for receipt in receipts)
 
     def _monotonic_us(self) -> int:
-        """Never before what is recorded: a clock that steps back between two lives must not move usage into
-        a period that is billed already."""
+        """The time, never before the last record: a clock that steps back between runs must not move usage
+        into a period that is billed already."""
         self._last_us = max(self._last_us, self.now_us())
         return self._last_us
 
     # ---- appending ---------------------------------------------------------------------------
 
     def record_opened(self, entry: Opened) -> int:
-        """A try is about to go out; returns its number, or -1 if it can't be recorded."""
+        """Records an attempt that is about to be sent; returns its sequence number, or -1 if that failed."""
         if self._fd < 0 or self.fault or self._is_full():
             return -1
         seq = self.next_seq
@@ -252,10 +254,10 @@
         return seq
 
     def record_settled(self, seq: int, entry: Opened, result: Result, units: float) -> None:
-        """Nothing of the try is out any more.
+        """Records the end of an attempt.
 
-        :param seq: as record_opened() returned it
-        :param units: what is billed
+        :param seq: as returned by record_opened()
+        :param units: to bill
         """
         if seq < 0:
             if result is not Result.NEVER:
@@ -288,7 +290,7 @@
         except OSError as error:
             self._set_fault(error)
             return False
-        if written != len(data):  # the disk took a part: a reader would stop at it, so it goes again
+        if written != len(data):  # a partial record would stop readers, so it is removed
             try:
                 os.ftruncate(self._fd, self._size)
             except OSError as error:
@@ -302,14 +304,18 @@
 
     def _set_fault(self, error: OSError) -> None:
         if not self.fault:
-            log.error("the ledger does not record", why=error.strerror, folder=self.folder)
+            log.error(
+                "the usage ledger can't be written; usage is not recorded",
+                why=error.strerror,
+                folder=self.folder,
+            )
         self.fault = error.strerror or str(error)
 
     def _is_full(self) -> bool:
         return self._bytes_sealed + self._size >= self.options.most_bytes
 
     def tick(self) -> None:
-        """Some times a second: seal what is due, and try again what failed."""
+        """Called a few times a second: retries failed writes, and seals the segment when it is due."""
         if self._fd < 0:
             return
         if self.fault:
@@ -331,7 +337,7 @@
             self.seal()
 
     def _probe_disk(self) -> None:
-        """A probe of the disk: the same bytes as a record would be, taken back at once."""
+        """Checks the disk by writing about as many bytes as a record has, and removes them at once."""
         try:
             os.ftruncate(self._fd, self._size)
             written = os.write(self._fd, bytes(256))
@@ -340,13 +346,13 @@
             self.fault = error.strerror or str(error)
             return
         if written == 256:
-            log.info("the ledger records again", unrecorded=self.unrecorded_tries)
+            log.info("the usage ledger records again", unrecorded=self.unrecorded_tries)
             self.fault = ""
 
     # ---- segments ----------------------------------------------------------------------------
 
     def seal(self) -> None:
-        """Begin a segment; the one before is exported once sync() has made it lasting."""
+        """Starts a new segment; the previous one may be exported once sync() has made it durable."""
         previous = Segment(self._first_seq, self.next_seq, self._segment_path, self._size)
         fd = self._fd
         try:
@@ -359,7 +365,7 @@
         self.unsynced.append((previous, fd))
 
     def _start_segment(self, chain: str, abandoned: list[Settled]) -> None:
-        """Head and first records in one piece, put in place by a rename: never half a beginning."""
+        """Writes head and first records to a temporary file and renames it, so no segment is half started."""
         first = self.next_seq
         head = Head(
             FORMAT,
@@ -391,9 +397,9 @@
         self._dirty = True
 
     def sync(self) -> None:
-        """Make lasting what is written; may wait for the disk, so it is called in a thread of its own.
+        """Makes what is written durable. Blocks on the disk, so it is called in a thread of its own.
 
-        It touches descriptors alone; what follows from it is taken up by mark_synced().
+        It only touches descriptors; mark_synced() then updates the state.
         """
         if self._dirty:
             self._dirty = False
@@ -403,7 +409,7 @@
         fsync_path(self.folder)
 
     def mark_synced(self, sealed: list[tuple[Segment, int]]) -> None:
-        """Those segments are lasting: they may be exported."""
+        """Marks segments as durable: they may be exported now."""
         for segment, fd in sealed:
             if self.unsynced and self.unsynced[0][0] is segment:
                 self.unsynced.popleft()
@@ -413,16 +419,16 @@
     # ---- export ------------------------------------------------------------------------------
 
     def oldest_sealed(self) -> Segment | None:
-        """The oldest segment that is not exported."""
+        """The oldest segment that has not been exported."""
         return self.sealed[0] if self.sealed else None
 
     def keep_sent(self, batch: Batch, compressed: bytes) -> None:
-        """Before it is sent: the batch as it goes out, for reconciling."""
+        """Keeps a batch as it will be sent, for reconciling."""
         write_atomically(self.folder / "sent" / f"{batch.name}.jsonl.zst", compressed)
         self._sent_bytes += len(compressed)
 
     def record_receipt(self, batch: Batch) -> None:
-        """The receiver has the batch: written down first, then its segment goes."""
+        """Records that the receiver has the batch, then removes its segment."""
         head = batch.head
         unchained = Receipt(
             batch.name,
@@ -453,7 +459,7 @@
         self.compact(batch.last)
 
     def compact(self, acknowledged: int) -> None:
-        """Remove the segments that the receiver has whole, and old exported batches beyond their share."""
+        """Removes segments that the receiver has completely, and the oldest kept batches over the limit."""
         for segment in [s for s in self.sealed if s.next_seq - 1 <= acknowledged]:
             segment.path.unlink(missing_ok=True)
             self.sealed.remove(segment)
@@ -466,10 +472,10 @@
                 self._sent_bytes -= path.stat().st_size
                 path.unlink()
 
-    # ---- the end -----------------------------------------------------------------------------
+    # ---- shutdown ----------------------------------------------------------------------------
 
     def finish(self) -> None:
-        """A planned end: what is still out is settled as a guess, all is sealed and lasting."""
+        """Planned shutdown: settles open attempts as guessed, seals the segment and syncs."""
         for seq, entry in list(self._open.items()):
             if not any(item[0] == seq for item in self._pending):
                 self.record_settled(seq, entry, Result.GUESSED, entry.guess)
@@ -505,14 +511,14 @@
 
 
 def receipt_chain(previous: str, receipt: Receipt) -> str:
-    """The chain's next link: BLAKE2b over the link before and the receipt without its own."""
+    """The next chain value: BLAKE2b over the previous one and the receipt with an empty chain."""
     unchained = msgspec.json.encode(msgspec.structs.replace(receipt, chain=""))
     return hashlib.blake2b(previous.encode() + unchained, digest_size=16).hexdigest()
 
 
 def list_segments(folder: Path) -> list[Segment]:
-    """Those in a folder, the oldest first; each ends where the next one begins. The last one's end is not
-    known without reading it."""
+    """A folder's segments, oldest first. Each ends where the next one begins; the end of the last one is only
+    known by reading it."""
     paths = sorted(folder.glob("seg-*.log"))
     firsts = [int(path.stem.removeprefix("seg-"), 16) for path in paths]
     nexts = [*firsts[1:], *firsts[-1:]]
@@ -523,7 +529,7 @@
 
 
 def read_receipts(folder: Path) -> Iterator[Receipt]:
-    """:raises msgspec.MsgspecError: a line that is none"""
+    """:raises msgspec.MsgspecError: a line is not a receipt"""
     path = folder / "receipts.jsonl"
     if path.exists():
         for line in path.read_bytes().splitlines():
--- a/millfront/usage/part.py
+++ b/millfront/usage/part.py
@@ -1,4 +1,4 @@
-"""The usage ledger of a running gatekeeper: tells it of tries, keeps it lasting, exports what is sealed."""
+"""The usage ledger of a running gatekeeper: records attempts, syncs the ledger, exports sealed segments."""
 
 import random
 from dataclasses import dataclass
@@ -22,15 +22,15 @@
 log = Log(__name__)
 
 TICK_S = 0.2
-REOPEN_INTERVAL_S = 0.5  # before a ledger that could not be opened is tried again
+REOPEN_INTERVAL_S = 0.5  # between tries to open a ledger that could not be opened
 SYNC_ALWAYS_S = 0.01
-SLICE_PAUSE_S = 0.001  # between slices of making a batch
-FINAL_EXPORT_TIMEOUT_S = 2.0  # for what is sealed at a planned end; what is left goes out in the next life
+SLICE_PAUSE_S = 0.001  # between slices of building a batch
+FINAL_EXPORT_TIMEOUT_S = 2.0  # at a planned shutdown; the rest is exported after the next start
 
 
 @dataclass(slots=True)
 class Mark:
-    """What a try carries from its first send to its end."""
+    """What the ledger needs to know of an attempt when it ends."""
 
     seq: int
     entry: Opened
@@ -52,10 +52,10 @@
         if options.export is not None:
             self.exporter = Exporter(self.ledger, options, create_sink(options), random.Random(config.seed))
 
-    # ---- as a part ---------------------------------------------------------------------------
+    # ---- node part ---------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """A ledger that can't be opened keeps no gatekeeper from serving: its tries are counted meanwhile."""
+        """The gatekeeper also serves if the ledger can't be opened: attempts are counted meanwhile."""
         self.node.host.usage_recorder = self
         self._open()
 
@@ -64,7 +64,7 @@
             found = self.ledger.open()
         except (OSError, UnsupportedFormat) as error:
             if str(error) != self._open_error:
-                log.error("the ledger can't be opened", folder=self.options.folder, why=error)
+                log.error("the usage ledger can't be opened", folder=self.options.folder, why=error)
             self._open_error = str(error)
             return
         self._ready, self._open_error = True, ""
@@ -93,7 +93,7 @@
             self.ledger.tick()
 
     async def _run_syncs(self) -> None:
-        """fsync in a thread: the loop never waits for the disk."""
+        """Calls fsync in a thread, so that the event loop never waits for the disk."""
         policy = self.options.fsync
         pause = SYNC_ALWAYS_S if policy == "always" else self.options.fsync_s
         while True:
@@ -104,7 +104,7 @@
             try:
                 await anyio.to_thread.run_sync(self.ledger.sync)
             except OSError as error:
-                log.error("the ledger could not be synced", why=error.strerror)
+                log.error("the usage ledger could not be synced", why=error.strerror)
                 continue
             self.ledger.mark_synced(pending)
             if pending and self.exporter is not None:
@@ -126,10 +126,10 @@
     def reload(self) -> None:
         pass
 
-    # ---- what the host tells -----------------------------------------------------------------
+    # ---- calls from the host ------------------------------------------------------------------
 
     def request_sent(self, opened: OpenRequest, standing: api.Standing) -> None:
-        """Written down before the try goes out: a fault here must never reach the request."""
+        """Records an attempt before it is sent. A fault here must never affect the request."""
         try:
             arrival = opened.arrival
             entry = Opened(
@@ -144,7 +144,7 @@
             )
             opened.usage_mark = Mark(self.ledger.record_opened(entry), entry)
         except Exception:
-            log.exception("a try could not be recorded")
+            log.exception("the start of an attempt could not be recorded")
 
     def request_settled(self, opened: OpenRequest) -> None:
         mark: Mark = opened.usage_mark
@@ -156,7 +156,7 @@
             else:
                 self.ledger.record_settled(mark.seq, mark.entry, Result.GUESSED, mark.entry.guess)
         except Exception:
-            log.exception("a try's end could not be recorded")
+            log.exception("the end of an attempt could not be recorded")
 
     def status(self) -> dict[str, object]:
         report: dict[str, object] = {"ready": self._ready, "why": self._open_error} | self.ledger.status()
@@ -171,7 +171,7 @@
 
 
 class Exporter:
-    """Carries out what ExportState decides, one batch at a time."""
+    """Exports one batch at a time, as ExportState decides."""
 
     def __init__(self, ledger: Ledger, options: Usage, sink: Sink, rng: random.Random) -> None:
         self.ledger = ledger
@@ -189,7 +189,7 @@
         self._wake.set()
 
     async def run(self, until_idle: bool = False) -> None:
-        """Export for ever, or until there is nothing left that is sealed."""
+        """Exports forever, or until no sealed segment is left."""
         while True:
             now = self.ledger.now_us()
             step = self.state.next_step(now, self.ledger.oldest_sealed() is not None)
@@ -200,8 +200,10 @@
             elif step.kind is StepKind.SEND:
                 try:
                     await self._send()
-                except OSError as error:  # the local disk: the receiver's side knows names twice seen
-                    log.error("usage is not exported", why=error.strerror)
+                except (
+                    OSError
+                ) as error:  # of the local disk; the receiver recognises a batch sent twice by its name
+                    log.error("usage is not exported: local disk fault", why=error.strerror)
                     await anyio.sleep(1.0)
             elif step.kind is StepKind.IDLE and until_idle:
                 return
@@ -215,7 +217,7 @@
         segment = self.ledger.oldest_sealed()
         assert segment is not None
         batch, data = await self._build_batch(segment)
-        if self.state.acknowledged >= batch.last:  # the receiver has it: only its answer was lost
+        if self.state.acknowledged >= batch.last:  # the receiver has it; its answer was lost
             self._complete(batch)
             return
         answer = await self.sink.put(batch, data)
@@ -231,23 +233,27 @@
         self.lines += batch.lines
 
     async def _build_batch(self, segment: Segment) -> tuple[Batch, bytes]:
-        """Made once, and again only after a restart."""
+        """Builds a segment's batch, once for all sends until a restart; returns it also compressed."""
         if self._current is None or self._current[0] is not segment:
             data = await anyio.to_thread.run_sync(segment.path.read_bytes)
             steps = batches.build_in_slices(data, segment.first, segment.next_seq, self.options.period_s)
             batch = await run_in_slices(steps, SLICE_PAUSE_S)
             if batch.head.missing:
-                log.error("the ledger lost records", batch=batch.name, missing=batch.head.missing)
+                log.error("the usage ledger has lost records", batch=batch.name, missing=batch.head.missing)
             text = await anyio.to_thread.run_sync(compress, batch.text)
             try:
                 await anyio.to_thread.run_sync(self.ledger.keep_sent, batch, text)
-            except OSError as error:  # a full disk is relieved by exporting, not by waiting
-                log.warning("an exported batch is not kept", batch=batch.name, why=error.strerror)
+            except OSError as error:  # exporting frees a full disk, waiting does not
+                log.warning(
+                    "the local copy of an exported batch could not be kept",
+                    batch=batch.name,
+                    why=error.strerror,
+                )
             self._current = (segment, batch, text)
         return self._current[1], self._current[2]
 
     def _log_state(self) -> None:
-        """At changes only: a receiver that is down for hours is said once."""
+        """Logs changes only, so that a receiver that is down for hours is logged once."""
         if self.state.last_error != self._logged_error:
             self._logged_error = self.state.last_error
             if self._logged_error:
--- a/millfront/usage/receiver.py
+++ b/millfront/usage/receiver.py
@@ -1,7 +1,6 @@
-"""A receiver of usage batches: the other side of docs/export-protocol.md, for rehearsals and first tries.
+"""A receiver of usage batches: the server side of docs/export-protocol.md, for rehearsals and trials.
 
-BatchReceiver holds what came, by name; create_server() puts it behind HTTP. Batches are kept in a folder,
-or in memory.
+BatchReceiver keeps received batches by name, in a folder or in memory; create_server() serves it over HTTP.
 """
 
 import hashlib
@@ -28,13 +27,13 @@
 
 
 class BatchReceiver:
-    """Idempotent by name: the same batch again is the same answer, another one under its name is refused."""
+    """Idempotent by name: a repeated batch gets the same answer, another one under its name is refused."""
 
     def __init__(self, folder: Path | None = None) -> None:
         self.folder = folder
         self.digests: dict[str, tuple[str, int]] = {}
         self.marks: dict[str, int] = {}
-        self.totals: dict[str, Counter[tuple[str, ...]]] = {}  # by ledger and line: units, in millionths
+        self.totals: dict[str, Counter[tuple[str, ...]]] = {}  # by ledger and line key: units, in millionths
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
             for path in sorted(folder.glob("*.jsonl.zst")):
@@ -43,14 +42,14 @@
     def put(self, name: str, digest: str, data: bytes) -> Response:
         match = NAME.fullmatch(name)
         if match is None:
-            return 400, {"error": "no batch's name"}
+            return 400, {"error": "not a batch name: expected SOURCE.LEDGER.FIRST-LAST"}
         if name in self.digests:
             known, lines = self.digests[name]
             if known != digest:
                 return 409, {"error": "another batch has this name", "digest": known}
             return 200, {"digest": known, "lines": lines, "next": self.marks[match["ledger"]]}
         if int(match["first"], 16) < self.marks.get(match["ledger"], 0):
-            return 409, {"error": "a part of it is here under another name"}
+            return 409, {"error": "part of its range was received under another name"}
         try:
             text = decompress(data)
             head, lines_of = parse_batch(text)
@@ -58,7 +57,7 @@
             return 400, {"error": f"can't be read: {error}"}
 
         if hashlib.sha256(text).hexdigest() != digest or head.lines != len(lines_of) or head.batch != name:
-            return 400, {"error": "not what its digest, its name or its head say"}
+            return 400, {"error": "does not match its digest, its name or its head line"}
         if self.folder is not None:
             write_atomically(self.folder / f"{name}.jsonl.zst", compress(text))
         self._add(name, text)
@@ -77,11 +76,11 @@
 
     def mark(self, ledger: str) -> Response:
         if ledger not in self.marks:
-            return 404, {"error": "nothing of it yet"}
+            return 404, {"error": "nothing received of this ledger yet"}
         return 200, {"next": self.marks[ledger]}
 
     def tally(self, ledger: str) -> list[dict[str, Any]]:
-        """Its own account of a ledger, line by line."""
+        """The receiver's account of a ledger, line by line."""
         names = ("period", "customer", "plan", "plan_version", "class", "standing", "figure", "gatekeeper")
         return [
             dict(zip(names, key, strict=True)) | {"units": units / 1e6}
@@ -96,7 +95,7 @@
 
 
 class PrintingReceiver(BatchReceiver):
-    """Says what comes, for people who try it."""
+    """Prints the lines of each new batch."""
 
     def __init__(self, echo: Callable[[str], None], folder: Path | None = None) -> None:
         super().__init__(folder)
@@ -117,11 +116,11 @@
 def create_server(
     receiving: BatchReceiver, host: str, port: int, fault: FaultInjector | None = None
 ) -> ThreadingHTTPServer:
-    """An HTTP server that answers for it.
+    """Creates an HTTP server in front of a receiver.
 
-    :param fault: by call: "before" answers 500 and takes nothing, "after" takes it and breaks the connection,
-        "error" takes it and answers 500, "half" takes it and acknowledges half of the lines, "busy" says
-        503 with Retry-After
+    :param fault: names the fault of each call: "before" answers 500 and ignores the batch, "after" takes it
+        and closes the connection, "error" takes it and answers 500, "half" takes it and acknowledges half of
+        the lines, "busy" answers 503 with Retry-After
     """
     lock = threading.Lock()
 
@@ -176,6 +175,6 @@
         daemon_threads = True
 
         def handle_error(self, request: object, client_address: object) -> None:
-            """A caller that breaks off is its own matter."""
+            """Ignores callers that disconnect early."""
 
     return Server((host, port), Handler)
--- a/millfront/usage/records.py
+++ b/millfront/usage/records.py
@@ -1,8 +1,8 @@
-"""The ledger's records and how they lie in a file. No I/O.
+"""The ledger's records and their file format. No I/O.
 
-A segment is a run of frames: `\\xa7u`, kind, length, sequence number, CRC-32 (zlib) of all that beside
-itself, payload (MessagePack). The first frame is the head. Sequence numbers go up by one from frame to
-frame, over all segments of a ledger, so that what is missing can be named.
+A segment is a sequence of frames: `\\xa7u`, kind, length, sequence number, CRC-32 (zlib) over kind, length,
+sequence number and payload, payload (MessagePack). The first frame is the head. Sequence numbers go up by one
+from frame to frame, over all segments of a ledger, so that missing records can be identified.
 """
 
 import struct
@@ -20,24 +20,24 @@
 MAGIC = b"\xa7u"
 FRAME = struct.Struct("<2sBHQI")
 MAX_PAYLOAD_BYTES = 0xFFFF
-# In a head's frame: its length stands in the payload's first four bytes, as it may be long
+# In a head's frame, whose real length may not fit: the payload's first four bytes hold it
 HEAD_LENGTH_MARKER = 0
 
 
 class Kind(IntEnum):
     HEAD = 0
-    OPENED = 1  # a try is about to go out
-    SETTLED = 2  # nothing of it is out any more
-    GAP = 3  # tries that could not be recorded
+    OPENED = 1  # an attempt is about to be sent
+    SETTLED = 2  # the attempt has ended
+    GAP = 3  # attempts that could not be recorded
 
 
 class Result(IntEnum):
-    """What a settled try costs its customer."""
+    """How the units that a settled attempt costs its customer were determined."""
 
-    TOLD = 0  # a good answer told the true units
-    GUESSED = 1  # it may have run and no answer told: the guess, as the quota took it
-    NEVER = 2  # it certainly never ran: nothing
-    ABANDONED = 3  # the gatekeeper died with it out: the guess
+    TOLD = 0  # a successful answer reported the true units
+    GUESSED = 1  # it may have run, but no answer reported units: the guess, as charged to the quota
+    NEVER = 2  # it certainly never ran: no units
+    ABANDONED = 3  # the gatekeeper died while it was open: the guess
 
 
 STANDINGS = {Standing.INSIDE: 0, Standing.RESERVED: 1, Standing.BEYOND: 2}
@@ -46,7 +46,7 @@
 
 
 class Opened(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A try as it goes out: times in µs of Unix time, units as guessed on arrival."""
+    """An attempt when it is sent: time in µs of Unix time, units as guessed on the request's arrival."""
 
     at_us: int
     request: str
@@ -59,12 +59,12 @@
 
 
 class Settled(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Holds the whole try again: a segment is read without the ones before it."""
+    """Repeats the whole attempt, so that a segment can be read without earlier ones."""
 
-    opened_seq: int  # the sequence number of its OPENED
+    opened_seq: int  # sequence number of the attempt's OPENED record
     at_us: int
     result: int
-    units: float  # what is billed
+    units: float  # to bill
     attempt: Opened
 
 
@@ -76,11 +76,11 @@
 
 class Head(msgspec.Struct, array_like=True, frozen=True):
     format: int
-    ledger: str  # drawn when the ledger was made: another disk under the same name is another ledger
+    ledger: str  # random id drawn at creation, so another disk under the same source name is another ledger
     source: str
     created_us: int
-    chain: str  # digest of the segment before, as far as it is sound; empty at the first
-    open: list[tuple[int, Opened]]  # tries out when the segment was begun
+    chain: str  # digest of the valid part of the previous segment; empty in the first one
+    open: list[tuple[int, Opened]]  # attempts open when the segment was started
 
 
 Payload = Opened | Settled | Gap | Head
@@ -99,25 +99,25 @@
     if kind is Kind.HEAD:
         payload, length = struct.pack("<I", length) + payload, HEAD_LENGTH_MARKER
     elif length > MAX_PAYLOAD_BYTES:
-        raise ValueError(f"a record of {length} bytes")
+        raise ValueError(f"record of {length} bytes is longer than a frame holds")
     crc = zlib.crc32(payload, zlib.crc32(struct.pack("<BHQ", kind, length, seq)))
     return FRAME.pack(MAGIC, kind, length, seq, crc) + payload
 
 
 @dataclass(slots=True)
 class Scan:
-    """What reading a segment found beside its records."""
+    """What reading a segment found besides its records."""
 
-    end: int = 0  # after the last sound frame
+    end: int = 0  # offset after the last valid frame
     next_seq: int = 0
-    missing: list[tuple[int, int]] = field(default_factory=list)  # first and last sequence numbers, damaged
-    torn_bytes: int = 0  # behind the last sound frame: a write that was cut
+    missing: list[tuple[int, int]] = field(default_factory=list)  # ranges (first, last) of damaged records
+    torn_bytes: int = 0  # after the last valid frame: an incomplete write
 
 
 def read_records(data: bytes, scan: Scan) -> Iterator[tuple[int, int, Payload]]:
-    """The sound records of a segment, as (kind, sequence number, record).
+    """Yields the valid records of a segment as (kind, sequence number, record).
 
-    Damage in the middle is stepped over to the next sound frame; what lies behind the last one is torn.
+    Skips damage in the middle up to the next valid frame; bytes after the last one count as torn.
     """
     at, first = 0, True
     while at < len(data):
@@ -140,7 +140,7 @@
 
 
 def _frame_at(data: bytes, at: int) -> tuple[int, int, Payload, int] | None:
-    """A sound frame there, or none."""
+    """The valid frame at that offset as (kind, sequence number, record, size in bytes), or None."""
     if len(data) - at < FRAME.size:
         return None
     magic, kind, length, seq, crc = FRAME.unpack_from(data, at)
--- a/millfront/usage/sending.py
+++ b/millfront/usage/sending.py
@@ -1,9 +1,9 @@
-"""What to send next, and when; what is acknowledged. Decisions without I/O.
+"""Decides what to export next and when, and tracks what is acknowledged. No I/O.
 
-One batch at a time, the oldest first. A batch counts as received when the receiver says so with its digest
-and its number of lines, or when its high-water mark lies behind it. After anything else (no answer, an
-error, half a batch) nobody knows: the mark is read before the batch is sent again. Names and digests make a
-second arrival harmless.
+One batch at a time, oldest first. A batch counts as received when the receiver confirms it with its digest
+and number of lines, or when the receiver's high-water mark is past it. After anything else (no answer, an
+error, half a batch) the outcome is unknown: the mark is read before the batch is sent again. Names and
+digests make a second delivery harmless.
 """
 
 import random
@@ -11,7 +11,7 @@
 from enum import Enum
 
 SECOND_US = 1_000_000
-MAX_RETRY_AFTER_S = 3600.0  # a Retry-After beyond it is taken for a mistake
+MAX_RETRY_AFTER_S = 3600.0  # a longer Retry-After is taken for a mistake
 
 
 class StepKind(Enum):
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingBatch:
-    """The oldest batch that is not acknowledged."""
+    """The oldest unacknowledged batch."""
 
     name: str
     last: int
@@ -39,30 +39,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came back for a batch, or for a question after the mark (`next_seq`)."""
+    """The answer to a batch, or to a request for the mark (`next_seq`)."""
 
-    status: int  # 0: nothing that could be read
+    status: int  # 0: no readable answer
     digest: str = ""
     lines: int = -1
     next_seq: int = -1
     retry_after_s: float = 0.0
-    why: str = ""  # where there was no answer
+    why: str = ""  # if there was no answer
 
 
 class ExportState:
-    """The state of one export. Times in µs."""
+    """The state of one ledger's export. Times in µs."""
 
     def __init__(self, first_wait_s: float, max_wait_s: float, rng: random.Random) -> None:
         self.first_wait_s = first_wait_s
         self.max_wait_s = max_wait_s
         self.rng = rng
-        self.acknowledged = -1  # the last sequence number that the receiver has
+        self.acknowledged = -1  # last sequence number that the receiver has
         self.mark_known = False
         self.failures = 0
         self.paused_until = 0
-        self.last_error = ""  # what the receiver's last word was, if it was no good one
-        self.partial_answers = 0  # times that it acknowledged less than was sent
-        self.conflicts = 0  # times that it held another batch under the same name
+        self.last_error = ""  # empty after a success
+        self.partial_answers = 0  # count of answers that acknowledged less than was sent
+        self.conflicts = 0  # count of answers that another batch has the same name
 
     def next_step(self, now: int, has_batch: bool) -> Step:
         if now < self.paused_until:
@@ -72,15 +72,15 @@
         return Step(StepKind.SEND if self.mark_known else StepKind.ASK_MARK)
 
     def handle_mark(self, now: int, answer: Answer) -> None:
-        """The answer to the question after the mark; 404 says that the source is not known yet."""
+        """Handles the answer to a request for the mark; 404: the receiver has nothing of the ledger yet."""
         if answer.status == 404 or (answer.status == 200 and answer.next_seq >= 0):
             self.mark_known = True
             self.acknowledged = max(self.acknowledged, answer.next_seq - 1)
             return
-        self._back_off(now, answer, f"the mark: {_describe(answer)}")
+        self._back_off(now, answer, f"reading the mark: {_describe(answer)}")
 
     def handle_answer(self, now: int, pending: PendingBatch, answer: Answer) -> bool:
-        """The answer to a batch; True if it is received."""
+        """Handles the answer to a batch; returns True if the batch was received."""
         success = answer.status in (200, 201)
         if success and answer.digest == pending.digest and answer.lines == pending.lines:
             self.acknowledged = max(self.acknowledged, pending.last)
@@ -98,7 +98,7 @@
         return False
 
     def _back_off(self, now: int, answer: Answer, why: str) -> None:
-        """Capped exponential backoff with full jitter, or what the receiver asks for, whichever is longer."""
+        """Waits for capped exponential backoff with full jitter or Retry-After, whichever is longer."""
         self.mark_known = False
         self.last_error = why
         max_s = min(self.max_wait_s, self.first_wait_s * 2 ** min(self.failures, 30))
@@ -112,5 +112,5 @@
 
 
 def compactable(segments: list[tuple[int, int]], acknowledged: int) -> list[tuple[int, int]]:
-    """Of sealed segments, as (first, last), those that the receiver has whole."""
+    """Of sealed segments, given as (first, last), those that the receiver has completely."""
     return [segment for segment in segments if segment[1] <= acknowledged]
--- a/millfront/usage/sinks.py
+++ b/millfront/usage/sinks.py
@@ -1,6 +1,6 @@
-"""Where batches go: a receiver over HTTP (docs/export-protocol.md), or a spool folder. Thin I/O.
+"""Export targets: a receiver over HTTP (docs/export-protocol.md), or a spool folder.
 
-Both answer the same two questions: which sequence number is wanted next of a ledger, and what came of a
+Both implement two calls: mark() returns the sequence number expected next of a ledger, put() delivers a
 batch.
 """
 
@@ -35,7 +35,7 @@
 
 
 def decompress(data: bytes) -> bytes:
-    """:raises zstandard.ZstdError: it is not packed, or is longer than any batch is"""
+    """:raises zstandard.ZstdError: not zstd data, or longer than MAX_BATCH_BYTES when decompressed"""
     return zstandard.ZstdDecompressor().decompress(data, max_output_size=MAX_BATCH_BYTES)
 
 
@@ -46,7 +46,7 @@
 
 
 class HttpSink:
-    """One connection, kept while it serves; a batch is one PUT."""
+    """Sends each batch as one PUT over a connection that is kept open."""
 
     def __init__(self, options: document.Receiver) -> None:
         self.options = options
@@ -68,14 +68,14 @@
     async def _call(
         self, method: bytes, target: str, body: bytes, fields: list[tuple[bytes, bytes]]
     ) -> Answer:
-        """Whatever happens is an answer; after no answer the connection is not used again."""
+        """Returns an Answer whatever happens; without an answer the connection is not used again."""
         response, why = None, ""
         with anyio.move_on_after(self.options.timeout_s):
             try:
                 response = await self._exchange(method, target, body, fields)
             except ExchangeError as error:
                 why = str(error)
-            except BaseException:  # given up in the middle: its answer must not be taken for the next one's
+            except BaseException:  # cancelled half-way: the answer must not be taken for the next call's
                 await self.close()
                 raise
         if response is None:
@@ -106,7 +106,7 @@
 
 
 def parse_answer(response: Message) -> Answer:
-    """A receiver's answer; what can't be read in it counts as not said."""
+    """Parses a receiver's answer; unreadable parts count as absent."""
     assert isinstance(response.start, int)
     try:
         content: Any = json.loads(response.body)
@@ -124,7 +124,7 @@
 
 
 def _seconds(text: bytes) -> float:
-    """Retry-After (RFC 9110, 10.2.3): seconds, or a date."""
+    """Parses Retry-After (RFC 9110, 10.2.3), given as seconds or a date."""
     if text.isdigit():
         return float(text)
     try:
@@ -135,20 +135,20 @@
 
 
 class SpoolEntry(msgspec.Struct, frozen=True):
-    """A line of the manifest."""
+    """A line of the spool folder's manifest."""
 
     batch: str
     digest: str
     lines: int
     next: int
-    chain: str  # SHA-256 over the chain before, the name and the digest
+    chain: str  # SHA-256 over the previous chain, the name and the digest
 
 
 class SpoolSink:
-    """A folder that somebody else empties: each batch a file, put there whole, and a line in
+    """A folder that another program empties: each batch is a file, written atomically, and a line in
     `manifest.jsonl`.
 
-    The manifest is the mark: a file without its line is written again and is the same.
+    The manifest holds the mark: a file without its line is written again with the same content.
     """
 
     def __init__(self, folder: str | os.PathLike[str]) -> None:
@@ -164,7 +164,7 @@
         pass
 
     def entries(self) -> list[SpoolEntry]:
-        """The manifest's sound lines; a torn last one is cut off."""
+        """The manifest's valid lines; an incomplete last one is cut off."""
         path = self.folder / "manifest.jsonl"
         try:
             data = path.read_bytes()
