--- a/millfront/operators/__init__.py
+++ b/millfront/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators set: their file, its checks, and the parts that it switches on."""
+"""The operators' own configuration file, its validation, and the parts that it enables."""
--- a/millfront/operators/admin.py
+++ b/millfront/operators/admin.py
@@ -1,7 +1,8 @@
 """The admin API: HTTP/1.1 on a Unix socket or a loopback address, for the operators' own tools.
 
-`GET /v1/status` tells what each part has to say. Other parts add their routes. It serves few callers at a
-time, and none of them can hold up the gatekeeper's own work for longer than one answer takes to be made.
+`GET /v1/status` reports the status of each part; parts can add routes of their own. Only a few callers are
+served at a time, and a caller delays the gatekeeper's own work by at most the time it takes to build one
+answer.
 """
 
 import json
@@ -28,8 +29,8 @@
 log = Log(__name__)
 
 MAX_CALLERS = 4
-MAX_BODY_BYTES = 32 * 1024 * 1024  # a book of some 300,000 assignments
-CALL_TIMEOUT_S = 20.0  # a call that is not whole by then is cut
+MAX_BODY_BYTES = 32 * 1024 * 1024  # enough for a plan book of about 300,000 assignments
+CALL_TIMEOUT_S = 20.0  # for all calls of a connection; then it is closed
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +114,7 @@
     async def _read_call(self, connection: HttpConnection) -> Message:
         head = await connection.next_event()
         if not isinstance(head, h11.Request):
-            raise ExchangeError(Ending.MALFORMED, "no request")
+            raise ExchangeError(Ending.MALFORMED, "expected a request head")
         if connection.h11.they_are_waiting_for_100_continue:
             await connection.write(h11.InformationalResponse(status_code=100, headers=[]))
         parts: list[bytes] = []
@@ -122,9 +123,11 @@
             size += len(event.data)
             if size > MAX_BODY_BYTES:
                 await self._respond(
-                    connection, Message((b"", b""), [], [], b""), json_reply(413, {"error": "too long"})
+                    connection,
+                    Message((b"", b""), [], [], b""),
+                    json_reply(413, {"error": "request body too long"}),
                 )
-                raise ExchangeError(Ending.MALFORMED, "too long")
+                raise ExchangeError(Ending.MALFORMED, "request body too long")
             parts.append(bytes(event.data))
         start = (head.method, head.target.partition(b"?")[0])
         return Message(start, list(head.headers), head.headers.raw_items(), b"".join(parts))
@@ -142,12 +145,12 @@
         if methods is None:
             return json_reply(404, {"error": "no such resource"})
         if method not in methods:
-            return json_reply(405, {"error": "not allowed"}, [(b"Allow", b", ".join(sorted(methods)))])
+            return json_reply(405, {"error": "method not allowed"}, [(b"Allow", b", ".join(sorted(methods)))])
         try:
             return await methods[method](call)
         except Exception:
             log.exception("an admin call failed")
-            return json_reply(500, {"error": "it failed; the log says why"})
+            return json_reply(500, {"error": "internal error, see the gatekeeper's log"})
 
     async def _status(self, call: Message) -> Reply:
         report: dict[str, object] = {"name": self.node.config.name, "open": len(self.node.host.open_requests)}
@@ -155,10 +158,10 @@
 
 
 def _remove_stale(path: str) -> None:
-    """A socket that a killed gatekeeper left gives way; one that is served, or another file, does not."""
+    """Removes a socket left by a killed gatekeeper; refuses if it is in use or another kind of file."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
-            raise ConfigError(f"admin.listen: {path} is there and is no socket")
+            raise ConfigError(f"admin.listen: {path} exists and is not a socket")
     except FileNotFoundError:
         return
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
@@ -167,4 +170,4 @@
         except OSError:
             os.unlink(path)
             return
-    raise ConfigError(f"admin.listen: {path} is served by another process")
+    raise ConfigError(f"admin.listen: {path} is in use by another process")
--- a/millfront/operators/document.py
+++ b/millfront/operators/document.py
@@ -1,6 +1,6 @@
-"""The operators' file: JSON, typed here, its schema made from these types (`millfront schema operators`).
+"""The operators' file: JSON, with the types of this module; `millfront schema operators` prints its schema.
 
-All of it is off where it is absent. Nothing in it reaches the platform's own settings.
+Absent sections are off. Nothing in it affects the platform's own settings.
 """
 
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 class Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """A part of a document of ours: an unknown field is a fault."""
+    """Base of the documents' types: unknown fields are faults."""
 
 
 class Logs(Strict, frozen=True):
@@ -35,7 +35,7 @@
     def __post_init__(self) -> None:
         if self.listen.startswith("unix:"):
             if not self.listen.removeprefix("unix:").startswith("/"):
-                raise ValueError("listen: unix: wants an absolute path")
+                raise ValueError("listen: unix: requires an absolute path")
             return
         host, _, port = self.listen.rpartition(":")
         if not (host.startswith("127.") or host in ("[::1]", "localhost")) or not port.isdigit():
@@ -45,29 +45,29 @@
 class Http2(Strict, frozen=True):
     """HTTP/2 without TLS to clients."""
 
-    listen: PathText | None = None  # HOST:PORT of a listener of its own
-    shared: bool = False  # also on the gatekeeper's own port, told by the preface
-    streams: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 100  # open at once on a connection
+    listen: PathText | None = None  # HOST:PORT of a separate listener
+    shared: bool = False  # also on the gatekeeper's own port, detected by the connection preface
+    streams: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 100  # limit of open streams per connection
     connections: Annotated[int, msgspec.Meta(ge=1)] = (
-        64  # on the listener; taken from the clients' descriptors
+        64  # limit on the listener; they use the clients' share of descriptors
     )
 
-    members: bool = False  # pool members are asked over it, with prior knowledge
-    member_streams: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 32  # open at once on a connection
-    member_connections: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 4  # to a member
+    members: bool = False  # also to pool members, with prior knowledge
+    member_streams: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 32  # limit of open streams per connection
+    member_connections: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 4  # limit per member
 
     def __post_init__(self) -> None:
         if self.listen is None and not self.shared and not self.members:
-            raise ValueError("one of listen, shared and members is wanted")
+            raise ValueError("at least one of listen, shared and members is required")
 
 
 class Plans(Strict, frozen=True):
     """Live plans from a book on the local disk."""
 
     file: PathText
-    fleet_units_per_s: Positive  # what the operators say all pool members together can do
-    most_reserved_share: Share = 0.25  # of it: a book that reserves more is refused
-    look_s: Annotated[float, msgspec.Meta(gt=0, le=0.5)] = 0.25  # between two looks at the file
+    fleet_units_per_s: Positive  # stated capacity of all pool members together
+    most_reserved_share: Share = 0.25  # of that capacity: a book that reserves more is rejected
+    look_s: Annotated[float, msgspec.Meta(gt=0, le=0.5)] = 0.25  # between checks of the file
 
 
 class Receiver(Strict, frozen=True):
@@ -76,7 +76,7 @@
     address: PathText  # HOST:PORT
     path: PathText = "/v1"
     timeout_s: Seconds = 10.0
-    first_wait_s: Seconds = 0.5  # after a failure; doubles
+    first_wait_s: Seconds = 0.5  # after a failure; doubles with each further one
     most_wait_s: Seconds = 60.0
 
 
@@ -86,7 +86,7 @@
 
     def __post_init__(self) -> None:
         if (self.receiver is None) == (self.spool is None):
-            raise ValueError("one of receiver and spool is wanted")
+            raise ValueError("exactly one of receiver and spool is required")
 
 
 class Usage(Strict, frozen=True):
@@ -95,15 +95,15 @@
     folder: PathText
     period_s: Annotated[int, msgspec.Meta(ge=1, le=86_400)] = 60
     segment_bytes: Bytes = 4 * 1024 * 1024
-    segment_s: Seconds = 10.0  # a segment is sealed, and may be exported, at this age at the latest
+    segment_s: Seconds = 10.0  # age at which a segment is sealed, and may be exported, at the latest
     fsync: Literal["never", "interval", "always"] = "interval"
-    fsync_s: Seconds = 1.0  # what a loss of power may take with `interval`
-    most_bytes: Bytes = 256 * 1024 * 1024  # of the ledger; beyond it nothing more is recorded, and counted
+    fsync_s: Seconds = 1.0  # with `interval`, what a power failure may lose
+    most_bytes: Bytes = 256 * 1024 * 1024  # of the ledger; beyond it usage is only counted, not recorded
     export: Export | None = None
 
     def __post_init__(self) -> None:
         if self.most_bytes < 2 * self.segment_bytes:
-            raise ValueError("most_bytes: holds no two segments")
+            raise ValueError("most_bytes: must be at least twice segment_bytes")
 
 
 class Agreement(Strict, frozen=True):
@@ -111,11 +111,11 @@
 
     docs/agreement.md says what each field does."""
 
-    period_s: Annotated[float, msgspec.Meta(ge=0.1, le=60)] = 1.0  # of a bucket: 4 counter calls each
+    period_s: Annotated[float, msgspec.Meta(ge=0.1, le=60)] = 1.0  # of a bucket; takes 4 counter calls
     most_unsure_s: Annotated[float, msgspec.Meta(gt=0, le=3_600)] = 10.0  # the longest an interim lasts
     expected: Annotated[int, msgspec.Meta(ge=1, le=100_000)] | None = None  # gatekeepers; else PeersTotal
     prefix: Annotated[str, msgspec.Meta(min_length=1, max_length=12, pattern=r"^[A-Za-z0-9_.-]+$")] = "agree"
-    # Rehearsals alone: this gatekeeper's clock set off by so much.
+    # For rehearsals only: shifts this gatekeeper's clock.
     clock_offset_ms: Annotated[float, msgspec.Meta(ge=-60_000, le=60_000)] = 0.0
 
 
@@ -140,7 +140,7 @@
 
 
 def load(path: str) -> Operators:
-    """:raises ConfigError: a file that can't be read or used; the text names every fault"""
+    """:raises ConfigError: the file can't be read or is invalid; the text lists every fault"""
     try:
         return parse(Path(path).read_bytes())
     except OSError as error:
--- a/millfront/operators/faults.py
+++ b/millfront/operators/faults.py
@@ -1,4 +1,4 @@
-"""Every fault of a JSON document, each by its path: a decoder stops at the first one.
+"""Finds every fault of a JSON document, with its path; msgspec's decoder stops at the first one.
 
 Paths are written as `$.usage.export.receiver`, `$.assignments[3].plan`.
 """
@@ -23,7 +23,7 @@
 
 
 class InvalidDocument(Exception):
-    """A document with faults; the text names each of them."""
+    """A document with faults; the text lists all of them."""
 
     def __init__(self, what: str, faults: list[Fault]) -> None:
         super().__init__("; ".join([f"{what}: {fault}" for fault in faults]))
@@ -31,9 +31,9 @@
 
 
 def find_faults(kind: Any, value: object, path: str = "$") -> list[Fault]:
-    """What keeps a decoded JSON value from being of that type; nothing means that it is of it.
+    """Faults that keep a decoded JSON value from being of a type; an empty list means that it is valid.
 
-    :param kind: a msgspec Struct, or a type that may stand in one
+    :param kind: a msgspec Struct, or any type allowed as a field of one
     """
     return list(_walk(kind, value, path))
 
@@ -79,7 +79,7 @@
         elif field.required:
             found = True
             yield Fault(f"{path}.{name}", "is missing")
-    if not found:  # what the fields say together is checked once each is well by itself
+    if not found:  # __post_init__ checks need fields that are valid by themselves
         yield from _check_value(kind, value, path)
 
 
--- a/millfront/operators/files.py
+++ b/millfront/operators/files.py
@@ -1,15 +1,15 @@
-"""Files that are there whole or not at all, also over a loss of power."""
+"""Writes files atomically and durably: after a power failure a file is complete or absent."""
 
 import os
 from pathlib import Path
 
 
 def write_atomically(path: Path, data: bytes, mode: int = 0o600) -> None:
-    """Written and synced aside, renamed, the folder synced.
+    """Writes and syncs a temporary file, renames it to `path`, and syncs the folder.
 
-    What a crash leaves beside the old file or the new one ends in `.new`.
+    A crash leaves the old or the new file, and possibly the temporary one, whose name ends in `.new`.
 
-    :raises OSError: the disk did not take it; the file is as it was
+    :raises OSError: the disk refused the write; the file is unchanged
     """
     temporary = path.with_name(path.name + ".new")
     try:
@@ -26,7 +26,7 @@
 
 
 def fsync_path(path: Path) -> None:
-    """Make a file or a folder lasting."""
+    """Makes a file or a folder durable with fsync."""
     fd = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     try:
         os.fsync(fd)
--- a/millfront/operators/parts.py
+++ b/millfront/operators/parts.py
@@ -1,11 +1,11 @@
-"""From the operators' file to the parts of a node: what is not named there is not imported."""
+"""Adds the parts that the operators' file enables to a node; modules of other parts are not imported."""
 
 from millfront.node.service import Node
 from millfront.operators.document import Operators
 
 
 def add_parts(node: Node, options: Operators) -> None:
-    """In the order of their start: the ledger before what serves, the admin API last."""
+    """Adds parts in their start order: the ledger before whatever serves requests, the admin API last."""
     admin = None
     if options.admin is not None:
         from millfront.operators.admin import Admin
--- a/millfront/operators/slices.py
+++ b/millfront/operators/slices.py
@@ -1,6 +1,6 @@
-"""Work in slices: a generator that yields None between them and its result last.
+"""Long work in slices: a generator that yields None between slices and its result last.
 
-Guards the loop against one long piece of work: a gatekeeper that stops for 50 ms is late for all its clients.
+Keeps long work from blocking the event loop: a gatekeeper that stops for 50 ms is late for all its clients.
 """
 
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 
 
 def run_to_end(steps: Iterator[T | None]) -> T:
-    """To its end without pauses."""
+    """Runs all slices without pauses and returns the result."""
     last: T | None = None
     for step in steps:
         last = step
@@ -21,7 +21,7 @@
 
 
 async def run_in_slices(steps: Iterator[T | None], pause_s: float) -> T:
-    """With a pause after each slice, in which the loop goes on with other work."""
+    """Runs the slices with a pause after each, so that the event loop does other work; returns the result."""
     last: T | None = None
     for last in steps:
         if last is None:
--- a/millfront/plans/book.py
+++ b/millfront/plans/book.py
@@ -88,7 +88,7 @@
 
     def __post_init__(self) -> None:
         if (self.rate is None) == (self.units is None):
-            raise ValueError("one of rate and units is wanted")
+            raise ValueError("exactly one of rate and units is required")
         _check_order(self.from_, self.until)
 
     @property
@@ -128,7 +128,7 @@
 
 def _check_order(start: datetime.datetime | None, end: datetime.datetime | None) -> None:
     if start is not None and end is not None and end <= start:
-        raise ValueError("until: is not after from")
+        raise ValueError("until: must be after from")
 
 
 def to_micros(at: datetime.datetime | None, default: int) -> int:
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -51,14 +51,14 @@
         ({"assignments": [{"customer": ONE, "plan": "casual", "from": "2026-12-01T00:00:00"}]}, "timezone"),
         (
             {"assignments": [{"customer": ONE, "plan": "casual", "from": instant(9), "until": instant(9)}]},
-            "$.assignments[0]: until: is not after from",
+            "$.assignments[0]: until: must be after from",
         ),
         ({"plans": [{"name": "a", "rate": 1, "burst": 0}]}, "$.plans[0]: burst"),
         ({"plans": [{"name": "a", "rate": -1, "burst": 1}]}, "$.plans[0].rate: "),
         ({"plans": [{"name": "a", "rate": 1, "burst": 1}] * 2}, "$.plans[1]: plan 'a' is defined twice"),
         (
             {"reservations": [{"name": "r", "customer": ONE, "from": instant(1), "until": instant(9)}]},
-            "$.reservations[0]: one of rate and units is wanted",
+            "$.reservations[0]: exactly one of rate and units is required",
         ),
     ],
 )
