--- a/tests/test_live_plans.py
+++ b/tests/test_live_plans.py
@@ -1,4 +1,4 @@
-"""Live plans on sockets: what clients see when the book changes, is torn, or is put through the API."""
+"""Live plans over sockets: what clients see when the book changes, is damaged, or is put through the API."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 
 
 def put(file: Path, version: int, plan: str | None, **more: object) -> None:
-    """Replaced as other tools do: written aside and renamed."""
+    """Replaces the book as other tools do: writes a temporary file and renames it."""
     entries = [{"customer": CUSTOMER, "plan": plan}] if plan else []
     aside = file.with_suffix(".new")
     aside.write_text(json.dumps({"version": version, "assignments": entries} | more))
@@ -35,7 +35,7 @@
 
 
 async def served_within(on: RunningNode, seconds: float, wanted: int, **fields: str) -> float:
-    """Ask until the answer is the wanted one; the time it took."""
+    """Sends requests until the wanted status comes; returns the time it took, in s."""
     began = time.monotonic()
     while status(await on.ask(request(**fields))) != wanted:
         assert time.monotonic() - began < seconds
@@ -47,7 +47,7 @@
     return next(p for p in on.node.parts._parts if isinstance(p, LivePlans))
 
 
-async def test_a_replaced_book_holds_for_clients_within_a_second_and_wins_over_the_request(
+async def test_a_replaced_book_applies_within_a_second_and_overrides_the_request(
     tmp_path: Path,
 ) -> None:
     async with running_node(Peer(), operators=operators(tmp_path)) as on:
@@ -55,9 +55,9 @@
         assert status(await on.ask(request(Plan="gold"))) == 400  # no such plan
         put(tmp_path / "book.json", 1, "spent")
         await served_within(on, 1.0, 503, Plan="casual")
-        assert status(await on.ask(request(Plan="gold"))) == 503  # the book wins
+        assert status(await on.ask(request(Plan="gold"))) == 503  # the book overrides the request
         put(tmp_path / "book.json", 2, None)
-        # silent again: as the request says; nothing was handed out, the store fills at the plan's rate
+        # no entry any more: the request decides; its bucket starts empty and fills at the plan's rate
         await served_within(on, 1.5, 200, Plan="casual")
 
 
@@ -65,7 +65,7 @@
     "bad",
     ['{"version": 2, "assignm', '{"version": 2, "assignments": [{"customer": "x", "plan": "casual"}]}', "{}"],
 )
-async def test_a_torn_or_unsound_book_changes_nothing_and_a_start_takes_the_last_sound_one(
+async def test_a_damaged_or_invalid_book_changes_nothing_and_a_start_takes_the_last_valid_one(
     tmp_path: Path, bad: str
 ) -> None:
     book = tmp_path / "book.json"
@@ -77,7 +77,7 @@
             while not part(on).refused:
                 await anyio.sleep(0.01)
         assert status(await on.ask(request())) == 503 and part(on).status()["version"] == 1
-        put(book, 1, "casual")  # sound, and its version does not go up
+        put(book, 1, "casual")  # valid, but its version does not go up
         with anyio.fail_after(TEST_TIMEOUT_S):
             while "does not go up" not in str(part(on).refused):
                 await anyio.sleep(0.01)
@@ -86,7 +86,7 @@
         assert status(await on.ask(request())) == 503
 
 
-async def test_a_change_ahead_holds_from_its_instant_and_one_heard_of_late_at_once(
+async def test_a_scheduled_change_applies_at_its_instant_and_a_late_one_at_once(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     book = tmp_path / "book.json"
@@ -122,10 +122,10 @@
 
     async with running_node(Peer(), operators=operators(tmp_path, admin={"listen": socket})) as on:
         run = anyio.to_thread.run_sync
-        assert (await run(plans, "show"))[0] == 1  # none yet
+        assert (await run(plans, "show"))[0] == 1  # no book yet
         code, said = await run(plans, "assign", CUSTOMER, "spent")
         assert code == 0 and "version 1" in said
-        assert status(await on.ask(request())) == 503  # in force once the call has ended
+        assert status(await on.ask(request())) == 503  # in force when the call returns
         mine, theirs = tmp_path / "mine.json", tmp_path / "theirs.json"
         for file in (mine, theirs):
             put(file, 2, "casual")
@@ -157,7 +157,9 @@
         (b"GET /v1/other HTTP/1.1\r\nHost: a\r\n\r\n", 404),
     ],
 )
-async def test_the_api_says_what_is_wrong(tmp_path: Path, call: bytes, answers: int) -> None:
+async def test_the_api_answers_faulty_calls_with_their_status(
+    tmp_path: Path, call: bytes, answers: int
+) -> None:
     listen = f"{tmp_path}/admin.sock"
     told = operators(tmp_path, admin={"listen": f"unix:{listen}"})
     async with running_node(Peer(), operators=told), await anyio.connect_unix(listen) as stream:
@@ -166,9 +168,9 @@
             assert status(await stream.receive()) == answers
 
 
-async def test_reserved_units_let_a_customer_go_on_far_over_its_plan(tmp_path: Path) -> None:
+async def test_reserved_units_serve_a_customer_far_over_its_plan(tmp_path: Path) -> None:
     class Adding(CounterPeer):
-        """A counter that counts."""
+        """A counter that adds up amounts by name."""
 
         totals: dict[bytes, float]
 
@@ -178,12 +180,12 @@
                 self.totals[name] = self.totals.get(name, 0.0) + float(amount)
                 await stream.send(b"ok %.7g\r\n" % self.totals[name])
 
-    desk = Adding()
-    desk.totals = {}
+    counter = Adding()
+    counter.totals = {}
     span = {"from": "2026-01-01T00:00:00Z", "until": "2036-01-01T00:00:00Z"}
     reserved = {"name": "launch", "customer": CUSTOMER, "units": 20.0} | span
     put(tmp_path / "book.json", 1, "spent", reservations=[reserved])
-    async with running_node(Peer(), counter=desk, operators=operators(tmp_path)) as on:
+    async with running_node(Peer(), counter=counter, operators=operators(tmp_path)) as on:
         answers: list[int] = []
         with anyio.fail_after(TEST_TIMEOUT_S):
             while answers.count(200) < 10:
@@ -191,4 +193,4 @@
                 await anyio.sleep(0.01)
         for _ in range(20):
             answers.append(status(await on.ask(request())))
-    assert answers.count(200) == 10  # 20 units in requests of 2: all of them, and not one more
+    assert answers.count(200) == 10  # 20 units in requests of 2: all of them are served, and no more
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' file, the command line and the log; and that all of it costs nothing where it is off."""
+"""The operators' file, the command line and the log; and that features that are off cost nothing."""
 
 import json
 import re
@@ -43,7 +43,7 @@
     assert any(str(fault).startswith(named) for fault in wrong.value.faults), wrong.value
 
 
-def test_the_example_is_sound_and_switches_nothing_on_that_the_platform_has_not() -> None:
+def test_the_example_is_valid_and_the_platform_runs_without_it() -> None:
     told = document.parse((ROOT / "deploy" / "operators.json").read_bytes())
     assert told.plans is not None and told.usage is not None and told.admin is not None
     run = (ROOT / "deploy" / "balancer.toml").read_text()
@@ -69,7 +69,7 @@
         assert books.check(books.decode(json.dumps(book).encode()), (), 225.0) == []
 
 
-def test_an_unusable_operators_file_ends_the_start_with_every_fault(tmp_path: Path) -> None:
+def test_an_invalid_operators_file_ends_the_start_with_every_fault(tmp_path: Path) -> None:
     path = tmp_path / "operators.json"
     path.write_text('{"plan": 1, "logs": {"format": "xml"}}')
     process = started(tmp_path, good(), MILLFRONT_OPERATOR=str(path))
@@ -78,7 +78,7 @@
     assert "$.plan: no such field" in errors and "$.logs.format" in errors
 
 
-def test_the_log_is_one_object_a_line_where_it_is_told_so(tmp_path: Path) -> None:
+def test_the_log_is_one_json_object_per_line_if_configured(tmp_path: Path) -> None:
     path = tmp_path / "operators.json"
     path.write_text('{"logs": {"format": "json"}}')
     process = started(tmp_path, good(), MILLFRONT_OPERATOR=str(path))
@@ -91,7 +91,7 @@
 
 
 def test_what_is_off_is_not_imported() -> None:
-    """Guards memory and start on a gatekeeper of 32 MB: an import at the top of a module brings it back."""
+    """Guards memory and start time of a 32 MB gatekeeper: a top-level import would load these modules."""
     code = (
         "import sys, millfront.__main__, millfront.daemon, millfront.benchlink\n"
         "off = ('msgspec', 'structlog', 'click', 'zstandard', 'millfront.plans', 'millfront.usage',"
@@ -149,13 +149,15 @@
     span = ["--from", "2026-12-02T08:00:00+10:00", "--until", "2026-12-02T09:00:00+10:00"]
     plans("reserve", "launch", customer, "--rate", "5", *span)
     plans("reserve", "launch", customer, "--rate", "5", "--units", "5", *span, code=2)
-    plans("assign", customer, "casual", *span)  # cuts the assignment that stood there in two
+    plans("assign", customer, "casual", *span)  # splits the existing assignment in two
     told = plans("show", "--customer", customer, "--at", "2026-12-02T08:30:00+10:00")
     assert told["plan"] == "casual" and len(told["assignments"]) == 3
     assert plans("show", "--customer", customer, "--at", "2026-12-02T09:00:00+10:00")["plan"] == "collector"
     plans("release", "launch", customer)
     plans("release", "launch", customer, code=1)
-    plans("assign", customer, "x", "--from", "2026-12-02T08:00:00", code=2)  # no zone: hours off
+    plans(
+        "assign", customer, "x", "--from", "2026-12-02T08:00:00", code=2
+    )  # no time zone: could be hours off
     old = tmp_path / "old.json"
     old.write_bytes((tmp_path / "book.json.history" / "000000001.json").read_bytes())
     assert len(plans("diff", str(old), code=1)["changes"]) == 4
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Live plans without I/O: the book's faults and answers, what a change does to an allowance, leases."""
+"""Live plans without I/O: validation and lookup of the book, allowances after a change of plan, leases."""
 
 import datetime
 import json
@@ -90,7 +90,7 @@
     assert "70 units a second" in fault.why and "1970-01-01T00:00:19" in fault.why
 
 
-def test_the_book_answers_by_instant_and_is_silent_elsewhere() -> None:
+def test_the_book_grants_terms_by_instant_and_none_elsewhere() -> None:
     held = book(
         plans=[{"name": "gold", "rate": 50, "burst": 9, "from": instant(100)}],
         assignments=[
@@ -106,8 +106,8 @@
 
     assert asked(9.999999) is None
     assert asked(10) == books.Terms(COLLECTOR, "collector", 3)
-    assert asked(20) is None  # the request's plan holds again
-    assert asked(95) is None  # assigned, and its plan not yet defined
+    assert asked(20) is None  # the request's plan applies again
+    assert asked(95) is None  # assigned, but the plan is not defined yet
     gold = asked(100)
     assert gold is not None and gold.plan is not None and gold.plan.rate == 50
     assert asked(100, "1", "gold") == gold  # a request that names a plan of the book
@@ -115,7 +115,7 @@
     assert asked(20, OTHER) is None
 
 
-def test_what_is_late_is_told_and_plans_that_stay_keep_their_identity() -> None:
+def test_late_entries_are_reported_and_unchanged_plans_keep_their_identity() -> None:
     first, _ = run_to_end(
         books.compile_in_slices(book(plans=[{"name": "a", "rate": 1, "burst": 1}]), {}, None, 0)
     )
@@ -132,7 +132,7 @@
 
 
 def allowed(plans: list[tuple[float, api.Plan]], end: float, heard_s: float) -> float:
-    """The bound of docs/design/live-plans.md: a store, what the rates gave, and the ways to be late."""
+    """The bound of docs/design/live-plans.md in units: a burst, the rates over time, and late gateways."""
     edges = [at for at, _ in plans[1:]] + [end]
     given = sum(plan.rate * (edge - at) for (at, plan), edge in zip(plans, edges, strict=True))
     most = max(plan.rate for _, plan in plans)
@@ -140,7 +140,7 @@
 
 
 def overdrawn(seconds: float) -> float:
-    """The ordinary path's own error, with or without changes: a request at each gateway a tick."""
+    """The normal path's own error in units, with or without changes: a request per gateway and tick."""
     return 3 * 2.0 * (seconds + 1.0)
 
 
@@ -170,7 +170,7 @@
     assert fleet.units(INSIDE) <= allowed(plans, end, heard_s) + slack
 
 
-def test_moving_to_and_fro_in_a_burst_gains_nothing() -> None:
+def test_switching_plans_back_and_forth_in_a_burst_gains_nothing() -> None:
     def sent(moves: bool) -> float:
         fleet = Fleet(3, COLLECTOR)
         fleet.plans = [COLLECTOR] * 3
@@ -186,7 +186,7 @@
     assert sent(True) <= sent(False)
 
 
-def test_a_downgrade_stops_in_the_burst() -> None:
+def test_a_downgrade_takes_effect_within_the_burst() -> None:
     def second_half(first: api.Plan) -> float:
         fleet = Fleet(3, first)
         fleet.plans = [first] * 3
@@ -200,7 +200,7 @@
     assert second_half(COLLECTOR) <= second_half(CASUAL) + 3 * 2.0
 
 
-def test_an_upgrade_hands_out_its_store_less_what_was_spent_and_opens_its_rate() -> None:
+def test_an_upgrade_grants_its_burst_less_what_was_spent_and_its_rate() -> None:
     fleet = Fleet(3, CASUAL)
     fleet.plans = [CASUAL] * 3
     for me in range(3):
@@ -210,14 +210,14 @@
     fleet.run(8.0)
     start = BEGIN_US + 6 * SECOND
     at_once = fleet.units(INSIDE, since=start, until=start + SECOND // 2)
-    handed_out = COLLECTOR.burst - CASUAL.burst  # all of the casual store was spent
-    assert 0.8 * handed_out <= at_once <= handed_out + COLLECTOR.rate * 0.5 + overdrawn(0.0)
+    granted = COLLECTOR.burst - CASUAL.burst  # the whole casual burst was spent
+    assert 0.8 * granted <= at_once <= granted + COLLECTOR.rate * 0.5 + overdrawn(0.0)
     assert fleet.units(INSIDE, since=start + 2 * SECOND) >= 0.8 * COLLECTOR.rate * 6.0
 
 
 @pytest.mark.parametrize(
-    ("moves", "store"),
-    [  # of 8 units 6 are spent, then 10 s pass at each plan; stores after the last move
+    ("moves", "level"),
+    [  # 6 of 8 units are spent; the levels of the bucket after the last change
         ([COLLECTOR], 54.0),
         ([COLLECTOR, CASUAL], 2.0),
         ([COLLECTOR, CASUAL, COLLECTOR], 54.0),
@@ -225,20 +225,20 @@
         ([], 2.0),
     ],
 )
-def test_a_deficit_goes_over_to_each_plan_and_back(moves: list[api.Plan], store: float) -> None:
+def test_a_deficit_carries_over_to_each_plan_and_back(moves: list[api.Plan], level: float) -> None:
     customer = Customer(7, CASUAL, 2, 1.0, 1.0, 0, 0.0, 0, 0, 0.5, 2.0)
     for plan in moves:
         change_plan(0, customer, plan)
-    assert customer.bucket / customer.share == store
+    assert customer.bucket / customer.share == level
     if moves:
         assert (customer.price, customer.refill_rate) == (1.0, moves[-1].rate / 2)
 
 
-def test_what_filled_up_again_is_no_deficit_any_more() -> None:
+def test_a_refilled_bucket_leaves_no_deficit() -> None:
     customer = Customer(7, COLLECTOR, 1, 0.0, 30.0, 0, 0.0, 0, 0, 1.0, 0.0)
     change_plan(0, customer, CASUAL)
-    assert customer.bucket == 0.0  # 60 are spent: 8 show, 52 are kept
-    customer.bucket = 8.0  # full again, and not yet for long enough
+    assert customer.bucket == 0.0  # a deficit of 60: the bucket shows 8, 52 are remembered
+    customer.bucket = 8.0  # full again, but not for long enough
     change_plan(20 * SECOND, customer, COLLECTOR)
     assert customer.bucket == 8.0
     change_plan(20 * SECOND, customer, CASUAL)
@@ -247,7 +247,7 @@
     assert customer.bucket == 60.0
 
 
-def test_a_ceiling_begins_empty_after_a_plan_without_one() -> None:
+def test_a_ceiling_starts_empty_after_a_plan_without_one() -> None:
     fleet = Fleet(1, COLLECTOR)
     fleet.plans = [COLLECTOR]
     fleet.asks(0, 30.0, 1.0, 3.0)
@@ -279,7 +279,7 @@
     got = fleet.units(RESERVED)
     assert 0.85 * 20.0 * 12.0 <= got <= 20.0 * 14.0
     plan = fleet.units(INSIDE)
-    assert plan <= CASUAL.burst + 12.0 * CASUAL.rate + overdrawn(12.0)  # the plan's quota is as it was
+    assert plan <= CASUAL.burst + 12.0 * CASUAL.rate + overdrawn(12.0)  # the plan's quota is unchanged
 
 
 def test_reserved_units_in_all_are_honoured_once_over_the_counters_epochs() -> None:
@@ -297,15 +297,17 @@
     fleet.run(13.0)
     spent = fleet.units(RESERVED)
     assert 150.0 < spent < 300.0
-    fleet.restart(0)  # knows nothing any more
+    fleet.restart(0)  # loses all its state
     fleet.leases[0].update(fleet.now, [ReservationSpec(99, 7, BEGIN_US, BEGIN_US + 99 * SECOND, None, 600.0)])
     for me in range(3):
-        fleet.asks(me, 20.0, 2.0, 40.0, start_s=25.0)  # the name that it spent under is forgotten by then
+        fleet.asks(
+            me, 20.0, 2.0, 40.0, start_s=25.0
+        )  # the counter has forgotten the name that it spent under by then
     fleet.run(70.0)
     assert 500.0 <= fleet.units(RESERVED) <= 600.0
 
 
-def test_a_reservation_that_ends_or_is_cancelled_in_a_burst_gives_back_at_once() -> None:
+def test_a_reservation_that_ends_or_is_cancelled_in_a_burst_grants_nothing_more() -> None:
     for cancelled in (False, True):
         fleet = reserving(20.0, None, seconds=99.0 if cancelled else 5.0)
         for me in range(3):
@@ -355,7 +357,7 @@
     assert fleet.units(RESERVED) <= 400.0 + at_risk
 
 
-def test_without_a_counter_each_gateway_has_its_even_part() -> None:
+def test_without_a_counter_each_gateway_leases_its_even_part() -> None:
     fleet = reserving(None, 90.0)
     for leases in fleet.leases:
         leases.counter = False
@@ -364,13 +366,13 @@
     assert 24.0 <= fleet.units(RESERVED) <= 30.0
 
 
-def test_a_forgetful_counter_leases_nothing_anew() -> None:
+def test_units_spent_before_the_counter_forgot_are_not_leased_again() -> None:
     fleet = reserving(None, 200.0)
     for me in range(3):
         fleet.asks(me, 30.0, 2.0, 12.0)
     fleet.at(BEGIN_US + SECOND, fleet.counter.names.clear)
     fleet.run(12.0)
-    # Stated: what the others leased between this gateway's last read and the loss
+    # Allowed: what the others leased between this gateway's last read and the loss
     assert fleet.units(RESERVED) <= 200.0 * 1.1
 
 
@@ -389,7 +391,7 @@
     assert customer.leased == before - 3.0
 
 
-def test_a_plan_of_another_grain_counts_under_another_name() -> None:
+def test_a_plan_with_another_quantum_counts_under_another_name() -> None:
     large = replace(COLLECTOR, rate=500.0, burst=900.0)
     fleet = Fleet(2, COLLECTOR)
     fleet.plans = [COLLECTOR, large]  # a version apart
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,5 +1,5 @@
-"""The usage ledger and its export without sockets: what every kind of crash and fault leaves, and what
-arrives."""
+"""The usage ledger and its export without sockets: what crashes and faults leave behind, and what the
+receiver gets."""
 
 import errno
 import itertools
@@ -46,7 +46,7 @@
     return Ledger(folder, "n0", Usage(str(folder), **({"period_s": 60} | told)), clock)
 
 
-def a_try(made: Ledger, clock: Clock, units: float = 3.0, result: Result = Result.TOLD) -> None:
+def record_attempt(made: Ledger, clock: Clock, units: float = 3.0, result: Result = Result.TOLD) -> None:
     held = entry(clock)
     made.record_settled(made.record_opened(held), held, result, units)
 
@@ -77,7 +77,7 @@
     return b"".join(frames), ends
 
 
-def test_a_segment_cut_at_any_byte_holds_every_whole_record_before_the_cut() -> None:
+def test_a_segment_cut_at_any_byte_keeps_every_complete_record_before_the_cut() -> None:
     data, ends = a_segment()
     for cut in range(len(data) + 1):
         scan = Scan()
@@ -109,12 +109,12 @@
 # ---- the ledger through crashes and faults
 
 
-def test_a_crash_at_any_byte_bills_each_try_once(tmp_path: Path) -> None:
+def test_a_crash_at_any_byte_bills_each_attempt_once(tmp_path: Path) -> None:
     clock = Clock()
     made = ledger(tmp_path / "a", clock)
     made.open()
     for units in (1.0, 2.0):
-        a_try(made, clock, units)
+        record_attempt(made, clock, units)
     out = entry(clock, guess=5.0)
     made.record_opened(out)
     (segment,) = list_segments(made.folder)
@@ -152,7 +152,7 @@
     clock = Clock()
     made = ledger(tmp_path, clock)
     made.open()
-    a_try(made, clock)
+    record_attempt(made, clock)
     out = entry(clock, guess=4.0)
     made.record_opened(out)
 
@@ -183,7 +183,7 @@
     clock = Clock()
     made = ledger(tmp_path, clock)
     made.open()
-    a_try(made, clock)
+    record_attempt(made, clock)
     made.seal()
     make_lasting(made)
     batch = batch_of(made)
@@ -205,11 +205,11 @@
     made = ledger(tmp_path / "one", clock)
     made.open()
     for _ in range(3):
-        a_try(made, clock, units=2.0)
+        record_attempt(made, clock, units=2.0)
         made.seal()
     make_lasting(made)
     made.close()
-    shutil.copytree(tmp_path / "one", tmp_path / "two")  # a lock cannot see a copy
+    shutil.copytree(tmp_path / "one", tmp_path / "two")  # the lock does not cover a copy
     both = [ledger(tmp_path / name, clock) for name in ("one", "two")]
     for each in both:
         each.open()
@@ -234,7 +234,7 @@
     seq = made.record_opened(before)
     write = os.write
     with monkeypatch.context() as patched:
-        # half of a record fits: it must not stay as a torn middle
+        # half of a record fits: it must not stay in the middle of the segment
         patched.setattr(os, "write", lambda fd, data: write(fd, data[: len(data) // 2]))
         made.record_settled(seq, before, Result.TOLD, 6.0)
         assert made.fault
@@ -243,33 +243,35 @@
             raise OSError(errno.ENOSPC, "No space left on device")
 
         patched.setattr(os, "write", full)
-        a_try(made, clock, units=2.0)
-        a_try(made, clock, units=0.0, result=Result.NEVER)
+        record_attempt(made, clock, units=2.0)
+        record_attempt(made, clock, units=0.0, result=Result.NEVER)
         made.tick()
         assert made.status()["fault"] == "No space left on device"
         assert (made.unrecorded_tries, made.unrecorded_units) == (1, 2.0)
     made.tick()
-    a_try(made, clock, units=1.0)
+    record_attempt(made, clock, units=1.0)
     made.finish()
     head, lines = parse_batch(batch_of(made).text)
-    assert [(line.tries, line.units) for line in lines] == [(2, 7.0)]  # 6 was owed meanwhile
+    assert [(line.tries, line.units) for line in lines] == [
+        (2, 7.0)
+    ]  # the 6 units were kept in memory meanwhile
     assert (head.unrecorded_tries, head.unrecorded_units) == (1, 2.0)
     made.close()
     assert audit.read_ledger(tmp_path).faults == []
 
 
-def test_the_bound_on_bytes_stops_recording_and_says_so(tmp_path: Path) -> None:
+def test_at_most_bytes_the_ledger_stops_recording_and_reports_it(tmp_path: Path) -> None:
     clock = Clock()
     made = ledger(tmp_path, clock, most_bytes=131072, segment_bytes=65536)
     made.open()
     for _ in range(1500):
-        a_try(made, clock, units=1.0)
+        record_attempt(made, clock, units=1.0)
         made.tick()
     assert made.status()["fault"] == "full" and 0 < made.unrecorded_tries < 1000
     make_lasting(made)
     while made.oldest_sealed() is not None:
         made.record_receipt(batch_of(made))
-    a_try(made, clock)
+    record_attempt(made, clock)
     made.tick()
     assert made.status()["fault"] == ""
     made.close()
@@ -281,13 +283,13 @@
     made.open()
     with pytest.raises(LedgerLocked):
         ledger(tmp_path, clock).open()
-    a_try(made, clock)
+    record_attempt(made, clock)
     made.close()
     late = clock.us
     clock.us -= 3600 * SECOND
     again = ledger(tmp_path, clock)
     again.open()
-    a_try(again, clock)
+    record_attempt(again, clock)
     again.finish()
     times = [
         record.at_us
@@ -295,7 +297,7 @@
         for _, _, record in read_records(part.path.read_bytes(), Scan())
         if isinstance(record, Settled)
     ]
-    assert min(times) >= late  # never into a period that is billed already
+    assert min(times) >= late  # never in a period that is billed already
     again.close()
     identity = tmp_path / "ledger.json"
     identity.write_text('{"format": 99, "ledger": "x"}')
@@ -303,18 +305,18 @@
         ledger(tmp_path, clock).open()
     identity.write_text('{"format": 0, "ledger": "0123456789abcdef"}')
     older = ledger(tmp_path, clock)
-    older.open()  # upgraded in place, under the same identity
+    older.open()  # upgraded in place, with the same identity
     assert older.id == "0123456789abcdef" and '"format": 1' in identity.read_text()
     older.close()
 
 
-def test_verify_finds_what_was_changed_behind_its_back(tmp_path: Path) -> None:
+def test_an_audit_finds_changed_records_and_receipts(tmp_path: Path) -> None:
     clock = Clock()
     made = ledger(tmp_path, clock)
     made.open()
     for _ in range(3):
         for _ in range(4):
-            a_try(made, clock)
+            record_attempt(made, clock)
         made.seal()
     make_lasting(made)
     made.record_receipt(batch_of(made))
@@ -333,18 +335,18 @@
 # ---- batches and sending
 
 
-def test_a_batch_is_the_same_whenever_it_is_made_and_keeps_standings_and_figures_apart(
+def test_a_rebuilt_batch_is_the_same_and_keeps_standings_and_figures_apart(
     tmp_path: Path,
 ) -> None:
     clock = Clock()
     made = ledger(tmp_path, clock)
     made.open()
     for result, units in ((Result.TOLD, 0.1), (Result.TOLD, 0.2), (Result.GUESSED, 2.0), (Result.NEVER, 0.0)):
-        a_try(made, clock, units, result)
+        record_attempt(made, clock, units, result)
     held = msgspec.structs.replace(entry(clock), standing=1)
     made.record_settled(made.record_opened(held), held, Result.TOLD, 4.0)
     clock.us += 61 * SECOND
-    a_try(made, clock, 1.0)
+    record_attempt(made, clock, 1.0)
     made.finish()
     one, other = batch_of(made), batch_of(made)
     assert one == other
@@ -357,7 +359,7 @@
     made.close()
 
 
-def test_what_is_not_acknowledged_whole_is_asked_about_and_sent_again() -> None:
+def test_after_an_incomplete_answer_the_mark_is_read_and_the_batch_sent_again() -> None:
     sending = ExportState(1.0, 8.0, random.Random(1))
     offer = PendingBatch("b", 9, "d", 4)
     assert sending.next_step(0, False).kind is StepKind.IDLE
@@ -508,13 +510,13 @@
         ("", {"data": b"junk"}, 400),
     ],
 )
-def test_a_receiver_takes_a_batch_whole_or_not_at_all(
+def test_a_receiver_takes_a_whole_batch_or_nothing(
     tmp_path: Path, name: str, change: dict[str, Any], status: int
 ) -> None:
     clock = Clock()
     made = ledger(tmp_path / "ledger", clock)
     made.open()
-    a_try(made, clock)
+    record_attempt(made, clock)
     made.finish()
     batch = batch_of(made)
     made.close()
--- a/tests/test_usage_node.py
+++ b/tests/test_usage_node.py
@@ -1,4 +1,4 @@
-"""Usage on sockets: what a node bills for each way a try can end, and what survives when it is killed."""
+"""Usage over sockets: what a node bills for each way an attempt can end, and what survives a kill."""
 
 import threading
 from collections import Counter
@@ -50,13 +50,13 @@
     }
 
 
-async def test_each_way_a_try_ends_is_billed_as_stated(
+async def test_each_way_an_attempt_ends_is_billed_as_documented(
     tmp_path: Path, receiver: tuple[BatchReceiver, str]
 ) -> None:
     receiving, address = receiver
     told = answer(200, b"page", b"Billed-Units: 3.5")
     never = answer(503, b"", b"Not-Started: 1")
-    # served; error, and nothing may repeat; broken, and its repeat served; never started at any member
+    # served; error, not repeatable; connection lost, then the repeat served; never started at any member
     member = Peer(told, answer(500), disconnects, told, never)
     async with running_node(member, operators=operators(tmp_path, address)) as on:
         assert status(await on.ask(request("page-fetch"))) == 200
@@ -89,7 +89,7 @@
             (part,) = [p for p in on.node.parts._parts if isinstance(p, UsagePart)]
             assert part.exporter is not None
             for _ in range(3):
-                assert status(await on.ask(request())) == 200  # no request waits for it
+                assert status(await on.ask(request())) == 200  # no request waits for the export
             with anyio.fail_after(TEST_TIMEOUT_S):
                 while never.connections < 3:
                     await never.wait_until(lambda peer: peer.connections >= 3)
@@ -111,7 +111,7 @@
     assert sum(totals.values()) == 6_000_000
 
 
-async def test_a_ledger_that_cannot_be_opened_refuses_no_request_and_is_shown(tmp_path: Path) -> None:
+async def test_a_ledger_that_cannot_be_opened_refuses_no_request_and_is_reported(tmp_path: Path) -> None:
     (tmp_path / "ledger").write_text("a file where the folder should be")
     async with running_node(Peer(), operators=operators(tmp_path, "127.0.0.1:1")) as on:
         for _ in range(3):
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(("times", "spool"), [(20, False), (4, True)])
-def test_every_unit_arrives_once_though_the_gatekeeper_is_killed_again_and_again(
+def test_every_unit_arrives_once_though_the_gatekeeper_is_killed_repeatedly(
     tmp_path: Path, times: int, spool: bool
 ) -> None:
     play, found = kills.run(times, 5, tmp_path, spool)
