--- a/millfront/operators/parts.py
+++ b/millfront/operators/parts.py
@@ -28,16 +28,16 @@
             admin.add_status("plans", plans.status)
             PlansApi(plans).add_routes(admin)
     if options.agreement is not None:
-        from millfront.agreement.part import Agreeing
+        from millfront.agreement.part import AgreementPart
 
-        agreeing = Agreeing(node, options.agreement)
+        agreeing = AgreementPart(node, options.agreement)
         node.parts.add(agreeing)
         if admin is not None:
             admin.add_status("agreement", agreeing.status)
     if options.http2 is not None:
-        from millfront.http2.part import Http2Front
+        from millfront.http2.part import Http2Part
 
-        front = Http2Front(node, options.http2)
+        front = Http2Part(node, options.http2)
         node.parts.add(front)
         if admin is not None:
             admin.add_status("http2", front.status)
