--- a/millfront/plans/part.py
+++ b/millfront/plans/part.py
@@ -148,8 +148,8 @@
             log.info("a plan book applied", **fields)
         return lateness
 
-    def _terms(self, customer: int, named: str, now_us: int) -> books.Terms | None:
-        return self.compiled.terms(customer, named, now_us) if self.compiled is not None else None
+    def _terms(self, customer: int, requested: str, now_us: int) -> books.Terms | None:
+        return self.compiled.terms(customer, requested, now_us) if self.compiled is not None else None
 
     # ---- reservations ------------------------------------------------------------------------
 
--- a/millfront/usage/part.py
+++ b/millfront/usage/part.py
@@ -70,9 +70,9 @@
         self._ready, self._open_error = True, ""
         fields = {"segments": found.segments, "abandoned": found.abandoned, "next": self.ledger.next_seq}
         if found.missing or found.torn_bytes:
-            log.warning("the ledger is open", missing=found.missing, torn=found.torn_bytes, **fields)
+            log.warning("the usage ledger is open", missing=found.missing, torn=found.torn_bytes, **fields)
         else:
-            log.info("the ledger is open", **fields)
+            log.info("the usage ledger is open", **fields)
 
     async def run(self) -> None:
         self._scope = anyio.CancelScope()
@@ -126,7 +126,7 @@
     def reload(self) -> None:
         pass
 
-    # ---- calls from the host ------------------------------------------------------------------
+    # ---- calls from the host -----------------------------------------------------------------
 
     def request_sent(self, opened: OpenRequest, standing: api.Standing) -> None:
         """Records an attempt before it is sent. A fault here must never affect the request."""
@@ -200,9 +200,7 @@
             elif step.kind is StepKind.SEND:
                 try:
                     await self._send()
-                except (
-                    OSError
-                ) as error:  # of the local disk; the receiver recognises a batch sent twice by its name
+                except OSError as error:  # of the local disk; the receiver recognises repeats by name
                     log.error("usage is not exported: local disk fault", why=error.strerror)
                     await anyio.sleep(1.0)
             elif step.kind is StepKind.IDLE and until_idle:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -155,9 +155,8 @@
     assert plans("show", "--customer", customer, "--at", "2026-12-02T09:00:00+10:00")["plan"] == "collector"
     plans("release", "launch", customer)
     plans("release", "launch", customer, code=1)
-    plans(
-        "assign", customer, "x", "--from", "2026-12-02T08:00:00", code=2
-    )  # no time zone: could be hours off
+    # No time zone: could be hours off
+    plans("assign", customer, "x", "--from", "2026-12-02T08:00:00", code=2)
     old = tmp_path / "old.json"
     old.write_bytes((tmp_path / "book.json.history" / "000000001.json").read_bytes())
     assert len(plans("diff", str(old), code=1)["changes"]) == 4
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -300,9 +300,8 @@
     fleet.restart(0)  # loses all its state
     fleet.leases[0].update(fleet.now, [ReservationSpec(99, 7, BEGIN_US, BEGIN_US + 99 * SECOND, None, 600.0)])
     for me in range(3):
-        fleet.asks(
-            me, 20.0, 2.0, 40.0, start_s=25.0
-        )  # the counter has forgotten the name that it spent under by then
+        # By then the counter has forgotten the name that the dead gateway spent under
+        fleet.asks(me, 20.0, 2.0, 40.0, start_s=25.0)
     fleet.run(70.0)
     assert 500.0 <= fleet.units(RESERVED) <= 600.0
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -252,9 +252,8 @@
     record_attempt(made, clock, units=1.0)
     made.finish()
     head, lines = parse_batch(batch_of(made).text)
-    assert [(line.tries, line.units) for line in lines] == [
-        (2, 7.0)
-    ]  # the 6 units were kept in memory meanwhile
+    # The 6 units were kept in memory meanwhile
+    assert [(line.tries, line.units) for line in lines] == [(2, 7.0)]
     assert (head.unrecorded_tries, head.unrecorded_units) == (1, 2.0)
     made.close()
     assert audit.read_ledger(tmp_path).faults == []
