--- a/millfront/control/delivery.py
+++ b/millfront/control/delivery.py
@@ -50,7 +50,7 @@
         self.core: Core | None = None
         self.replicas: dict[str, ReplicaAnswers] = {}
         self._fetching: dict[str, float] = {}  # key -> when it was last requested, or a chunk arrived
-        self._arrivals = IncomingTexts()
+        self._incoming_texts = IncomingTexts()
         self._archive = Archive()  # for members that are back and do not reach a replica yet
         self._lease_floor = -1e9  # end of the lease under earlier cores
 
@@ -64,7 +64,7 @@
                 self._archive.record_change(key, self.values[key], found[key])
             self.values[key] = found[key]
             self._fetching.pop(key, None)
-            self._arrivals.discard_superseded(key, found[key])
+            self._incoming_texts.discard_superseded(key, found[key])
         if CORE in changed:
             self._fetching.clear()  # answers for the previous core are dropped
             self._lease_floor = self.lease_until()  # still valid: nothing newer was acknowledged by then
@@ -219,11 +219,11 @@
         values = {key: Value.from_wire(wire) for key, wire in message.get("v", {}).items()}
         arrived: list[tuple[str, Value | Message | None]] = []
         if message["t"] == "piece":
-            arrived.append((message["k"], self._arrivals.add_chunk(message)))
+            arrived.append((message["k"], self._incoming_texts.add_chunk(message)))
         for key, wire in message.get("d", {}).items():
             offer, held = Offer.from_wire(wire), self.values.get(key)
             if held is None or (held.version, held.tie) < offer.stamp:
-                arrived.append((key, self._arrivals.accept_offer(key, offer, held)))
+                arrived.append((key, self._incoming_texts.accept_offer(key, offer, held)))
         out: list[tuple[str, Message]] = []
         for key, result in arrived:
             if isinstance(result, Value):
--- a/millfront/dataplane/load_balancer.py
+++ b/millfront/dataplane/load_balancer.py
@@ -16,10 +16,10 @@
 from millfront.discovery.server_list import Phase, Server
 
 REPORT_DECAY_S = 1.0  # a load report's weight falls to 1/e in this time
-LATENCY_WEIGHT = 0.15
+LATENCY_WEIGHT = 0.15  # of one answer in its server's slowness
 INITIAL_SERVICE_TIME_S = 0.3
-EJECT_FAILURES = 3
-MIN_EJECT_S, MAX_EJECT_S = 1.0, 8.0
+EJECT_FAILURES = 3  # in a row
+MIN_EJECT_S, MAX_EJECT_S = 1.0, 8.0  # of the first ejection; doubles with each further one
 FULL_PAUSE_S = 0.4  # for a server that rejected a request as full
 MAX_EJECTED_SHARE = 0.5  # of a service's servers; if more fail, the cause is more likely here or everywhere
 MIN_SILENT_S = 1.2  # a server with requests in flight is suspect only after this long without an answer
@@ -52,14 +52,14 @@
     ejections: int = 0
     failures: int = 0
     paused_until: float = 0.0
-    latency_ratio: float = 1.0  # its answer time over the service's mean
+    slowness: float = 1.0  # its answer time over the service's mean
     last_answer_at: float = 0.0
     load: float = 0.0  # running and waiting requests of its last report per slot
     slots: int = 0
     reported_at: float = -1e9
     sent_since_report: int = 0
     idle_connections: int = 0  # as of the last attempt that ended
-    send_credit: float = 1.0  # requests that may be sent while it is cold
+    credit: float = 1.0  # requests that may be sent while it is cold
     credit_at: float = 0.0
 
 
@@ -184,11 +184,11 @@
 
     def _refill_credit(self, now: float, server_state: ServerState, service: Service) -> float:
         rate = COLD_SHARE * service.warmup_rate
-        server_state.send_credit = min(
-            server_state.send_credit + rate * max(0.0, now - server_state.credit_at), MAX_COLD_CREDIT
+        server_state.credit = min(
+            server_state.credit + rate * max(0.0, now - server_state.credit_at), MAX_COLD_CREDIT
         )
         server_state.credit_at = now
-        return server_state.send_credit
+        return server_state.credit
 
     def _is_silent(self, now: float, server_state: ServerState) -> bool:
         """Whether it has had requests in flight for a long time without any answer."""
@@ -213,9 +213,7 @@
     def cost(self, now: float, server_state: ServerState, size: float) -> float:
         """Expected seconds until the answer, plus the cost of distance, bytes and a new connection."""
         server = server_state.server
-        service_time = (
-            self.service_times.get(server.service, INITIAL_SERVICE_TIME_S) * server_state.latency_ratio
-        )
+        service_time = self.service_times.get(server.service, INITIAL_SERVICE_TIME_S) * server_state.slowness
         load = self.expected_load(now, server_state)
         wait = max(0.0, load + 1.0 / max(1, server_state.slots) - 1.0)
         cost = service_time * (1.0 + wait + 0.35 * min(load, 1.0) ** 2)
@@ -235,7 +233,7 @@
         server_state.in_flight[flow] = now
         server_state.sent_since_report += 1
         if self.is_cold(now, server_state):
-            server_state.send_credit -= 1.0
+            server_state.credit -= 1.0
 
     def record_ended(self, now: float, server_state: ServerState, flow: int) -> float:
         """An attempt has ended; returns how many seconds it took."""
@@ -255,8 +253,8 @@
         self.service_times[service] = service_time + 0.02 * (
             min(elapsed_s, 10.0 * service_time) - service_time
         )
-        server_state.latency_ratio += LATENCY_WEIGHT * (
-            min(max(elapsed_s / service_time, 0.2), 8.0) - server_state.latency_ratio
+        server_state.slowness += LATENCY_WEIGHT * (
+            min(max(elapsed_s / service_time, 0.2), 8.0) - server_state.slowness
         )
 
     def record_load(
--- a/millfront/dataplane/proxy.py
+++ b/millfront/dataplane/proxy.py
@@ -74,15 +74,15 @@
         sockets = max(64, settings.fd_limit - RESERVED_SOCKETS)
         self.members = Members(self.clock, CONNECT_TIMEOUT_US, KEEPALIVE_US, sockets // 3)
         memory = settings.ram_mb * 1024 * 1024
-        ways = BodySlots(max(4, memory // 2 // BODIES_MEMORY_DIVISOR // BODY_BUFFER_BYTES))
+        body_slots = BodySlots(max(4, memory // 2 // BODIES_MEMORY_DIVISOR // BODY_BUFFER_BYTES))
         self.send = Send(
             self.clock,
             self.members,
             Router(self),
             self.attempt_ended,
-            ways,
+            body_slots,
             self.begin_stream,
-            self.classify_answer,
+            self.classify_response,
             self.server_fields,
         )
         self.send.completion_timeout_s = 3.0
@@ -139,7 +139,7 @@
                     service = self.gatekeeper.configuration.services.get(server_state.server.service)
                     warmup = service.warmup if service is not None else 0.0
                     server_state.server.cold_until = max(server_state.server.cold_until, now + warmup)
-                    server_state.credit_at, server_state.send_credit = now, 0.0
+                    server_state.credit_at, server_state.credit = now, 0.0
         self.update_cold_owners()
         if (configuration := self.gatekeeper.configuration) is not None:
             idle = configuration.limits.idle_timeout
@@ -372,7 +372,7 @@
         ):
             self.dispatch(request)
 
-    def classify_answer(self, flow: ServerSideFlow, answer: Message) -> Ending:
+    def classify_response(self, flow: ServerSideFlow, answer: Message) -> Ending:
         """Classify an answer by its head, before any byte of it goes to the client."""
         request: ClientRequest = flow.open_request
         fields = dict(reversed(answer.fields))
@@ -417,7 +417,7 @@
         if request.finished or request.streaming_flow >= 0:
             return False
         request.streaming_flow = flow.number
-        request.caller.begin_response(flow.answer, flow)
+        request.caller.begin_response(flow.response, flow)
         return True
 
     def attempt_ended(self, flow: ServerSideFlow, ending: Ending, answer: Message | None) -> None:
@@ -566,8 +566,7 @@
         for flow in list(request.flows.values()):
             if request.progress.repeatable or not request.body_received:
                 flow.cancel()
-        held = (
-            request.claim is not None and request.claim.on_decision is None
-        )  # granted, but not sent to any server
+        # The claim is granted, but the request was not sent to any server
+        held = request.claim is not None and request.claim.on_decision is None
         if held and not request.flows and request.progress.known_not_run():
             self.keyed.withdraw(request)
--- a/millfront/dataplane/retries.py
+++ b/millfront/dataplane/retries.py
@@ -105,7 +105,7 @@
         """Pay for one further attempt; returns False if the budget does not allow it.
 
         :param n: the number of processes that share the budget
-        :param hedge: whether it is a second copy of a silent request
+        :param hedge: whether it is a hedge, the second attempt of a request that is still unanswered
         """
         self._fill(now, n)
         if self.fixed + self.earned < (1.0 + HEDGE_RESERVE if hedge else 1.0):
--- a/millfront/node/bodies.py
+++ b/millfront/node/bodies.py
@@ -1,10 +1,10 @@
 """Streaming of bodies that are too long to be buffered whole: forwarded as they arrive, each side read only
 as fast as the other one takes the data.
 
-Of a request body at most one read (64 KiB) is held that the member's kernel has not taken, besides its first
-64 KiB. More of a response may be held, so that its attempt ends and its member is free while a slow client
-still reads: up to a quarter of what is left of the budget for all responses (BufferBudget), and always one
-read. The number of responses streamed at once is limited (BodySlots); the next one waits unread.
+Of a request body at most one read (64 KiB) is held that the kernel has not taken for the member, besides its
+first 64 KiB. More of a response may be held, so that its attempt ends and its member is free while a slow
+client still reads: up to a quarter of what is left of the budget for all responses (BufferBudget), and always
+one read. The number of responses streamed at once is limited (BodySlots); the next one waits unread.
 """
 
 from collections import deque
@@ -80,7 +80,7 @@
         self._sink: Sink | None = None
 
     def put(self, data: bytes, last: bool) -> bool:
-        """Take the next bytes. False: bring no more until resumed."""
+        """Take the next bytes. False: read no more until resumed."""
         self.ended = last
         if self._sink is None:
             self._held += data
--- a/millfront/node/clients.py
+++ b/millfront/node/clients.py
@@ -222,12 +222,12 @@
             # A request's time counts from its last byte.
             self.handle_request(message, self.server.clock.now())
 
-    def handle_request(self, message: Message, came_us: int) -> None:
+    def handle_request(self, message: Message, arrived_us: int) -> None:
         if message.start in HEALTH_REQUESTS and self.server.ready is not None:
             self.send_response(self.server.health())
             return
         try:
-            open_request = self.server.admit(self.server.take_in(message, came_us), self)
+            open_request = self.server.admit(self.server.take_in(message, arrived_us), self)
         except RequestRejected as error:
             self.send_response(relay.own_response(error.status, f"{error}\n".encode(), error.fields))
             return
--- a/millfront/node/host.py
+++ b/millfront/node/host.py
@@ -29,8 +29,6 @@
 # After a request's deadline: the decision module has had its timeout, and the slack that the platform's rule
 # allows is not used up yet.
 DEADLINE_GRACE_US = 15_000
-
-
 NO_DEADLINE_US = 3_600_000_000  # while a body is in transfer, which has its own timeouts
 
 
@@ -81,7 +79,7 @@
 
     accepts_streaming: bool  # can forward a response while it arrives
 
-    def begin_response(self, answer: Any, source: Source) -> None:
+    def begin_response(self, response: Any, source: Source) -> None:
         """Starts a streamed response: its head and the first part of its body."""
 
     def send_body(self, data: bytes) -> bool:
@@ -91,7 +89,7 @@
     def abort_response(self) -> None:
         """The rest of the response is lost; the client must be able to tell."""
 
-    def served(self, answer: Any) -> None: ...
+    def served(self, response: Any) -> None: ...
     def rejected(self, retry_after_us: int) -> None: ...
     def failed(self) -> None: ...
 
@@ -313,18 +311,18 @@
             flow.body_complete()
         self.post_event(api.RequestWhole(open_request.id, open_request.arrival.timeout_us))
 
-    def begin_stream(self, open_request: OpenRequest, number: int, answer: Any, source: Source) -> bool:
+    def begin_stream(self, open_request: OpenRequest, number: int, response: Any, source: Source) -> bool:
         """Starts streaming an attempt's response to the client; False: no response is owed any more."""
         if open_request.finished or open_request.streaming_flow >= 0:
             return False
         open_request.streaming_flow = number
         self.post_event(api.StreamStarted(open_request.id, number))
-        open_request.caller.begin_response(answer, source)
+        open_request.caller.begin_response(response, source)
         return True
 
     def _schedule_overdue_check(self, request: int, after_us: int) -> None:
         """Checks the request once, after this time. Checks within one DEADLINE_CHECK_US share a timer. Only
-        the request's number is kept, so that its message can be freed before then."""
+        the request's id is kept, so that its message can be freed before then."""
         now = self.clock.now()
         tick = (now + after_us) // DEADLINE_CHECK_US + 1
         if tick in self._deadline_checks:
@@ -400,7 +398,7 @@
         send: api.Send,
         outcome: api.Outcome,
         latency_us: int,
-        answer: Any = None,
+        response: Any = None,
         units: float = 0.0,
     ) -> None:
         """Reports the end of an attempt, once. The first success is the request's final response."""
@@ -412,7 +410,7 @@
             and open_request.streaming_flow in (-1, number)
             and self._finish(open_request.id)
         ):
-            open_request.caller.served(answer)
+            open_request.caller.served(response)
         elif open_request.streaming_flow == number and self._finish(open_request.id):
             open_request.caller.abort_response()
         self._remove_if_done(open_request)
--- a/millfront/node/members.py
+++ b/millfront/node/members.py
@@ -42,7 +42,7 @@
     streaming: bool  # a response is being forwarded
 
     def on_partial_response(self) -> None: ...
-    def on_response_head(self, answer: Message) -> None:
+    def on_response_head(self, response: Message) -> None:
         """A response too long to buffer: its head, and what has arrived of its body."""
 
     def on_body(self, data: bytes, last: bool) -> None:
@@ -51,7 +51,7 @@
     def on_body_progress(self) -> None:
         """All that was written of the request's body so far is with the kernel."""
 
-    def on_response(self, answer: Message) -> None: ...
+    def on_response(self, response: Message) -> None: ...
     def on_malformed(self, why: str) -> None: ...
     def on_broken(self, error: ExchangeError) -> None: ...
 
@@ -86,7 +86,7 @@
         ...
 
     def drop(self) -> None:
-        """Gives the exchange up, which the member can tell."""
+        """Gives the exchange up; the member sees its connection closed or its stream reset."""
 
     def record_outcome(self, ok: bool) -> None:
         """Records whether the request that was written on it succeeded, for IdleReuseStats."""
@@ -209,19 +209,19 @@
             return
         try:
             if self.parser.body_pending:
-                piece = self.parser.read_body(data)
-                flow.on_body(piece, not self.parser.body_pending)
+                part = self.parser.read_body(data)
+                flow.on_body(part, not self.parser.body_pending)
                 return
-            answer = self.parser.feed(data)
+            response = self.parser.feed(data)
         except ExchangeError as error:
             self._fail(flow, error)
             return
-        if answer is None:
+        if response is None:
             flow.on_partial_response()
-        elif answer.body_incomplete:
-            flow.on_response_head(answer)
+        elif response.body_incomplete:
+            flow.on_response_head(response)
         else:
-            flow.on_response(answer)
+            flow.on_response(response)
 
     def deliver_buffered(self) -> None:
         """Delivers what arrived with the response's head, once the head has been forwarded."""
@@ -235,8 +235,8 @@
 
     def deliver_partial(self) -> None:
         """Delivers what has arrived of a response without a length."""
-        if self.flow is not None and (answer := self.parser.partial_response()) is not None:
-            self.flow.on_response_head(answer)
+        if self.flow is not None and (response := self.parser.partial_response()) is not None:
+            self.flow.on_response_head(response)
 
     def ended(self, why: str) -> None:
         flow = self.flow
@@ -255,15 +255,15 @@
             flow.on_broken(ExchangeError(Ending.BROKEN, why))
             return
         try:
-            answer = self.parser.end_of_stream()
+            response = self.parser.end_of_stream()
         except ExchangeError as error:
             self._fail(flow, error)
             return
-        assert answer is not None
+        assert response is not None
         if flow.streaming:
-            flow.on_body(answer.body, True)
+            flow.on_body(response.body, True)
         else:
-            flow.on_response(answer)
+            flow.on_response(response)
 
     def _fail(self, flow: ResponseHandler, error: ExchangeError) -> None:
         if error.ending is Ending.MALFORMED:
--- a/millfront/node/pool.py
+++ b/millfront/node/pool.py
@@ -126,15 +126,15 @@
         connection = await self._send_request(discovery, "/v1/servers")
         try:
             with anyio.fail_after(WATCH_TIMEOUT_S):
-                answer = await connection.read_response()
+                response = await connection.read_response()
         except TimeoutError:
             raise ExchangeError(Ending.TIMED_OUT) from None
         finally:
             await connection.close()
-        if answer.start != 200:
-            raise ExchangeError(Ending.ERRORED, f"status {answer.start}")
+        if response.start != 200:
+            raise ExchangeError(Ending.ERRORED, f"status {response.start}")
         if discovery == self.discovery:
-            self._apply_json(answer.body)
+            self._apply_json(response.body)
             self._needs_full_list = False
 
     async def _send_request(self, discovery: Address, target: str) -> HttpConnection:
--- a/millfront/node/service.py
+++ b/millfront/node/service.py
@@ -84,7 +84,7 @@
         self._drain_started = anyio.Event()
 
     def ready(self) -> bool:
-        """Health as reported to the front: a pool member is ready, and no drain is on."""
+        """Health as reported to the load balancer in front: a pool member is ready, and no drain is on."""
         return self.members.any_ready() and self.drain.accepts_clients
 
     # ---- commands of operators, by signal or on their line ---------------------------------------
@@ -293,7 +293,7 @@
             log.info("endings", of=what, were=counts or "none")
 
     def _begin_stream(self, flow: ServerSideFlow) -> bool:
-        return self.host.begin_stream(flow.open_request, flow.number, flow.answer, flow)
+        return self.host.begin_stream(flow.open_request, flow.number, flow.response, flow)
 
     def _close_idle(self, backend: int) -> None:
         if member := self.members.get(backend):
--- a/millfront/node/stages/relay.py
+++ b/millfront/node/stages/relay.py
@@ -3,9 +3,9 @@
 from millfront.node.http import Fields, Message, end_to_end_fields
 
 
-def served(answer: Message) -> Message:
-    fields = end_to_end_fields(answer)
-    return Message(answer.start, fields, fields, answer.body)
+def served(response: Message) -> Message:
+    fields = end_to_end_fields(response)
+    return Message(response.start, fields, fields, response.body)
 
 
 def rejected(retry_after_us: int) -> Message:
--- a/millfront/node/stages/send.py
+++ b/millfront/node/stages/send.py
@@ -40,7 +40,6 @@
     """One attempt. It ends exactly once, in whatever order cancel, timeout, response and failure arrive."""
 
     __slots__ = (
-        "answer",
         "body_progress_us",
         "cancel_connect",
         "completion_timer",
@@ -53,6 +52,7 @@
         "open_request",
         "paused",
         "reconnects_left",
+        "response",
         "stage",
         "started_us",
         "streaming",
@@ -78,7 +78,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.completion_timer: asyncio.TimerHandle | None = None  # started by a response's first bytes
         self.streaming = False  # the response is forwarded as it arrives
-        self.answer: Message | None = None  # the head of a streamed response
+        self.response: Message | None = None  # the head of a streamed response
         self.first_byte_us = 0  # when the response's first bytes arrived
         self.body_progress_us = now_us  # last progress of a body
         self.paused = False  # until the client has taken what was forwarded
@@ -87,7 +87,7 @@
     def cancel(self) -> None:
         self.end(Ending.CANCELLED)
 
-    def end(self, ending: Ending, answer: Message | None = None) -> None:
+    def end(self, ending: Ending, response: Message | None = None) -> None:
         """Ends the attempt, once. Closing an open connection tells the member that it was given up."""
         if self.finished:
             return
@@ -101,7 +101,7 @@
         if self.has_body_slot:
             self.has_body_slot = False
             self.stage.body_slots.release()
-        self.stage.record(self, ending, answer)
+        self.stage.record(self, ending, response)
 
     def release_connection(self) -> None:
         """Closes the connection. An upload in progress is detached and waits for the next connection: what is
@@ -158,14 +158,14 @@
         )
 
     def deliver_partial(self) -> None:
-        if not self.finished and not self.streaming and self.answer is None and self.connection is not None:
+        if not self.finished and not self.streaming and self.response is None and self.connection is not None:
             self.connection.deliver_partial()
 
-    def on_response_head(self, answer: Message) -> None:
+    def on_response_head(self, response: Message) -> None:
         if self.completion_timer is not None:
             self.completion_timer.cancel()
             self.completion_timer = None
-        if (ending := self.stage.classify_answer(self, answer)) is not Ending.SERVED:
+        if (ending := self.stage.classify_response(self, response)) is not Ending.SERVED:
             self.end(ending)
             return
         if not self.open_request.caller.accepts_streaming:
@@ -173,7 +173,7 @@
             return
         assert self.connection is not None
         self.connection.pause()
-        self.answer, self.first_byte_us = answer, self.stage.clock.now()
+        self.response, self.first_byte_us = response, self.stage.clock.now()
         self.stage.body_slots.acquire(self.start_streaming)
 
     def start_streaming(self) -> None:
@@ -182,7 +182,7 @@
             self.stage.body_slots.release()
             return
         self.has_body_slot = True
-        assert self.answer is not None
+        assert self.response is not None
         self.streaming = self.stage.begin_stream(self)
         if not self.streaming:
             self.end(Ending.CANCELLED)
@@ -203,7 +203,7 @@
             if connection.release():
                 connection.flow, self.connection = None, None
                 connection.resume()
-            self.end(Ending.SERVED, self.answer)
+            self.end(Ending.SERVED, self.response)
         elif not accepts_more:
             self.paused = True
             connection.pause()
@@ -232,14 +232,14 @@
                 self.connection.record_outcome(True)
             self.end(Ending.MALFORMED)
 
-    def on_response(self, answer: Message) -> None:
+    def on_response(self, response: Message) -> None:
         connection = self.connection
         assert connection is not None
         connection.record_outcome(True)
-        ending = self.stage.classify_answer(self, answer)
+        ending = self.stage.classify_response(self, response)
         if ending is not Ending.MALFORMED and connection.release():
             connection.flow, self.connection = None, None
-        self.end(ending, answer)
+        self.end(ending, response)
 
     def on_broken(self, error: ExchangeError) -> None:
         """The connection has ended without a complete response. Reconnects if the request may be resent."""
@@ -272,16 +272,16 @@
         record: Callable[[ServerSideFlow, Ending, Message | None], None],
         body_slots: BodySlots,
         begin_stream: Callable[[ServerSideFlow], bool],
-        classify_answer: "Callable[[ServerSideFlow, Message], Ending] | None" = None,
+        classify_response: "Callable[[ServerSideFlow, Message], Ending] | None" = None,
         fields: "Callable[[ServerSideFlow, PoolMember, Message], Fields] | None" = None,
     ) -> None:
         """:param route: finds and checks the member of a target
         :param record: called once for each finished attempt
         :param begin_stream: starts a streamed response to the client; False: none is owed any more
-        :param classify_answer: the ending that a response's head means, before any byte goes to the client
+        :param classify_response: the ending that a response's head means, before any byte goes to the client
         :param fields: the header fields of a request to a member
         """
-        self.classify_answer = classify_answer or (lambda _, answer: ending_of(answer))
+        self.classify_response = classify_response or (lambda _, response: ending_of(response))
         self.fields = fields or self._default_fields
         self.completion_timeout_s = RESPONSE_COMPLETION_TIMEOUT_S
         self.partial_may_run = False  # whether a request of which a member has seen a part may have run
@@ -351,10 +351,10 @@
         return fields
 
 
-def ending_of(answer: Message) -> Ending:
+def ending_of(response: Message) -> Ending:
     """Only 503 and 504 with `Not-Started: 1` are certain never to have run."""
-    if answer.start == 200:
+    if response.start == 200:
         return Ending.SERVED
-    if answer.start in (503, 504) and answer.field(b"not-started") == b"1":
+    if response.start in (503, 504) and response.field(b"not-started") == b"1":
         return Ending.NOT_STARTED
     return Ending.ERRORED
--- a/millfront/operators/parts.py
+++ b/millfront/operators/parts.py
@@ -30,16 +30,16 @@
     if options.agreement is not None:
         from millfront.agreement.part import AgreementPart
 
-        agreeing = AgreementPart(node, options.agreement)
-        node.parts.add(agreeing)
+        agreement = AgreementPart(node, options.agreement)
+        node.parts.add(agreement)
         if admin is not None:
-            admin.add_status("agreement", agreeing.status)
+            admin.add_status("agreement", agreement.status)
     if options.http2 is not None:
         from millfront.http2.part import Http2Part
 
-        front = Http2Part(node, options.http2)
-        node.parts.add(front)
+        http2 = Http2Part(node, options.http2)
+        node.parts.add(http2)
         if admin is not None:
-            admin.add_status("http2", front.status)
+            admin.add_status("http2", http2.status)
     if admin is not None:
         node.parts.add(admin)
--- a/millfront/plans/part.py
+++ b/millfront/plans/part.py
@@ -42,8 +42,8 @@
 
     @property
     def settings_plans(self) -> dict[str, api.Plan]:
-        tuning = self.node.active_settings
-        return {name: tuning.settings.plans[place] for name, place in tuning.plans.items()}
+        active = self.node.active_settings
+        return {name: active.settings.plans[place] for name, place in active.plans.items()}
 
     # ---- node part ---------------------------------------------------------------------------
 
--- a/millfront/quotas/requester.py
+++ b/millfront/quotas/requester.py
@@ -95,7 +95,7 @@
     request_id: int
     tenant: str
     granter: str
-    asked_at: float
+    requested_at: float
 
 
 @dataclass(slots=True)
@@ -199,7 +199,7 @@
         expired = [
             request_id
             for request_id, pending in self._pending.items()
-            if now - pending.asked_at > self.token_lifetime_s
+            if now - pending.requested_at > self.token_lifetime_s
         ]
         for request_id in expired:
             pending = self._pending.pop(request_id)
@@ -297,7 +297,7 @@
             state.empty_until[pending.granter] = now + UNAVAILABLE_BACKOFF_S
             return
         if grant.tokens > 0.0:
-            state.held.append(HeldTokens(grant.tokens, pending.asked_at + self.token_lifetime_s))
+            state.held.append(HeldTokens(grant.tokens, pending.requested_at + self.token_lifetime_s))
         if grant.retry_after_s > 0.0:
             state.empty_until[pending.granter] = now + grant.retry_after_s
             state.scarce_until = now + SCARCITY_S
--- a/millfront/usage/part.py
+++ b/millfront/usage/part.py
@@ -128,10 +128,10 @@
 
     # ---- calls from the host -----------------------------------------------------------------
 
-    def request_sent(self, opened: OpenRequest, standing: api.Standing) -> None:
+    def request_sent(self, open_request: OpenRequest, standing: api.Standing) -> None:
         """Records an attempt before it is sent. A fault here must never affect the request."""
         try:
-            arrival = opened.arrival
+            arrival = open_request.arrival
             entry = Opened(
                 self.node.clock.now(),
                 arrival.request_id.decode("latin-1"),
@@ -142,17 +142,17 @@
                 STANDINGS[standing],
                 arrival.units,
             )
-            opened.usage_mark = Mark(self.ledger.record_opened(entry), entry)
+            open_request.usage_mark = Mark(self.ledger.record_opened(entry), entry)
         except Exception:
             log.exception("the start of an attempt could not be recorded")
 
-    def request_settled(self, opened: OpenRequest) -> None:
-        mark: Mark = opened.usage_mark
+    def request_settled(self, open_request: OpenRequest) -> None:
+        mark: Mark = open_request.usage_mark
         try:
-            if not opened.may_have_run:
+            if not open_request.may_have_run:
                 self.ledger.record_settled(mark.seq, mark.entry, Result.NEVER, 0.0)
-            elif opened.true_units > 0.0:
-                self.ledger.record_settled(mark.seq, mark.entry, Result.TOLD, opened.true_units)
+            elif open_request.true_units > 0.0:
+                self.ledger.record_settled(mark.seq, mark.entry, Result.TOLD, open_request.true_units)
             else:
                 self.ledger.record_settled(mark.seq, mark.entry, Result.GUESSED, mark.entry.guess)
         except Exception:
--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -347,7 +347,7 @@
     proxy.load_balancer.service_times["shop"] = 0.004
     proxy.members.idle_reuse = IdleReuseStats()
     for seen in proxy.load_balancer.server_states.values():
-        seen.failures, seen.state, seen.paused_until, seen.latency_ratio, seen.slots = (
+        seen.failures, seen.state, seen.paused_until, seen.slowness, seen.slots = (
             0,
             State.HEALTHY,
             0.0,
@@ -441,14 +441,14 @@
 
 
 def ids_not_compared(patch: pytest.MonkeyPatch) -> None:
-    whole = Proxy.classify_answer
+    whole = Proxy.classify_response
 
     def judge(self: Proxy, flow: Any, answer: Message) -> Ending:
         fields = [(b"millfront-attempt-id", flow.open_request.attempt_id)]
         fields += [(name, value) for name, value in answer.fields if name != b"millfront-attempt-id"]
         return whole(self, flow, Message(answer.start, fields, answer.raw_fields, answer.body))
 
-    patch.setattr(Proxy, "classify_answer", judge)
+    patch.setattr(Proxy, "classify_response", judge)
 
 
 def always_promised(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -207,7 +207,7 @@
         gatekeeper = node.gatekeeper
         assert gatekeeper is not None and gatekeeper.replica is not None
         if gatekeeper.reconfiguration.recovery.stage is Stage.FETCHING:
-            coming = gatekeeper.subscriber._arrivals._incoming.get("config")
+            coming = gatekeeper.subscriber._incoming_texts._incoming.get("config")
             if coming is not None and len(coming.parts) > 2:
                 assert not gatekeeper.replica.votes
                 return gatekeeper
