--- a/millfront/agreement/part.py
+++ b/millfront/agreement/part.py
@@ -129,7 +129,7 @@
 
     def interim_settings(self, settings: api.Settings) -> api.Settings:
         """The settings in force, restricted to what every older interim version allows. Classes and plans are
-        matched by name, through the indexes that that the active settings keep for them."""
+        matched by name, through the indexes that the active settings keep for them."""
         view, active = self.view, self.node.active_settings
         if view.mode is Mode.AGREED:
             return settings
--- a/millfront/control/admin.py
+++ b/millfront/control/admin.py
@@ -33,9 +33,8 @@
     def __init__(self, coordinator: Coordinator, subscriber: Subscriber, now: float, seed: int) -> None:
         self.coordinator, self.subscriber, self.now = coordinator, subscriber, now
         self.random = random.Random(seed)
-        self.open_rounds: dict[
-            str, tuple[Round, Callable[[Round], None]]
-        ] = {}  # by reference, with what to call at the end
+        # By reference, with what to call at the end
+        self.open_rounds: dict[str, tuple[Round, Callable[[Round], None]]] = {}
         self.retries: list[tuple[float, Callable[[], None]]] = []  # ballots that a tick restarts, and when
 
     # Implemented by the gatekeeper
--- a/millfront/decisions/state.py
+++ b/millfront/decisions/state.py
@@ -47,7 +47,7 @@
     ended: bool = False
     may_have_run: bool = True
     slow: bool = False  # has shrunk the window, or may not (streaming)
-    uncounted: bool = False  # not in the load: out for too long, or in transfer to or from the client
+    uncounted: bool = False  # not in the load: unanswered past its aim, or in transfer to or from the client
 
 
 @dataclass(slots=True)
--- a/millfront/discovery/server_list.py
+++ b/millfront/discovery/server_list.py
@@ -111,7 +111,9 @@
         self.servers: dict[str, Server] = {}
         self.list_number = 0  # fencing number of the list held; 0: none
         self.poller = ""  # who read it: two may poll at once and use the same number
-        self.as_of = NEVER  # start of the read that gave it: the platform was asked then, or later
+        # Start of the read that gave it: the platform was asked then, or later. For a received list it may be
+        # later than that start by the transit times of its messages, which are not measured.
+        self.as_of = NEVER
         self.unavailable_as_of = NEVER  # start of the latest read, by a poller in turn, known to have failed
         self.poll_began = NEVER  # start of the latest read
         self.polling = False
@@ -130,12 +132,13 @@
         return self.list_number > 0
 
     def age(self, now: float) -> float:
-        """Upper bound of the seconds since the platform was asked for this list; infinite without one."""
+        """Seconds since the read that gave the list began, less the transit times of a received one; infinite
+        without a list."""
         return now - self.as_of if self.has_list() else math.inf
 
     def usable(self, now: float) -> bool:
         """Whether requests may be routed by this list: no server that it shows as ready can have been
-        draining for longer than `drain_within`.
+        draining for longer than `drain_within`, apart from the transit times that `as_of` leaves out.
 
         While the platform is unavailable no newer list exists, and the one held stays in use."""
         return self.has_list() and now - max(self.as_of, self.unavailable_as_of) <= self.timing.max_age()
--- a/millfront/membership/gossip.py
+++ b/millfront/membership/gossip.py
@@ -367,11 +367,11 @@
         # Delayed records are not forwarded: they would arrive as if they had just been written
         out = self._forward(message["c"]) if message.get("p") and not delay else []
         kind = message["t"]
-        asked = [name for name in message.get("w", ()) if name in self.records]
+        requested = [name for name in message.get("w", ()) if name in self.records]
         if kind == "hello":
-            asked = [name for name in self.records if self.records[name].identity is not None]
-        for at in range(0, len(asked), RECORDS_PER_DATAGRAM):
-            named = [self.records[name] for name in asked[at : at + RECORDS_PER_DATAGRAM]]
+            requested = [name for name in self.records if self.records[name].identity is not None]
+        for at in range(0, len(requested), RECORDS_PER_DATAGRAM):
+            named = [self.records[name] for name in requested[at : at + RECORDS_PER_DATAGRAM]]
             identity = {record.name: record.identity for record in named if record.identity is not None}
             wires = [self._to_wire(now, record) for record in named]
             out.append((reply_to, {"t": "cards", "c": wires, "x": identity}))
--- a/millfront/membership/record.py
+++ b/millfront/membership/record.py
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """A record as held. ``totals``: tenant -> [sent, asked], in units since the start of its process."""
+    """A record as held. ``totals``: tenant -> [sent, demand], in requests since its process started."""
 
     name: str
     incarnation: int
--- a/millfront/operators/document.py
+++ b/millfront/operators/document.py
@@ -48,10 +48,8 @@
     listen: PathText | None = None  # HOST:PORT of a separate listener
     shared: bool = False  # also on the gatekeeper's own port, detected by the connection preface
     streams: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 100  # limit of open streams per connection
-    connections: Annotated[int, msgspec.Meta(ge=1)] = (
-        64  # limit on the listener; they use the clients' share of descriptors
-    )
-
+    # Limit on the listener; they use the clients' share of descriptors
+    connections: Annotated[int, msgspec.Meta(ge=1)] = 64
     members: bool = False  # also to pool members, with prior knowledge
     member_streams: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 32  # limit of open streams per connection
     member_connections: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 4  # limit per member
--- a/millfront/plans/carry.py
+++ b/millfront/plans/carry.py
@@ -15,12 +15,12 @@
   ceiling it starts empty and refills at the new rate.
 - Attempts in flight stay in flight and count against the new limit; no more are sent until they are below
   it.
-- Units sent and demanded since the last tick are still reported. Counter totals continue if both plans count
-  with the same quantum; otherwise the next total is treated as the first one under its name.
+- Units sent and demanded since the last counter call are still reported. Counter totals continue if both
+  plans count with the same quantum; otherwise the next total is treated as the first one under its name.
 
 Bound: with B the larger burst, Q(t) the rate in force and Δ the time until the last gateway has learned of
 the change, all gateways together send on at most B + ∫Q(t)dt + max(Q)·Δ plus the normal path's own error
-over a tick: docs/design/live-plans.md derives it.
+over a counter period: docs/design/live-plans.md derives it.
 """
 
 from dataclasses import dataclass
--- a/millfront/register/chunks.py
+++ b/millfront/register/chunks.py
@@ -29,7 +29,7 @@
 
 
 class Offer(NamedTuple):
-    """Announces a long text: `chain` builds it from the version the receiver holds; None: ask for chunks."""
+    """Announces a long text: `chain` builds it from the version the receiver holds; None: request chunks."""
 
     version: int
     tie: str
--- a/millfront/register/coordinator.py
+++ b/millfront/register/coordinator.py
@@ -212,7 +212,7 @@
     @staticmethod
     def _count_answer(round: Round, sender: str, incarnations: dict[str, int]) -> None:
         """Count an answer, and drop answers of incarnations that have ended: a replica that recovered has
-        told so many others that any majority of them contains one that reports it."""
+        announced its new incarnation to so many others that any majority contains one that reports it."""
         for name, incarnation in incarnations.items():
             round.incarnations[name] = max(incarnation, round.incarnations.get(name, 0))
         round.answered[sender] = incarnations.get(sender, 0)
--- a/millfront/register/placement.py
+++ b/millfront/register/placement.py
@@ -58,9 +58,9 @@
     - the core does not become smaller than `min_members`, or not smaller at all if it already is;
     - the members that are sound now are a majority of the new core without any that has just joined.
 
-    A dark member remains a member unless a process that is up needs its place. Processes that joined recently
-    (`recent`) are added only where that gains a vote: they may be successors of a member that is not yet
-    known to be dark.
+    An unreachable (`DARK`) member remains a member unless a process that is up needs its place. Processes
+    that joined recently (`recent`) are added only where that gains a vote: they may be successors of a member
+    that is not yet known to be unreachable.
 
     >>> up = dict.fromkeys("abcd", Seat.SOUND)
     >>> core = dict.fromkeys("abcd", "")
@@ -69,7 +69,8 @@
     >>> choose_members(dict.fromkeys("abc", ""), up | {"a": Seat.LEAVING}, {}, set(), 1).waiting
     ('a',)
 
-    A core of four with one dark member and one new one would start with two voters: the dark one is replaced.
+    A core of four with one unreachable and one new member would start with two voters: so the former is
+    replaced.
 
     >>> three = dict.fromkeys("abc", ""), up | {"a": Seat.DARK}
     >>> "".join(sorted(choose_members(*three, {"e": ""}, {"e"}, 1).members))
--- a/millfront/register/reconfiguration.py
+++ b/millfront/register/reconfiguration.py
@@ -254,7 +254,6 @@
         if self._no_successor_since is not None and now - self._no_successor_since >= MAX_HANDOVER_S:
             return True
         records = gatekeeper.membership.records
-        # whether no member stays
         return not any(name in records and not records[name].leaving for name in core.all_members)
 
     def _note_own_wait(self, now: float, core: Core) -> None:
--- a/millfront/register/replica.py
+++ b/millfront/register/replica.py
@@ -241,7 +241,7 @@
         return [], [PersistRequest(newer, (reply_to, answer), epoch, drop)]
 
     def synced(self, persist: PersistRequest, ok: bool) -> list[tuple[Any, Message]]:
-        """The disk has synced the request, or failed to (`ok`)."""
+        """The disk has synced the request, or with `ok` false has failed to."""
         reply_to, answer = persist.reply
         if not ok:
             return [(reply_to, {"t": "no", "r": answer["r"]})]
--- a/millfront/usage/batches.py
+++ b/millfront/usage/batches.py
@@ -24,9 +24,8 @@
 )
 
 RECORDS_PER_SLICE = 200  # takes about a millisecond
-Key = tuple[
-    int, str, str, int, str, str, str
-]  # the fields period to figure of a Line, without the gatekeeper
+# The fields `period` to `figure` of a Line, without the gatekeeper
+Key = tuple[int, str, str, int, str, str, str]
 UNIT_DIGITS = 6  # decimal places, so that float sums don't depend on the order of addition
 
 
--- a/millfront/usage/receiver.py
+++ b/millfront/usage/receiver.py
@@ -55,7 +55,6 @@
             head, lines_of = parse_batch(text)
         except (zstandard.ZstdError, msgspec.MsgspecError, ValueError) as error:
             return 400, {"error": f"can't be read: {error}"}
-
         if hashlib.sha256(text).hexdigest() != digest or head.lines != len(lines_of) or head.batch != name:
             return 400, {"error": "does not match its digest, its name or its head line"}
         if self.folder is not None:
@@ -64,7 +63,6 @@
         return 201, {"digest": digest, "lines": head.lines, "next": self.marks[match["ledger"]]}
 
     def _add(self, name: str, text: bytes) -> None:
-
         head, lines = parse_batch(text)
         match = NAME.fullmatch(name)
         assert match is not None
@@ -110,7 +108,8 @@
         return status, content
 
 
-FaultInjector = Callable[[str, str], str]  # (method, path) to "", "before", "after" or "half"
+# (method, path) -> name of the fault, as create_server() lists them; empty: none
+FaultInjector = Callable[[str, str], str]
 
 
 def create_server(
