--- a/millfront/choice.py
+++ b/millfront/choice.py
@@ -14,7 +14,7 @@
 SLOW_CALL_SHARE = 0.3  # of the time-out: a queue that long grows until no answer is in time
 IDLE_US = 30 * SECOND_US  # minimum idle time before a customer is forgotten
 QUIET_SHARE = 0.25  # of an even share of a period's quota: below it no total can change a decision
-HEDGE_RATIO = 0.05  # hedges per request; each attempt found lost allows one more
+HEDGE_RATIO = 0.05  # hedges per request; an attempt unanswered past its aim allows one more
 
 
 class Gateway(Attempts):
--- a/millfront/decisions/members.py
+++ b/millfront/decisions/members.py
@@ -22,7 +22,7 @@
 
 class Backends(ColdBackends):
     def pressure(self) -> float:
-        """Mean attempts in flight over the window; those at an ejected backend are lost, not load."""
+        """Mean attempts in flight over the window; those at an ejected backend do not count."""
         return max(self.mean_load, self.load - CHANCE_ATTEMPTS) / max(self.window, MIN_WINDOW)
 
     def add_load(self, now: int, attempts: int) -> None:
--- a/millfront/node/link.py
+++ b/millfront/node/link.py
@@ -70,7 +70,7 @@
             self._notify_ended("internal error")
 
     def _notify_ended(self, why: str) -> None:
-        """Stop reading, then tell the owner: the loop would call on and on for a socket that has ended."""
+        """Stop reading, then tell the owner: the loop would keep calling for a socket that has ended."""
         if not self.closed:
             self._loop.remove_reader(self._fd)
             self._paused = True
--- a/millfront/plans/book.py
+++ b/millfront/plans/book.py
@@ -30,7 +30,7 @@
 
 
 class PlanEntry(Strict, frozen=True):
-    """A plan, in the terms of the settings' Packages: units a second, units at once, attempts in flight."""
+    """A plan, in the terms of the settings' Packages: units a second, units at once, attempts out at once."""
 
     name: Name
     rate: Amount
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -323,13 +323,13 @@
 
 
 async def test_body_slots_are_acquired_in_turn_and_released() -> None:
-    ways, started = BodySlots(2), list[int]()
+    slots, started = BodySlots(2), list[int]()
     for number in range(4):
-        ways.acquire(lambda number=number: started.append(number))  # type: ignore[misc]
+        slots.acquire(lambda number=number: started.append(number))  # type: ignore[misc]
     assert started == [0, 1]
-    ways.release()
-    assert started == [0, 1, 2] and ways.in_use == 2
+    slots.release()
+    assert started == [0, 1, 2] and slots.in_use == 2
     for _ in range(3):
-        ways.release()
-    assert started == [0, 1, 2, 3] and ways.in_use == 0
+        slots.release()
+    assert started == [0, 1, 2, 3] and slots.in_use == 0
     assert BODY_BUFFER_BYTES >= MAX_BUFFERED_BODY_BYTES
--- a/tests/test_call_once.py
+++ b/tests/test_call_once.py
@@ -358,16 +358,16 @@
 
 
 def routes() -> str:
-    told = json.loads(document(2, {"t": ["key-1"]}))
-    route = told["resources"].pop(0)
+    configuration = json.loads(document(2, {"t": ["key-1"]}))
+    route = configuration["resources"].pop(0)
     for kind in KINDS:
         variant = kind.partition("-")[0]
         spec = route["spec"] | {"path_prefix": f"/{kind}/", "variant_tag": variant, "target_time": "20ms"}
-        told["resources"].append(
+        configuration["resources"].append(
             {"variant": "routes", "meta": {"name": kind}, "spec": spec | {"max_tries": 3}}
         )
-    told["resources"][0]["spec"]["max_conns"] = 500
-    return json.dumps(told)
+    configuration["resources"][0]["spec"]["max_conns"] = 500
+    return json.dumps(configuration)
 
 
 async def run_cases(
@@ -515,7 +515,7 @@
     """Two servers have the same request. The first starts streaming a long answer to the client, then the
     second answers too. Returns whether the client gets the first answer, and the next request its own."""
 
-    async def story() -> bool:
+    async def scenario() -> bool:
         begun, over = asyncio.Event(), asyncio.Event()
         page = bytes(range(256)) * 800
 
@@ -556,7 +556,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 return calls.field(head, "Millfront-Attempt-Id") == b"2"
 
-    return asyncio.run(story())
+    return asyncio.run(scenario())
 
 
 def test_a_second_answer_does_not_end_a_streaming_one(
--- a/tests/test_live_plans.py
+++ b/tests/test_live_plans.py
@@ -137,8 +137,8 @@
         code, said = await run(plans, "apply", str(mine))
         assert code == 2 and "$.assignments[0].plan: no plan is named 'no-such-plan'" in said
         assert part(on).status()["version"] == 2
-        told = json.loads((await run(command, "status", "--admin", socket, "--json")).stdout)
-        assert told["plans"]["version"] == 2 and told["open"] == 0
+        report = json.loads((await run(command, "status", "--admin", socket, "--json")).stdout)
+        assert report["plans"]["version"] == 2 and report["open"] == 0
         on.node.stop()
         await on.ended.wait()
     assert not (tmp_path / "admin.sock").exists()
@@ -161,8 +161,8 @@
     tmp_path: Path, call: bytes, answers: int
 ) -> None:
     listen = f"{tmp_path}/admin.sock"
-    told = operators(tmp_path, admin={"listen": f"unix:{listen}"})
-    async with running_node(Peer(), operators=told), await anyio.connect_unix(listen) as stream:
+    options = operators(tmp_path, admin={"listen": f"unix:{listen}"})
+    async with running_node(Peer(), operators=options), await anyio.connect_unix(listen) as stream:
         await stream.send(call)
         with anyio.fail_after(TEST_TIMEOUT_S):
             assert status(await stream.receive()) == answers
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -53,9 +53,9 @@
             request(cls, Request_Id="9b1f03aa5c7e2d41", X_Trace="As It Came", Connection="x-hop", X_Hop="1")
         )
     (sent,) = member.seen
-    came = request(cls)
-    assert sent.split(b"\r\n")[0] == came.split(b"\r\n")[0]
-    assert sent.partition(b"\r\n\r\n")[2] == came.partition(b"\r\n\r\n")[2]
+    original = request(cls)
+    assert sent.split(b"\r\n")[0] == original.split(b"\r\n")[0]
+    assert sent.partition(b"\r\n\r\n")[2] == original.partition(b"\r\n\r\n")[2]
     assert b"X-Trace: As It Came" in sent and b"X-Hop" not in sent
     fields = {name: value for name, _, value in fields_of(sent)}
     assert fields[b"request-id"] == b"9b1f03aa5c7e2d41"
@@ -367,16 +367,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     member = Peer()
-    dial, dialling, up = Members.connect, anyio.Event(), []
+    connect, dialling, up = Members.connect, anyio.Event(), []
 
-    def slow_dial(members: Members, to: Any, done: Any) -> Any:
+    def slow_connect(members: Members, to: Any, done: Any) -> Any:
         def later(*result: Any) -> None:
             up.append(lambda: done(*result))
             dialling.set()
 
-        return dial(members, to, later)
+        return connect(members, to, later)
 
-    monkeypatch.setattr(Members, "connect", slow_dial)
+    monkeypatch.setattr(Members, "connect", slow_connect)
     async with running_node(member) as running, await running.client() as client:
         await client.send(request("code-redeem", Request_Timeout="500m"))
         with anyio.fail_after(TEST_TIMEOUT_S):
@@ -430,9 +430,9 @@
     async with running_node(one, counter=counter) as running, listening(other, next_counter, discovery):
         assert running.node.counter is not None
         running.node.counter.timeout_us = 2_000_000
-        tell = running.node.host.post_event
+        post_event = running.node.host.post_event
         running.node.host.post_event = lambda event: (  # type: ignore[method-assign]
-            answered.append(event.outcome) if isinstance(event, api.CounterAnswered) else tell(event)
+            answered.append(event.outcome) if isinstance(event, api.CounterAnswered) else post_event(event)
         )
         assert status(await running.ask(request())) == 200
         running.node.host.start_count(api.Count(1, 1.0, 1000))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -44,8 +44,8 @@
 
 
 def test_the_example_is_valid_and_the_platform_runs_without_it() -> None:
-    told = document.parse((ROOT / "deploy" / "operators.json").read_bytes())
-    assert told.plans is not None and told.usage is not None and told.admin is not None
+    options = document.parse((ROOT / "deploy" / "operators.json").read_bytes())
+    assert options.plans is not None and options.usage is not None and options.admin is not None
     run = (ROOT / "deploy" / "balancer.toml").read_text()
     assert "MILLFRONT_OPERATOR" not in run and "--operator" not in run
 
@@ -131,9 +131,9 @@
     bad = tmp_path / "bad.json"
     bad.write_text('{"version": 0, "assignments": [{"customer": "x", "plan": "p"}]}')
     ended = command("check", "--json", str(bad), "examples/config.json")
-    told = json.loads(ended.stdout)
-    assert ended.returncode == 2 and not told["sound"]
-    assert [len(entry["faults"]) for entry in told["files"]] == [2, 0]
+    report = json.loads(ended.stdout)
+    assert ended.returncode == 2 and not report["sound"]
+    assert [len(entry["faults"]) for entry in report["files"]] == [2, 0]
 
 
 def test_plans_are_edited_in_a_file_and_kept(tmp_path: Path) -> None:
@@ -150,8 +150,8 @@
     plans("reserve", "launch", customer, "--rate", "5", *span)
     plans("reserve", "launch", customer, "--rate", "5", "--units", "5", *span, code=2)
     plans("assign", customer, "casual", *span)  # splits the existing assignment in two
-    told = plans("show", "--customer", customer, "--at", "2026-12-02T08:30:00+10:00")
-    assert told["plan"] == "casual" and len(told["assignments"]) == 3
+    shown = plans("show", "--customer", customer, "--at", "2026-12-02T08:30:00+10:00")
+    assert shown["plan"] == "casual" and len(shown["assignments"]) == 3
     assert plans("show", "--customer", customer, "--at", "2026-12-02T09:00:00+10:00")["plan"] == "collector"
     plans("release", "launch", customer)
     plans("release", "launch", customer, code=1)
@@ -171,8 +171,8 @@
 
 def test_a_book_over_the_reserved_share_is_refused_by_the_command(tmp_path: Path) -> None:
     operator = tmp_path / "operators.json"
-    told = {"file": str(tmp_path / "book.json"), "fleet_units_per_s": 100, "most_reserved_share": 0.1}
-    operator.write_text(json.dumps({"plans": told}))
+    options = {"file": str(tmp_path / "book.json"), "fleet_units_per_s": 100, "most_reserved_share": 0.1}
+    operator.write_text(json.dumps({"plans": options}))
     span = ["--from", "2026-12-02T08:00:00Z", "--until", "2026-12-02T09:00:00Z"]
     words = ["plans", "--operator", str(operator), "reserve", "r", "1", *span]
     refused = command(*words, "--rate", "11")
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -42,8 +42,8 @@
     return Opened(clock.us, f"{next(NAMES):x}", customer, "casual", 3, "page-fetch", 0, guess)
 
 
-def ledger(folder: Path, clock: Clock, **told: Any) -> Ledger:
-    return Ledger(folder, "n0", Usage(str(folder), **({"period_s": 60} | told)), clock)
+def ledger(folder: Path, clock: Clock, **options: Any) -> Ledger:
+    return Ledger(folder, "n0", Usage(str(folder), **({"period_s": 60} | options)), clock)
 
 
 def record_attempt(made: Ledger, clock: Clock, units: float = 3.0, result: Result = Result.TOLD) -> None:
--- a/tests/test_usage_node.py
+++ b/tests/test_usage_node.py
@@ -54,10 +54,10 @@
     tmp_path: Path, receiver: tuple[BatchReceiver, str]
 ) -> None:
     receiving, address = receiver
-    told = answer(200, b"page", b"Billed-Units: 3.5")
+    success = answer(200, b"page", b"Billed-Units: 3.5")
     never = answer(503, b"", b"Not-Started: 1")
     # served; error, not repeatable; connection lost, then the repeat served; never started at any member
-    member = Peer(told, answer(500), disconnects, told, never)
+    member = Peer(success, answer(500), disconnects, success, never)
     async with running_node(member, operators=operators(tmp_path, address)) as on:
         assert status(await on.ask(request("page-fetch"))) == 200
         assert status(await on.ask(request("code-redeem"))) == 502
@@ -81,11 +81,11 @@
 ) -> None:
     receiving, address = receiver
     never = Peer(*[silent] * 100)
-    told = operators(tmp_path, "")
-    told["usage"]["export"]["receiver"] |= {"timeout_s": 0.1, "first_wait_s": 0.01, "most_wait_s": 0.05}
+    options = operators(tmp_path, "")
+    options["usage"]["export"]["receiver"] |= {"timeout_s": 0.1, "first_wait_s": 0.01, "most_wait_s": 0.05}
     async with listening(never):
-        told["usage"]["export"]["receiver"]["address"] = never.address
-        async with running_node(Peer(), operators=told) as on:
+        options["usage"]["export"]["receiver"]["address"] = never.address
+        async with running_node(Peer(), operators=options) as on:
             (part,) = [p for p in on.node.parts._parts if isinstance(p, UsagePart)]
             assert part.exporter is not None
             for _ in range(3):
