--- a/millfront/operations/store.py
+++ b/millfront/operations/store.py
@@ -35,7 +35,7 @@
 MAX_EPOCH_GAP = 2  # a core value names the members of two epochs: its own and the one before
 WINDOW_MARGIN_S = 5.0  # added to the window: a request is claimed a moment after it was sent
 PAGE_RECORDS = 300  # records per page sent to a gathering replica
-MAX_ANSWERS_BYTES = 16 * 1024 * 1024  # total size of stored answers; an answer beyond it becomes UNKNOWN
+MAX_ANSWERS_BYTES = 16 * 1024 * 1024  # total size of stored answers; beyond it operations end as UNKNOWN
 SWEEP_INTERVAL_S = 5.0
 
 
