--- a/millfront/operators/files.py
+++ b/millfront/operators/files.py
@@ -1,32 +1,32 @@
-"""Files that are there whole or not at all, also over a loss of power."""
+"""Writes files atomically and durably: after a power failure a file is complete or absent."""
 
 import os
 from pathlib import Path
 
 
-def write_whole(path: Path, data: bytes, mode: int = 0o600) -> None:
-    """Written and synced aside, renamed, the folder synced.
+def write_atomically(path: Path, data: bytes, mode: int = 0o600) -> None:
+    """Writes and syncs a temporary file, renames it to `path`, and syncs the folder.
 
-    What a crash leaves beside the old file or the new one ends in `.new`.
+    A crash leaves the old or the new file, and possibly the temporary one, whose name ends in `.new`.
 
-    :raises OSError: the disk did not take it; the file is as it was
+    :raises OSError: the disk refused the write; the file is unchanged
     """
-    aside = path.with_name(path.name + ".new")
+    temporary = path.with_name(path.name + ".new")
     try:
-        fd = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, mode)
+        fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, mode)
         with open(fd, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(aside, path)
+        os.replace(temporary, path)
     except OSError:
-        aside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
-    sync(path.parent)
+    fsync_path(path.parent)
 
 
-def sync(path: Path) -> None:
-    """Make a file or a folder lasting."""
+def fsync_path(path: Path) -> None:
+    """Makes a file or a folder durable with fsync."""
     fd = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     try:
         os.fsync(fd)
