--- a/examples/page_server.py
+++ b/examples/page_server.py
@@ -7,7 +7,7 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-WORK_S = 0.05
+SERVICE_TIME_S = 0.05
 
 
 class PageServer(BaseHTTPRequestHandler):
@@ -15,7 +15,7 @@
 
     def do_GET(self) -> None:
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
-        time.sleep(WORK_S)
+        time.sleep(SERVICE_TIME_S)
         body = f"{self.command} {self.path}, request {self.headers.get('Request-Id')}\n".encode()
         self.send_response(200)
         self.send_header("Content-Type", "text/plain")
--- a/examples/page_hall.py
+++ b/examples/toy_servers.py
@@ -5,10 +5,10 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any, ClassVar
 
-WORK_S = 0.05
+SERVICE_TIME_S = 0.05
 
 
-class Quiet(BaseHTTPRequestHandler):
+class QuietHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def log_message(self, format: str, *args: object) -> None:
@@ -23,7 +23,7 @@
         self.wfile.write(body)
 
 
-class Hall(Quiet):
+class ToyServer(QuietHandler):
     """A server of a service: answers with its stamp, and nobody else's requests at all."""
 
     ident = ""
@@ -34,15 +34,15 @@
         if self.headers.get("Millfront-Target-Instance", self.ident) != self.ident:
             self.answer(421, b"", stamp)
             return
-        time.sleep(WORK_S)
-        whose = self.headers.get("Millfront-Tenant-Name", "nobody")
-        body = f"{self.command} {self.path} for {whose}, by {self.ident}\n".encode()
+        time.sleep(SERVICE_TIME_S)
+        tenant = self.headers.get("Millfront-Tenant-Name", "nobody")
+        body = f"{self.command} {self.path} for {tenant}, by {self.ident}\n".encode()
         self.answer(200, body, stamp | {"Millfront-Server-Seal": f"{self.ident}.1"})
 
     do_POST = do_PUT = do_GET
 
 
-class Platform(Quiet):
+class Platform(QuietHandler):
     """Lists the servers."""
 
     instances: ClassVar[dict[str, Any]] = {}
@@ -52,16 +52,16 @@
         self.answer(200, page, {"Content-Type": "application/json"})
 
 
-def hall(ident: str) -> ThreadingHTTPServer:
+def toy_server(ident: str) -> ThreadingHTTPServer:
     """A server at a port of its own."""
-    return ThreadingHTTPServer(("127.0.0.1", 0), type("Hall", (Hall,), {"ident": ident}))
+    return ThreadingHTTPServer(("127.0.0.1", 0), type("ToyServer", (ToyServer,), {"ident": ident}))
 
 
-def platform(halls: dict[str, tuple[str, str]]) -> ThreadingHTTPServer:
+def platform(servers: dict[str, tuple[str, str]]) -> ThreadingHTTPServer:
     """The platform's list of these servers: ident -> (address, zone)."""
-    listed = {
+    instances = {
         ident: {"target": "shop", "address": address, "zone": zone, "revision": "v1", "capacity": 3,
                 "phase": "ready", "warm_left": "0ms"}
-        for ident, (address, zone) in halls.items()
+        for ident, (address, zone) in servers.items()
     }  # fmt: skip
-    return ThreadingHTTPServer(("127.0.0.1", 0), type("Platform", (Platform,), {"instances": listed}))
+    return ThreadingHTTPServer(("127.0.0.1", 0), type("Platform", (Platform,), {"instances": instances}))
--- a/examples/try_system.py
+++ b/examples/try_system.py
@@ -20,27 +20,27 @@
 from http.server import ThreadingHTTPServer
 from pathlib import Path
 
-from page_hall import hall, platform
+from toy_servers import platform, toy_server
 
 ZONES = {"north": "a", "south": "a", "far": "b"}
 HOST, KEY = "shop.example", "a-key-to-try"
 START_S = 20.0
 
 
-def behind(made: ThreadingHTTPServer) -> str:
-    threading.Thread(target=made.serve_forever, daemon=True).start()
-    return f"127.0.0.1:{made.server_port}"
+def serve_in_background(http_server: ThreadingHTTPServer) -> str:
+    threading.Thread(target=http_server.serve_forever, daemon=True).start()
+    return f"127.0.0.1:{http_server.server_port}"
 
 
 def ports(count: int) -> list[int]:
     """Free ones; each gatekeeper has an address of its own and the same ports."""
-    held = [socket.socket() for _ in range(count)]
-    for sock in held:
+    sockets = [socket.socket() for _ in range(count)]
+    for sock in sockets:
         sock.bind(("127.0.0.1", 0))
-    found = [int(sock.getsockname()[1]) for sock in held]
-    for sock in held:
+    numbers = [int(sock.getsockname()[1]) for sock in sockets]
+    for sock in sockets:
         sock.close()
-    return found
+    return numbers
 
 
 def settings(folder: Path, number: int, cloud: str, plain: int, ctl: int, post: int) -> Path:
@@ -54,7 +54,8 @@
         f'state_dir = "{folder / zone}"', "[self.limits]", "fd_limit = 1000",
         "[network]", f"port_range = [{post}, {post}]", f"seed_nodes = {json.dumps(seeds)}",
         "[network.bindings]", f'plain = "{ip}:{plain}"', f'ctl = "{ip}:{ctl}"', f'lookup = "{ip}:{ctl}"',
-        f'readiness = "{ip}:{ctl}"', "[network.zones]", *(f'{name} = "{of}"' for name, of in ZONES.items()),
+        f'readiness = "{ip}:{ctl}"', "[network.zones]",
+        *(f'{name} = "{region}"' for name, region in ZONES.items()),
         "[platform.cloud_api]", f'address = "{cloud}"', "[terms.bounds]",
     ]  # fmt: skip
     path = folder / f"{zone}.toml"
@@ -79,61 +80,64 @@
 
 def call(method: str, url: str, body: str = "") -> tuple[int, str]:
     """A call of the operator: status and text; 0 where nobody answers."""
-    asked = urllib.request.Request(url, body.encode() or None, method=method)
+    request = urllib.request.Request(url, body.encode() or None, method=method)
     try:
-        with urllib.request.urlopen(asked, timeout=5) as answer:
+        with urllib.request.urlopen(request, timeout=5) as answer:
             return answer.status, answer.read().decode()
-    except urllib.error.HTTPError as wrong:
-        return wrong.code, ""
+    except urllib.error.HTTPError as error:
+        return error.code, ""
     except OSError:
         return 0, ""
 
 
-def until(what: str, method: str, url: str, body: str = "") -> str:
+def wait_until(description: str, method: str, url: str, body: str = "") -> str:
     """Asked again until it is answered with 200, as an operator does."""
-    end = time.monotonic() + START_S
-    while time.monotonic() < end:
+    deadline = time.monotonic() + START_S
+    while time.monotonic() < deadline:
         status, text = call(method, url, body)
         if status == 200:
             return text
         time.sleep(0.2)
-    sys.exit(f"{what}: not within {START_S:g} s")
+    sys.exit(f"{description}: not within {START_S:g} s")
 
 
-def say(line: str) -> None:
+def show(line: str) -> None:
     print(line, flush=True)
 
 
 def main() -> int:
-    halls = {f"i-{number}": (behind(hall(f"i-{number}")), zone) for number, zone in enumerate(ZONES)}
-    cloud = behind(platform(halls))
+    servers = {
+        f"i-{number}": (serve_in_background(toy_server(f"i-{number}")), zone)
+        for number, zone in enumerate(ZONES)
+    }
+    cloud = serve_in_background(platform(servers))
     plain, ctl, post = ports(3)
-    started: list[subprocess.Popen[bytes]] = []
-    ended = threading.Event()
-    for ends in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(ends, lambda *_: ended.set())
+    processes: list[subprocess.Popen[bytes]] = []
+    stop = threading.Event()
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        signal.signal(signal_number, lambda *_: stop.set())
     with tempfile.TemporaryDirectory(prefix="millfront-") as name:
         try:
             for number in range(len(ZONES)):
                 path = settings(Path(name), number, cloud, plain, ctl, post)
                 command = [sys.executable, "-B", "-m", "millfront", "gatekeeper"]
-                given = os.environ | {"MILLFRONT_CONFIG": str(path)}
-                started.append(subprocess.Popen(command, env=given))
-            until("the configuration", "PUT", f"http://127.0.0.2:{ctl}/v1/config", configuration(1))
+                environment = os.environ | {"MILLFRONT_CONFIG": str(path)}
+                processes.append(subprocess.Popen(command, env=environment))
+            wait_until("the configuration", "PUT", f"http://127.0.0.2:{ctl}/v1/config", configuration(1))
             for number in range(len(ZONES)):
-                until("readiness", "GET", f"http://127.0.0.{number + 1}:{ctl}/v1/readiness")
-            say(f"where:    curl 'http://127.0.0.1:{ctl}/v1/resolve?name={HOST}&region=a&zone=north'")
-            say(f"ask:      curl -i http://127.0.0.1:{plain}/pages/1 -H 'Host: {HOST}' \\")
-            say(f"            -H 'Authorization: Token {KEY}' -H 'Millfront-Attempt-Id: 1' \\")
-            say("            -H 'Millfront-Deadline-Ms: 3000'")
-            say(f"read:     curl http://127.0.0.3:{ctl}/v1/config")
-            say(f"evacuate: curl -X POST http://127.0.0.2:{ctl}/v1/evacuation/north    (-X DELETE: back)")
-            say(f"state of each office: {name}/ZONE; Ctrl-C ends all")
-            ended.wait()
+                wait_until("readiness", "GET", f"http://127.0.0.{number + 1}:{ctl}/v1/readiness")
+            show(f"where:    curl 'http://127.0.0.1:{ctl}/v1/resolve?name={HOST}&region=a&zone=north'")
+            show(f"ask:      curl -i http://127.0.0.1:{plain}/pages/1 -H 'Host: {HOST}' \\")
+            show(f"            -H 'Authorization: Token {KEY}' -H 'Millfront-Attempt-Id: 1' \\")
+            show("            -H 'Millfront-Deadline-Ms: 3000'")
+            show(f"read:     curl http://127.0.0.3:{ctl}/v1/config")
+            show(f"evacuate: curl -X POST http://127.0.0.2:{ctl}/v1/evacuation/north    (-X DELETE: back)")
+            show(f"state of each office: {name}/ZONE; Ctrl-C ends all")
+            stop.wait()
         finally:
-            for process in started:
+            for process in processes:
                 process.terminate()
-            for process in started:
+            for process in processes:
                 process.wait(10)
     return 0
 
--- a/millfront/cli/caller.py
+++ b/millfront/cli/caller.py
@@ -8,19 +8,19 @@
 
 from millfront.cli.exits import UNREACHABLE, fail
 
-WAIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
-class Unix(http.client.HTTPConnection):
+class UnixConnection(http.client.HTTPConnection):
     """HTTP over a Unix socket."""
 
     def __init__(self, path: str) -> None:
-        super().__init__("localhost", timeout=WAIT_S)
+        super().__init__("localhost", timeout=TIMEOUT_S)
         self.path = path
 
     def connect(self) -> None:
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.sock.settimeout(WAIT_S)
+        self.sock.settimeout(TIMEOUT_S)
         self.sock.connect(self.path)
 
 
@@ -36,15 +36,17 @@
 
 def call(admin: str, method: str, path: str, body: bytes = b"", **fields: str) -> Answer:
     """One call; ends the command with 4 where nobody answers."""
-    unix = admin.startswith("unix:")
+    is_unix = admin.startswith("unix:")
     connection = (
-        Unix(admin.removeprefix("unix:")) if unix else http.client.HTTPConnection(admin, timeout=WAIT_S)
+        UnixConnection(admin.removeprefix("unix:"))
+        if is_unix
+        else http.client.HTTPConnection(admin, timeout=TIMEOUT_S)
     )
     try:
         connection.request(method, path, body or None, {k.replace("_", "-"): v for k, v in fields.items()})
-        got = connection.getresponse()
-        return Answer(got.status, {k.lower(): v for k, v in got.getheaders()}, got.read())
-    except (OSError, http.client.HTTPException) as wrong:
-        fail(UNREACHABLE, f"{admin}: {wrong}")
+        response = connection.getresponse()
+        return Answer(response.status, {k.lower(): v for k, v in response.getheaders()}, response.read())
+    except (OSError, http.client.HTTPException) as error:
+        fail(UNREACHABLE, f"{admin}: {error}")
     finally:
         connection.close()
--- a/millfront/cli/commands.py
+++ b/millfront/cli/commands.py
@@ -12,7 +12,7 @@
 from millfront.cli.exits import UNUSABLE, fail, json_option, show
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """Groups whose modules are imported only when they are asked for."""
 
     GROUPS: ClassVar[dict[str, str]] = {
@@ -29,8 +29,8 @@
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         if cmd_name in self.GROUPS:
             module = importlib.import_module(self.GROUPS[cmd_name])
-            group: click.Command = module.group
-            return group
+            loaded_group: click.Command = module.group
+            return loaded_group
         if cmd_name in self.ROLES:
             role: click.Command = getattr(importlib.import_module(self.ROLES[cmd_name]), cmd_name)
             return role
@@ -46,7 +46,7 @@
         return VERSION
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(_version(), prog_name="millfront")
 def group() -> None:
     """A quota-keeping gateway. Without a command it runs, configured by NODE_* alone."""
@@ -79,19 +79,19 @@
     settings (.toml) and configurations. Exits with 2 on any fault."""
     from millfront.cli import documents
 
-    found: list[dict[str, Any]] = []
+    results: list[dict[str, Any]] = []
     for file in files:
         kind_of, faults = documents.check(Path(file), kind)
-        found.append({"file": file, "kind": kind_of, "faults": [str(f) for f in faults]})
+        results.append({"file": file, "kind": kind_of, "faults": [str(f) for f in faults]})
         if not as_json:
             for fault in faults:
                 click.echo(f"{file}: {fault}", err=True)
             if not faults:
                 click.echo(f"{file}: sound ({kind_of})")
-    bad = any(entry["faults"] for entry in found)
+    has_faults = any(entry["faults"] for entry in results)
     if as_json:
-        show(True, {"sound": not bad, "files": found}, "")
-    sys.exit(UNUSABLE if bad else 0)
+        show(True, {"sound": not has_faults, "files": results}, "")
+    sys.exit(UNUSABLE if has_faults else 0)
 
 
 @group.command()
@@ -115,9 +115,9 @@
     """Print what makes SHELL complete our commands."""
     from click.shell_completion import get_completion_class
 
-    found = get_completion_class(shell)
-    assert found is not None
-    click.echo(found(group, {}, "millfront", "_MILLFRONT_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None
+    click.echo(completion_class(group, {}, "millfront", "_MILLFRONT_COMPLETE").source())
 
 
 @group.command()
@@ -127,27 +127,27 @@
     """What a running gatekeeper says of itself."""
     from millfront.cli import caller
 
-    answer = caller.call(admin, "GET", "/v1/status")
-    told = answer.json()
+    response = caller.call(admin, "GET", "/v1/status")
+    report = response.json()
     lines = []
-    for name, value in told.items():
+    for name, value in report.items():
         if isinstance(value, dict):
-            lines += [f"{name}.{inner}: {what}" for inner, what in value.items()]
+            lines += [f"{name}.{inner}: {inner_value}" for inner, inner_value in value.items()]
         else:
             lines.append(f"{name}: {value}")
-    show(as_json, told, "\n".join(lines))
+    show(as_json, report, "\n".join(lines))
 
 
 def main() -> int:
     try:
-        ended = group.main(prog_name="millfront", standalone_mode=False)
-        return ended if isinstance(ended, int) else 0
-    except click.ClickException as wrong:
-        wrong.show()
+        result = group.main(prog_name="millfront", standalone_mode=False)
+        return result if isinstance(result, int) else 0
+    except click.ClickException as error:
+        error.show()
         return UNUSABLE
     except click.Abort:
         return 130
     except BrokenPipeError:
         return 0
-    except OSError as wrong:
-        fail(UNUSABLE, f"{wrong.filename or ''}: {wrong.strerror}")
+    except OSError as error:
+        fail(UNUSABLE, f"{error.filename or ''}: {error.strerror}")
--- a/millfront/cli/documents.py
+++ b/millfront/cli/documents.py
@@ -17,38 +17,38 @@
     """The kind of a file, told by its fields where it is not given, and its faults."""
     try:
         text = path.read_bytes()
-    except OSError as wrong:
-        return kind or "unknown", [Fault("$", f"can't be read: {wrong.strerror}")]
+    except OSError as error:
+        return kind or "unknown", [Fault("$", f"can't be read: {error.strerror}")]
     if kind == "settings" or (kind is None and path.suffix == ".toml"):
-        return "settings", _system(text, "settings")
+        return "settings", _check_system_document(text, "settings")
     try:
-        held = json.loads(text)
-    except ValueError as wrong:
-        return kind or "unknown", [Fault("$", f"is not JSON: {wrong}")]
-    if not isinstance(held, dict):
+        parsed = json.loads(text)
+    except ValueError as error:
+        return kind or "unknown", [Fault("$", f"is not JSON: {error}")]
+    if not isinstance(parsed, dict):
         return kind or "unknown", [Fault("$", "is not an object")]
-    kind = kind or kind_of(held)
+    kind = kind or kind_of(parsed)
     if kind == "configuration":
-        return kind, _system(text, kind)
+        return kind, _check_system_document(text, kind)
     try:
         if kind == "operators":
             document.parse(text)
         elif kind == "plans":
             book = books.decode(text)
             # without the settings and the operators' file: what the book says by itself
-            named = {entry.plan for entry in book.assignments}
-            return kind, books.check(book, named, float("inf"))
+            plan_names = {entry.plan for entry in book.assignments}
+            return kind, books.check(book, plan_names, float("inf"))
         else:
-            config.from_json(held)
-    except Unusable as wrong:
-        return kind, wrong.faults
-    except config.ConfigError as wrong:
-        path_in, _, why = str(wrong).partition(": ")
-        return kind, [Fault(f"$.{path_in}", why)]
+            config.from_json(parsed)
+    except Unusable as error:
+        return kind, error.faults
+    except config.ConfigError as error:
+        field_path, _, reason = str(error).partition(": ")
+        return kind, [Fault(f"$.{field_path}", reason)]
     return kind, []
 
 
-def _system(text: bytes, kind: str) -> list[Fault]:
+def _check_system_document(text: bytes, kind: str) -> list[Fault]:
     """Of the whole system's documents the first fault is named."""
     from result import Err
 
@@ -57,25 +57,25 @@
 
     try:
         if kind == "configuration":
-            read: Any = configuration.checked(text.decode())
+            outcome: Any = configuration.checked(text.decode())
         else:
-            read = environment.read(tomllib.loads(text.decode()))
-    except ValueError as wrong:
-        return [Fault("$", f"is not TOML: {wrong}")]
-    return [Fault("$", str(read.err_value))] if isinstance(read, Err) else []
+            outcome = environment.read(tomllib.loads(text.decode()))
+    except ValueError as error:
+        return [Fault("$", f"is not TOML: {error}")]
+    return [Fault("$", str(outcome.err_value))] if isinstance(outcome, Err) else []
 
 
-def kind_of(held: dict[str, Any]) -> str:
-    if "resources" in held:
+def kind_of(parsed: dict[str, Any]) -> str:
+    if "resources" in parsed:
         return "configuration"
-    if "settings" in held or "discovery" in held:
+    if "settings" in parsed or "discovery" in parsed:
         return "config"
-    return "plans" if "version" in held or "assignments" in held else "operators"
+    return "plans" if "version" in parsed or "assignments" in parsed else "operators"
 
 
 def schema(name: str) -> str:
     """The published JSON schema (2020-12)."""
     kind = document.Operators if name == "operators" else books.Book
-    made = msgspec.json.schema(kind)
+    definition = msgspec.json.schema(kind)
     head = {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": f"millfront {name}"}
-    return json.dumps(head | made, indent=1, sort_keys=True) + "\n"
+    return json.dumps(head | definition, indent=1, sort_keys=True) + "\n"
--- a/millfront/cli/exits.py
+++ b/millfront/cli/exits.py
@@ -20,9 +20,9 @@
     sys.exit(code)
 
 
-def show(as_json: bool, what: Any, text: str) -> None:
+def show(as_json: bool, value: Any, text: str) -> None:
     """For programs one JSON object, for people a text."""
-    click.echo(json.dumps(what, default=str) if as_json else text)
+    click.echo(json.dumps(value, default=str) if as_json else text)
 
 
 json_option = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of text.")
--- a/millfront/cli/gatekeeper.py
+++ b/millfront/cli/gatekeeper.py
@@ -46,14 +46,14 @@
     """The roster and each one's version, the core and its disks, duties, what is under way.
 
     Exits with 1 where versions differ or somebody is missing."""
-    told = _asked(address, "GET", "/v1/gatekeeper")
-    show(as_json, told, "\n".join(_lines(told)))
-    behind = [
+    state = _call_json(address, "GET", "/v1/gatekeeper")
+    show(as_json, state, "\n".join(_status_lines(state)))
+    out_of_date = [
         record
-        for record in told["roster"]
-        if record["version"] != told["version"] or record["liveness"] != "up"
+        for record in state["roster"]
+        if record["version"] != state["version"] or record["liveness"] != "up"
     ]
-    sys.exit(DIFFERS if behind or not told["ready"] else 0)
+    sys.exit(DIFFERS if out_of_date or not state["ready"] else 0)
 
 
 @group.command()
@@ -64,13 +64,13 @@
 @json_option
 def why(address: str, part: str, as_json: bool) -> None:
     """What a gatekeeper did lately, and on which facts."""
-    pages = _asked(address, "GET", f"/v1/gatekeeper/events?part={part}")["pages"]
+    events = _call_json(address, "GET", f"/v1/gatekeeper/events?part={part}")["pages"]
     lines = [
-        f"{page['ago']:9.1f} s ago  {page['part']}: {page['text']}"
-        + "".join(f"  {name}={value}" for name, value in page["facts"].items())
-        for page in pages
+        f"{event['ago']:9.1f} s ago  {event['part']}: {event['text']}"
+        + "".join(f"  {name}={value}" for name, value in event["facts"].items())
+        for event in events
     ]
-    show(as_json, pages, "\n".join(lines))
+    show(as_json, events, "\n".join(lines))
 
 
 @group.command()
@@ -80,26 +80,26 @@
 def tenant(address: str, name: str, as_json: bool) -> None:
     """Why a tenant's requests are let in or refused by a gatekeeper. Exits with 1 where there is none
     such."""
-    told = _asked(address, "GET", "/v1/gatekeeper/tenants").get(name)
-    if told is None:
+    state = _call_json(address, "GET", "/v1/gatekeeper/tenants").get(name)
+    if state is None:
         fail(DIFFERS, f"no tenant {name} in the configuration in force at {address}")
     lines = [f"{name}: no limit"]
-    if told["rate"]:
+    if state["rate"]:
         lines = [
-            f"{name}: {told['rate']:g} a second and {told['burst']:g} at once, over {told['n']} processes"
+            f"{name}: {state['rate']:g} a second and {state['burst']:g} at once, over {state['n']} processes"
         ]
-    if "price" in told:
-        refused = f"refused {told['refused_level']} at its level"
-        refused += f", {told['refused_exhausted']} with no token left anywhere"
-        refused += f", {told['refused_unreachable']} with nobody who grants tokens in reach"
+    if "price" in state:
+        refusals = f"refused {state['refused_level']} at its level"
+        refusals += f", {state['refused_exhausted']} with no token left anywhere"
+        refusals += f", {state['refused_unreachable']} with nobody who grants tokens in reach"
         lines += [
-            f"  sent {told['sent_here']:g} a second here, {told['sent_elsewhere']:g} elsewhere"
-            f" (heard of from {told['heard_of']}); asked {told['asked_here']:g} here",
-            f"  price {told['price']:g}, level {told['level']:g} a second, share {told['share']:g}",
-            f"  bucket {told['bucket']:g}; may grant {told['tokens']:g} tokens (share {told['grants']:g})",
-            f"  {refused}",
+            f"  sent {state['sent_here']:g} a second here, {state['sent_elsewhere']:g} elsewhere"
+            f" (heard of from {state['heard_of']}); asked {state['asked_here']:g} here",
+            f"  price {state['price']:g}, level {state['level']:g} a second, share {state['share']:g}",
+            f"  bucket {state['bucket']:g}; may grant {state['tokens']:g} tokens (share {state['grants']:g})",
+            f"  {refusals}",
         ]
-    show(as_json, told, "\n".join(lines))
+    show(as_json, state, "\n".join(lines))
 
 
 @group.command("export")
@@ -107,10 +107,10 @@
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 def export_register(address: str, file: Path) -> None:
     """Write a snapshot of the register, read from a majority, to FILE."""
-    text = _answered(address, "GET", "/v1/register")
-    part = file.with_name(file.name + ".part")
-    part.write_text(text)
-    part.replace(file)
+    text = _call(address, "GET", "/v1/register")
+    temporary = file.with_name(file.name + ".part")
+    temporary.write_text(text)
+    temporary.replace(file)
     click.echo(f"{file}: {len(json.loads(text)['values'])} values")
 
 
@@ -127,50 +127,50 @@
     text = file.read_text()
     if isinstance(read := snapshot.load(text), Err):
         fail(UNUSABLE, f"{file}: {read.err_value}")
-    _answered(address, "PUT", "/v1/register", text)
+    _call(address, "PUT", "/v1/register", text)
     click.echo(f"{file}: {len(json.loads(text)['values'])} values are with a majority")
 
 
-def _asked(address: str, method: str, path: str) -> Any:
-    return json.loads(_answered(address, method, path))
+def _call_json(address: str, method: str, path: str) -> Any:
+    return json.loads(_call(address, method, path))
 
 
-def _answered(address: str, method: str, path: str, body: str = "") -> str:
+def _call(address: str, method: str, path: str, body: str = "") -> str:
     answer = caller.call(address, method, path, body.encode())
     if answer.status != 200:
         fail(UNREACHABLE, f"{address}: {answer.status} {answer.body.decode(errors='replace')}")
     return answer.body.decode()
 
 
-def _lines(told: dict[str, Any]) -> list[str]:
+def _status_lines(state: dict[str, Any]) -> list[str]:
     """For people."""
-    ready = "ready" if told["ready"] else "not ready, it lacks " + ", ".join(told["not_ready_for"])
+    ready = "ready" if state["ready"] else "not ready, it lacks " + ", ".join(state["not_ready_for"])
     lines = [
-        f"{told['name']} in {told['zone']}: {ready}; version {told['version']}, lease {told['lease_s']} s"
+        f"{state['name']} in {state['zone']}: {ready}; version {state['version']}, lease {state['lease_s']} s"
     ]
-    if told["evacuated"]:
-        lines.append(f"evacuated: {' '.join(told['evacuated'])}")
-    if (core := told["core"]) is None:
+    if state["evacuated"]:
+        lines.append(f"evacuated: {' '.join(state['evacuated'])}")
+    if (core := state["core"]) is None:
         lines.append("no core is known")
     else:
         lines.append(f"core {core['epoch']}: {' '.join(core['members'])}; change: {core['change']}")
         if "old_members" in core:
             lines.append(f"  it takes over from: {' '.join(core['old_members'])}")
-    if (replica := told["replica"]) is not None:
-        held = " ".join(f"{key}@{version}" for key, version in replica["held"].items())
-        lines.append(f"keeper: {replica['state']}; its disk {replica['disk']} writes; {held}")
-    for name, duty in told["duties"].items():
+    if (replica := state["replica"]) is not None:
+        held_versions = " ".join(f"{key}@{version}" for key, version in replica["held"].items())
+        lines.append(f"keeper: {replica['state']}; its disk {replica['disk']} writes; {held_versions}")
+    for name, duty in state["duties"].items():
         lines.append(f"duty {name}: {duty['holder']}, fence {duty['fence']}")
-    for round in told["under_way"]:
+    for round in state["under_way"]:
         lines.append(
             f"under way: {round['phase']} {' '.join(round['keys'])}, had by {' '.join(round['had_by'])}"
         )
-    for service, phases in told["servers"].items():
+    for service, phases in state["servers"].items():
         lines.append(
             f"service {service}: " + ", ".join(f"{count} {phase}" for phase, count in phases.items())
         )
     lines.append(f"{'name':24} {'zone':14} {'liveness':9} {'ready':6} {'version':9} {'disk':5} heard")
-    for record in told["roster"]:
+    for record in state["roster"]:
         ready, disk = "yes" if record["ready"] else "no", "yes" if record["disk"] else ""
         lines.append(
             f"{record['name']:24} {record['zone']:14} {record['liveness']:9} {ready:6} {record['version']:9} "
--- a/millfront/cli/plans.py
+++ b/millfront/cli/plans.py
@@ -26,7 +26,7 @@
 
     store: BookStore | None
     admin: str | None
-    most_reserved: float
+    max_reserved: float
     known: tuple[str, ...]
 
     def read(self) -> tuple[bytes, str]:
@@ -44,33 +44,33 @@
         text, tag = self.read()
         try:
             return (books.decode(text) if tag else None), tag
-        except Unusable as wrong:
-            fail(UNUSABLE, *wrong.faults)
+        except Unusable as error:
+            fail(UNUSABLE, *error.faults)
 
     def write(self, book: Book, tag: str) -> None:
         text = books.encode(book)
         if self.store is not None:
-            self._sound(book)
+            self._validate(book)
             try:
                 self.store.write(text, book.version, tag)
-            except Conflict as wrong:
-                fail(CONFLICT, wrong)
-            except OSError as wrong:
-                fail(UNREACHABLE, f"{wrong.filename or self.store.file}: {wrong.strerror}")
+            except Conflict as error:
+                fail(CONFLICT, error)
+            except OSError as error:
+                fail(UNREACHABLE, f"{error.filename or self.store.file}: {error.strerror}")
             return
         assert self.admin is not None
-        held = {"If_Match": tag} if tag else {"If_None_Match": "*"}
-        answer = caller.call(self.admin, "PUT", "/v1/plans", text, **held)
+        conditions = {"If_Match": tag} if tag else {"If_None_Match": "*"}
+        answer = caller.call(self.admin, "PUT", "/v1/plans", text, **conditions)
         if answer.status == 200:
             return
-        told = answer.json()
+        reply = answer.json()
         if answer.status == 412:
-            fail(CONFLICT, told["error"])
-        fail(UNUSABLE if answer.status == 422 else UNREACHABLE, *told.get("faults", [told["error"]]))
+            fail(CONFLICT, reply["error"])
+        fail(UNUSABLE if answer.status == 422 else UNREACHABLE, *reply.get("faults", [reply["error"]]))
 
-    def _sound(self, book: Book) -> None:
-        named = self.known or {entry.plan for entry in book.assignments}
-        if faults := books.check(book, named, self.most_reserved):
+    def _validate(self, book: Book) -> None:
+        plan_names = self.known or {entry.plan for entry in book.assignments}
+        if faults := books.check(book, plan_names, self.max_reserved):
             fail(UNUSABLE, *faults)
 
 
@@ -86,20 +86,20 @@
     ctx: click.Context, file: str | None, admin: str | None, operator: str | None, known: tuple[str, ...]
 ) -> None:
     """Who holds which plan when, and what is reserved."""
-    most = float("inf")
-    if operator is not None and (told := _told(operator)) is not None:
-        file = file or (None if admin else told.file)
-        most = told.fleet_units_per_s * told.most_reserved_share
+    max_reserved = float("inf")
+    if operator is not None and (options := _plans_options(operator)) is not None:
+        file = file or (None if admin else options.file)
+        max_reserved = options.fleet_units_per_s * options.most_reserved_share
     if (file is None) == (admin is None):
         raise click.UsageError("one of --file and --admin is wanted, or --operator with plans")
-    ctx.obj = Target(BookStore(file) if file else None, admin, most, known)
+    ctx.obj = Target(BookStore(file) if file else None, admin, max_reserved, known)
 
 
-def _told(operator: str) -> document.Plans | None:
+def _plans_options(operator: str) -> document.Plans | None:
     try:
         return document.parse(Path(operator).read_bytes()).plans
-    except Unusable as wrong:
-        fail(UNUSABLE, *wrong.faults)
+    except Unusable as error:
+        fail(UNUSABLE, *error.faults)
 
 
 @group.command("show")
@@ -112,35 +112,39 @@
     book, tag = target.book()
     if book is None:
         fail(DIFFERS, "there is no plan book yet")
-    when = _instant(at) if at else datetime.datetime.now(datetime.UTC)
+    when = _parse_instant(at) if at else datetime.datetime.now(datetime.UTC)
     if customer is not None:
-        _show_customer(book, _customer(customer), when, as_json)
+        _show_customer(book, _parse_customer(customer), when, as_json)
         return
-    told = {"version": book.version, "tag": tag, "by": book.by, "note": book.note}
-    told |= {"plans": len(book.plans), "assignments": len(book.assignments)}
-    told |= {"reservations": len(book.reservations)}
-    lines = [f"{name}: {value}" for name, value in told.items()]
+    summary = {"version": book.version, "tag": tag, "by": book.by, "note": book.note}
+    summary |= {"plans": len(book.plans), "assignments": len(book.assignments)}
+    summary |= {"reservations": len(book.reservations)}
+    lines = [f"{name}: {value}" for name, value in summary.items()]
     for entry in book.plans:
-        lines.append(f"plan {entry.name}: {entry.rate:g} units/s, {entry.burst:g} at once{_span(entry)}")
+        lines.append(f"plan {entry.name}: {entry.rate:g} units/s, {entry.burst:g} at once{_validity(entry)}")
     for reservation in book.reservations:
-        much = f"{_much(reservation)} for {reservation.customer}"
-        lines.append(f"reserved {reservation.name}: {much}{_span(reservation)}")
-    show(as_json, told, "\n".join(lines))
+        details = f"{_amount(reservation)} for {reservation.customer}"
+        lines.append(f"reserved {reservation.name}: {details}{_validity(reservation)}")
+    show(as_json, summary, "\n".join(lines))
 
 
 def _show_customer(book: Book, customer: str, when: datetime.datetime, as_json: bool) -> None:
-    found = [e for e in book.assignments if e.customer == customer]
-    now = [e.plan for e in found if _runs(e, when)]
+    assignments = [e for e in book.assignments if e.customer == customer]
+    active = [e.plan for e in assignments if _is_active(e, when)]
     reserved = [r for r in book.reservations if r.customer == customer]
-    told: dict[str, Any] = {"customer": customer, "plan": now[0] if now else None, "version": book.version}
-    told |= {"assignments": [msgspec.to_builtins(e) for e in found]}
-    told |= {"reservations": [msgspec.to_builtins(r) for r in reserved]}
-    lines = [f"{customer}: {now[0] if now else 'as the request says'} at {when.isoformat()}"]
-    lines += [f"  {e.plan}{_span(e)}" for e in found]
+    summary: dict[str, Any] = {
+        "customer": customer,
+        "plan": active[0] if active else None,
+        "version": book.version,
+    }
+    summary |= {"assignments": [msgspec.to_builtins(e) for e in assignments]}
+    summary |= {"reservations": [msgspec.to_builtins(r) for r in reserved]}
+    lines = [f"{customer}: {active[0] if active else 'as the request says'} at {when.isoformat()}"]
+    lines += [f"  {e.plan}{_validity(e)}" for e in assignments]
     lines += [
-        f"  reserved {r.name}: {r.rate or r.units:g}{'/s' if r.rate else ''}{_span(r)}" for r in reserved
+        f"  reserved {r.name}: {r.rate or r.units:g}{'/s' if r.rate else ''}{_validity(r)}" for r in reserved
     ]
-    show(as_json, told, "\n".join(lines))
+    show(as_json, summary, "\n".join(lines))
 
 
 @group.command()
@@ -158,9 +162,9 @@
 def _faults(target: Target, text: bytes) -> list[Fault]:
     try:
         book = books.decode(text)
-    except Unusable as wrong:
-        return wrong.faults
-    return books.check(book, target.known or {e.plan for e in book.assignments}, target.most_reserved)
+    except Unusable as error:
+        return error.faults
+    return books.check(book, target.known or {e.plan for e in book.assignments}, target.max_reserved)
 
 
 @group.command()
@@ -172,8 +176,8 @@
     book, _ = target.book()
     try:
         other = books.decode(Path(book_file).read_bytes())
-    except Unusable as wrong:
-        fail(UNUSABLE, *wrong.faults)
+    except Unusable as error:
+        fail(UNUSABLE, *error.faults)
     lines = books.difference(book or books.empty(), other)
     show(as_json, {"changes": lines}, "\n".join(lines) or "no difference")
     if lines:
@@ -189,8 +193,8 @@
     """Put BOOK_FILE in force. Its version must go up."""
     try:
         book = books.decode(Path(book_file).read_bytes())
-    except Unusable as wrong:
-        fail(UNUSABLE, *wrong.faults)
+    except Unusable as error:
+        fail(UNUSABLE, *error.faults)
     _, tag = target.read()
     if if_match is not None and if_match.strip('"') != tag.strip('"'):
         fail(CONFLICT, f"the book in force has the tag {tag}")
@@ -200,12 +204,12 @@
 
 def _edit(target: Target, by: str, note: str, as_json: bool, change: Change) -> None:
     book, tag = target.book()
-    held = book or books.empty()
-    changed = change(held)
-    version = held.version + 1 if book is not None else 1
-    made = msgspec.structs.replace(changed, version=version, by=by, note=note)
-    target.write(made, tag)
-    lines = books.difference(held, made)
+    current = book or books.empty()
+    changed = change(current)
+    version = current.version + 1 if book is not None else 1
+    edited = msgspec.structs.replace(changed, version=version, by=by, note=note)
+    target.write(edited, tag)
+    lines = books.difference(current, edited)
     show(
         as_json, {"version": version, "changes": lines}, "\n".join([*lines, f"version {version} is in force"])
     )
@@ -237,35 +241,35 @@
     as_json: bool,
 ) -> None:
     """Put CUSTOMER on PLAN. What it was assigned for the same time before gives way."""
-    key = _customer(customer)
+    key = _parse_customer(customer)
     if (plan is None) != clear:
         raise click.UsageError("PLAN or --clear is wanted")
-    begins, ends = _instant(start) if start else None, _instant(until) if until else None
+    begins, ends = _parse_instant(start) if start else None, _parse_instant(until) if until else None
 
     def change(book: Book) -> Book:
         others = [e for e in book.assignments if e.customer != key]
         kept = [e for e in book.assignments if e.customer == key]
         if plan is None:
             return msgspec.structs.replace(book, assignments=tuple(others))
-        cut = [part for entry in kept for part in _without(entry, begins, ends)]
-        made = _made(Assignment, customer=key, plan=plan, from_=begins, until=ends)
-        return msgspec.structs.replace(book, assignments=(*others, *cut, made))
+        trimmed = [part for entry in kept for part in _outside(entry, begins, ends)]
+        new_assignment = _new_entry(Assignment, customer=key, plan=plan, from_=begins, until=ends)
+        return msgspec.structs.replace(book, assignments=(*others, *trimmed, new_assignment))
 
     _edit(target, by, note, as_json, change)
 
 
-def _without(
-    entry: Assignment, begins: datetime.datetime | None, ends: datetime.datetime | None
+def _outside(
+    entry: Assignment, start: datetime.datetime | None, end: datetime.datetime | None
 ) -> list[Assignment]:
     """What is left of an assignment outside [begins, ends)."""
-    left = []
-    if begins is not None and books.micros(entry.from_, 0) < books.micros(begins, 0):
-        until = min(begins, entry.until) if entry.until else begins
-        left.append(msgspec.structs.replace(entry, until=until))
-    if ends is not None and books.micros(ends, 0) < books.micros(entry.until, books.EVER_US):
-        start = max(ends, entry.from_) if entry.from_ else ends
-        left.append(msgspec.structs.replace(entry, from_=start))
-    return left
+    remaining = []
+    if start is not None and books.micros(entry.from_, 0) < books.micros(start, 0):
+        until = min(start, entry.until) if entry.until else start
+        remaining.append(msgspec.structs.replace(entry, until=until))
+    if end is not None and books.micros(end, 0) < books.micros(entry.until, books.EVER_US):
+        resumes = max(end, entry.from_) if entry.from_ else end
+        remaining.append(msgspec.structs.replace(entry, from_=resumes))
+    return remaining
 
 
 @group.command()
@@ -292,20 +296,20 @@
     as_json: bool,
 ) -> None:
     """Reserve allowance for CUSTOMER under NAME; one of that name is replaced."""
-    key = _customer(customer)
-    made = _made(
+    key = _parse_customer(customer)
+    reservation = _new_entry(
         Reservation,
         name=name,
         customer=key,
-        from_=_instant(start),
-        until=_instant(until),
+        from_=_parse_instant(start),
+        until=_parse_instant(until),
         rate=rate,
         units=units,
     )
 
     def change(book: Book) -> Book:
         others = [r for r in book.reservations if (r.customer, r.name) != (key, name)]
-        return msgspec.structs.replace(book, reservations=(*others, made))
+        return msgspec.structs.replace(book, reservations=(*others, reservation))
 
     _edit(target, by, note, as_json, change)
 
@@ -319,13 +323,13 @@
 @click.pass_obj
 def release(target: Target, name: str, customer: str, by: str, note: str, as_json: bool) -> None:
     """Cancel a reservation; what is not used of it is given back at once."""
-    key = _customer(customer)
+    key = _parse_customer(customer)
 
     def change(book: Book) -> Book:
-        left = tuple(r for r in book.reservations if (r.customer, r.name) != (key, name))
-        if len(left) == len(book.reservations):
+        remaining = tuple(r for r in book.reservations if (r.customer, r.name) != (key, name))
+        if len(remaining) == len(book.reservations):
             fail(DIFFERS, f"{key} has no reservation {name!r}")
-        return msgspec.structs.replace(book, reservations=left)
+        return msgspec.structs.replace(book, reservations=remaining)
 
     _edit(target, by, note, as_json, change)
 
@@ -337,40 +341,40 @@
     """The versions kept beside the book's file."""
     if target.store is None:
         raise click.UsageError("the history lies beside the book's file: --file or --operator is wanted")
-    told, lines = [], []
+    versions, lines = [], []
     before = books.empty()
     for number in target.store.versions():
         try:
             book = books.decode(target.store.version(number))
-        except Unusable as wrong:
-            lines.append(f"{number}: can't be read: {wrong}")
-            told.append({"version": number, "faults": [str(f) for f in wrong.faults]})
+        except Unusable as error:
+            lines.append(f"{number}: can't be read: {error}")
+            versions.append({"version": number, "faults": [str(f) for f in error.faults]})
             continue
         changes = len(books.difference(before, book))
-        told.append({"version": number, "by": book.by, "note": book.note, "changes": changes})
+        versions.append({"version": number, "by": book.by, "note": book.note, "changes": changes})
         lines.append(f"{number}: {changes} changes by {book.by or '-'}: {book.note or '-'}")
         before = book
-    show(as_json, {"versions": told}, "\n".join(lines) or "no versions are kept")
+    show(as_json, {"versions": versions}, "\n".join(lines) or "no versions are kept")
 
 
-def _made(kind: Any, **fields: Any) -> Any:
+def _new_entry(kind: Any, **fields: Any) -> Any:
     """An entry, checked as one in a document is."""
     names = {f.name: f.encode_name for f in msgspec.structs.fields(kind)}
-    told = {names[name]: value for name, value in fields.items() if value is not None}
+    encoded = {names[name]: value for name, value in fields.items() if value is not None}
     try:
-        return msgspec.convert(told, kind)
-    except msgspec.ValidationError as wrong:
-        raise click.UsageError(str(wrong)) from None
+        return msgspec.convert(encoded, kind)
+    except msgspec.ValidationError as error:
+        raise click.UsageError(str(error)) from None
 
 
-def _customer(text: str) -> str:
+def _parse_customer(text: str) -> str:
     try:
         return f"{int(text, 16):016x}"
     except ValueError:
         raise click.UsageError(f"{text!r} is no customer: up to 16 hex digits are wanted") from None
 
 
-def _instant(text: str) -> datetime.datetime:
+def _parse_instant(text: str) -> datetime.datetime:
     try:
         at = datetime.datetime.fromisoformat(text)
     except ValueError:
@@ -380,15 +384,15 @@
     return at
 
 
-def _runs(entry: Assignment, when: datetime.datetime) -> bool:
+def _is_active(entry: Assignment, when: datetime.datetime) -> bool:
     at = books.micros(when, 0)
     return books.micros(entry.from_, 0) <= at < books.micros(entry.until, books.EVER_US)
 
 
-def _much(reservation: Reservation) -> str:
+def _amount(reservation: Reservation) -> str:
     return f"{reservation.rate:g} units/s" if reservation.rate else f"{reservation.units:g} units"
 
 
-def _span(entry: Any) -> str:
-    said = f" from {entry.from_.isoformat()}" if entry.from_ else ""
-    return said + (f" until {entry.until.isoformat()}" if entry.until else "")
+def _validity(entry: Any) -> str:
+    text = f" from {entry.from_.isoformat()}" if entry.from_ else ""
+    return text + (f" until {entry.until.isoformat()}" if entry.until else "")
--- a/millfront/cli/rehearse.py
+++ b/millfront/cli/rehearse.py
@@ -19,8 +19,8 @@
 
     try:
         return scenario.load(path)
-    except Unusable as wrong:
-        fail(UNUSABLE, *[f"{path}: {fault}" for fault in wrong.faults])
+    except Unusable as error:
+        fail(UNUSABLE, *[f"{path}: {fault}" for fault in error.faults])
 
 
 @group.command()
@@ -30,10 +30,14 @@
     """Check a scenario whole; exit 2 and the field named where it is wrong."""
     from millfront.rehearsal.scenario import Scenario
 
-    told = _load(file)
-    assert isinstance(told, Scenario)
-    what = {"scenario": told.name, "gatekeepers": told.gatekeepers, "faults": len(told.faults)}
-    show(as_json, what, f"{told.name}: {told.gatekeepers} gatekeepers, {len(told.faults)} faults")
+    scenario = _load(file)
+    assert isinstance(scenario, Scenario)
+    summary = {"scenario": scenario.name, "gatekeepers": scenario.gatekeepers, "faults": len(scenario.faults)}
+    show(
+        as_json,
+        summary,
+        f"{scenario.name}: {scenario.gatekeepers} gatekeepers, {len(scenario.faults)} faults",
+    )
 
 
 @group.command()
@@ -51,20 +55,20 @@
     from millfront.rehearsal.play import play
     from millfront.rehearsal.scenario import Scenario
 
-    told = _load(file)
-    assert isinstance(told, Scenario)
+    scenario = _load(file)
+    assert isinstance(scenario, Scenario)
     if seed is not None:
-        told = msgspec.structs.replace(told, seed=seed)
+        scenario = msgspec.structs.replace(scenario, seed=seed)
     try:
-        verdict = asyncio.run(play(told, Path(out), lambda line: click.echo(line, err=True)))
-    except StartFailed as wrong:
-        fail(UNREACHABLE, wrong)
+        verdict = asyncio.run(play(scenario, Path(out), lambda line: click.echo(line, err=True)))
+    except StartFailed as error:
+        fail(UNREACHABLE, error)
     broken = [name for name, rule in verdict["rules"].items() if not rule["held"]]
     lines = [
         f"{name}: {'held' if rule['held'] else 'BROKEN'}: {rule['detail']}"
         for name, rule in verdict["rules"].items()
     ]
     lines += [f"{name} = {value}" for name, value in verdict["figures"].items()]
-    show(as_json, verdict, "\n".join([f"{told.name}: {'passed' if not broken else 'failed'}", *lines]))
+    show(as_json, verdict, "\n".join([f"{scenario.name}: {'passed' if not broken else 'failed'}", *lines]))
     if broken:
         raise SystemExit(DIFFERS)
--- a/millfront/cli/usage.py
+++ b/millfront/cli/usage.py
@@ -20,7 +20,7 @@
 from millfront.usage.receiver import Receiving, Showing, server
 
 
-class Told:
+class LedgerTarget:
     """Which ledger, and how it is exported."""
 
     def __init__(self, operator: str | None, folder: str | None) -> None:
@@ -28,18 +28,18 @@
         if operator is not None:
             try:
                 self.usage = document.parse(Path(operator).read_bytes()).usage
-            except Unusable as wrong:
-                fail(UNUSABLE, *wrong.faults)
-        found = folder or (self.usage.folder if self.usage else None)
-        if found is None:
+            except Unusable as error:
+                fail(UNUSABLE, *error.faults)
+        path = folder or (self.usage.folder if self.usage else None)
+        if path is None:
             raise click.UsageError("--folder is wanted, or --operator with usage")
-        self.folder = Path(found)
+        self.folder = Path(path)
 
     @property
     def period_s(self) -> int:
         return self.usage.period_s if self.usage else 60
 
-    def seen(self) -> audit.Seen:
+    def contents(self) -> audit.Seen:
         if not self.folder.is_dir():
             fail(UNUSABLE, f"{self.folder}: there is no ledger")
         return audit.look(self.folder)
@@ -54,47 +54,57 @@
 def group(ctx: click.Context, operator: str | None, folder: str | None) -> None:
     """What was used, and its export for billing."""
     if ctx.invoked_subcommand != "receive":
-        ctx.obj = Told(operator, folder)
+        ctx.obj = LedgerTarget(operator, folder)
 
 
 @group.command("show")
 @json_option
 @click.pass_obj
-def show_ledger(told: Told, as_json: bool) -> None:
+def show_ledger(told: LedgerTarget, as_json: bool) -> None:
     """What lies in the ledger: exported, waiting, out, and what could not be recorded."""
-    seen = told.seen()
-    what: dict[str, Any] = {
-        "source": seen.source,
-        "ledger": seen.ledger,
+    contents = told.contents()
+    summary: dict[str, Any] = {
+        "source": contents.source,
+        "ledger": contents.ledger,
         "exported": {
-            "batches": len(seen.receipts),
-            "tries": sum(r.tries for r in seen.receipts),
-            "units": round(sum(r.units for r in seen.receipts), 6),
+            "batches": len(contents.receipts),
+            "tries": sum(r.tries for r in contents.receipts),
+            "units": round(sum(r.units for r in contents.receipts), 6),
         },
-        "waiting": {"segments": len(seen.segments), "units": round(seen.waiting_units, 6)}
-        | dict(seen.waiting),
-        "out": len(seen.open),
-        "unrecorded": {"tries": seen.unrecorded_tries, "units": round(seen.unrecorded_units, 6)},
-        "faults": seen.faults,
+        "waiting": {"segments": len(contents.segments), "units": round(contents.waiting_units, 6)}
+        | dict(contents.waiting),
+        "out": len(contents.open),
+        "unrecorded": {"tries": contents.unrecorded_tries, "units": round(contents.unrecorded_units, 6)},
+        "faults": contents.faults,
     }
     lines = []
-    for name, value in what.items():
-        said = ", ".join(f"{n} {v}" for n, v in value.items()) if isinstance(value, dict) else value
-        lines.append(f"{name}: {said if said else 'none'}")
-    show(as_json, what, "\n".join(lines))
+    for name, value in summary.items():
+        text = ", ".join(f"{n} {v}" for n, v in value.items()) if isinstance(value, dict) else value
+        lines.append(f"{name}: {text if text else 'none'}")
+    show(as_json, summary, "\n".join(lines))
 
 
 @group.command()
 @json_option
 @click.pass_obj
-def verify(told: Told, as_json: bool) -> None:
+def verify(told: LedgerTarget, as_json: bool) -> None:
     """Read every record. Exits with 1 where something is damaged, lost, or not in its order."""
-    seen = told.seen()
-    what = {"records": seen.records, "segments": len(seen.segments), "receipts": len(seen.receipts)}
-    text = f"{seen.records} records in {len(seen.segments)} segments, {len(seen.receipts)} receipts"
-    show(as_json, what | {"faults": seen.faults, "notes": seen.notes}, "\n".join([text, *seen.notes]))
-    if seen.faults:
-        fail(DIFFERS, *([] if as_json else seen.faults))
+    contents = told.contents()
+    summary = {
+        "records": contents.records,
+        "segments": len(contents.segments),
+        "receipts": len(contents.receipts),
+    }
+    text = (
+        f"{contents.records} records in {len(contents.segments)} segments, {len(contents.receipts)} receipts"
+    )
+    show(
+        as_json,
+        summary | {"faults": contents.faults, "notes": contents.notes},
+        "\n".join([text, *contents.notes]),
+    )
+    if contents.faults:
+        fail(DIFFERS, *([] if as_json else contents.faults))
 
 
 @group.command()
@@ -103,7 +113,7 @@
 @click.option("--spool", type=click.Path(file_okay=False), help="A spool folder instead.")
 @json_option
 @click.pass_obj
-def reconcile(told: Told, receiver: str | None, path: str, spool: str | None, as_json: bool) -> None:
+def reconcile(told: LedgerTarget, receiver: str | None, path: str, spool: str | None, as_json: bool) -> None:
     """Compare ledger and receipts with the other side's account, line by line. Exits with 1 on any
     difference."""
     export = told.usage.export if told.usage else None
@@ -113,24 +123,24 @@
             receiver, path = export.receiver.address, export.receiver.path
     if (receiver is None) == (spool is None):
         raise click.UsageError("one of --receiver and --spool is wanted")
-    seen = told.seen()
-    faults = list(seen.faults)
+    contents = told.contents()
+    faults = list(contents.faults)
     if spool is not None:
-        other, more = audit.from_spool(Path(spool), seen.ledger)
-        faults += more
+        other, spool_faults = audit.from_spool(Path(spool), contents.ledger)
+        faults += spool_faults
     else:
         assert receiver is not None
-        batches = _ask(receiver, f"{path}/batches")["batches"]
-        lines = _ask(receiver, f"{path}/sources/{seen.source}.{seen.ledger}/tally")["lines"]
-        other = audit.from_receiver(batches, lines, seen.ledger)
-    faults += audit.compare(told.folder, seen, other, told.period_s)
-    what = {"batches": len(seen.receipts), "differences": faults}
-    show(as_json, what, f"{len(seen.receipts)} receipts, {len(faults)} differences")
+        batches = _fetch_json(receiver, f"{path}/batches")["batches"]
+        lines = _fetch_json(receiver, f"{path}/sources/{contents.source}.{contents.ledger}/tally")["lines"]
+        other = audit.from_receiver(batches, lines, contents.ledger)
+    faults += audit.compare(told.folder, contents, other, told.period_s)
+    summary = {"batches": len(contents.receipts), "differences": faults}
+    show(as_json, summary, f"{len(contents.receipts)} receipts, {len(faults)} differences")
     if faults:
         fail(DIFFERS, *([] if as_json else faults))
 
 
-def _ask(receiver: str, path: str) -> Any:
+def _fetch_json(receiver: str, path: str) -> Any:
     connection = http.client.HTTPConnection(receiver, timeout=30.0)
     try:
         connection.request("GET", path)
@@ -138,8 +148,8 @@
         if answer.status != 200:
             fail(UNREACHABLE, f"{receiver}{path}: status {answer.status}")
         return json.loads(answer.read())
-    except (OSError, http.client.HTTPException, ValueError) as wrong:
-        fail(UNREACHABLE, f"{receiver}: {wrong}")
+    except (OSError, http.client.HTTPException, ValueError) as error:
+        fail(UNREACHABLE, f"{receiver}: {error}")
     finally:
         connection.close()
 
@@ -148,17 +158,17 @@
 @click.option("--for", "seconds", default=60.0, show_default=True, help="Seconds after which it gives up.")
 @json_option
 @click.pass_obj
-def export(told: Told, seconds: float, as_json: bool) -> None:
+def export(told: LedgerTarget, seconds: float, as_json: bool) -> None:
     """Export what is sealed, of a gatekeeper that does not run. Exits with 4 if something is left."""
     if told.usage is None or told.usage.export is None:
         raise click.UsageError("--operator with usage.export is wanted")
-    seen = told.seen()
+    contents = told.contents()
     usage = told.usage
-    ledger = Ledger(told.folder, seen.source or "export", usage, lambda: time.time_ns() // 1000)
+    ledger = Ledger(told.folder, contents.source or "export", usage, lambda: time.time_ns() // 1000)
     try:
         ledger.open()
-    except (OSError, Foreign) as wrong:
-        fail(UNREACHABLE, wrong)
+    except (OSError, Foreign) as error:
+        fail(UNREACHABLE, error)
 
     async def exported() -> Exporter:
         exporter = Exporter(ledger, usage, sink_of(usage), random.Random())
@@ -170,8 +180,8 @@
     exporter = anyio.run(exported)
     left = len(ledger.sealed)
     ledger.close()
-    what = {"batches": exporter.batches, "lines": exporter.lines, "left": left}
-    show(as_json, what, f"{exporter.batches} batches with {exporter.lines} lines exported, {left} left")
+    summary = {"batches": exporter.batches, "lines": exporter.lines, "left": left}
+    show(as_json, summary, f"{exporter.batches} batches with {exporter.lines} lines exported, {left} left")
     if left:
         fail(UNREACHABLE, exporter.sending.trouble or "time is up")
 
@@ -188,11 +198,11 @@
     if not host.startswith("127.") or not port.isdigit():
         raise click.UsageError(f"{listen!r} is no loopback HOST:PORT")
 
-    kept = Path(folder) if folder else None
-    receiving = Receiving(kept) if quiet else Showing(click.echo, kept)
-    made = server(receiving, host, int(port))
-    click.echo(f"receiver at {host}:{made.server_port}")
+    store = Path(folder) if folder else None
+    receiver = Receiving(store) if quiet else Showing(click.echo, store)
+    http_server = server(receiver, host, int(port))
+    click.echo(f"receiver at {host}:{http_server.server_port}")
     try:
-        made.serve_forever()
+        http_server.serve_forever()
     except KeyboardInterrupt:
-        made.server_close()
+        http_server.server_close()
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -23,8 +23,8 @@
 
 
 def test_what_was_put_outlives_a_kill_a_wiped_disk_and_another_kill(system: Any, tmp_path: Path) -> None:
-    servers = {"i-0": (system.behind(system.hall("i-0")), "north")}
-    cloud = system.behind(system.platform(servers))
+    servers = {"i-0": (system.serve_in_background(system.toy_server("i-0")), "north")}
+    cloud = system.serve_in_background(system.platform(servers))
     plain, ctl, post = system.ports(3)
     files = [system.settings(tmp_path, number, cloud, plain, ctl, post) for number in range(3)]
     running: dict[int, subprocess.Popen[bytes]] = {}
@@ -42,7 +42,7 @@
         return f"http://127.0.0.{number + 1}:{ctl}{path}"
 
     def put(number: int, version: int) -> None:
-        system.until("a version", "PUT", at(number, "/v1/config"), system.configuration(version))
+        system.wait_until("a version", "PUT", at(number, "/v1/config"), system.configuration(version))
 
     try:
         for number in range(3):
@@ -56,11 +56,11 @@
         ends = time.monotonic() + 10.0
         report: dict[str, Any] = {"replica": {"state": ""}}
         while report["replica"]["state"] != "voting" and time.monotonic() < ends:
-            report = json.loads(system.until("a statement", "GET", at(1, "/v1/gatekeeper")))
+            report = json.loads(system.wait_until("a statement", "GET", at(1, "/v1/gatekeeper")))
         assert report["version"] == "00000002" and report["replica"]["held"]["config"] == 2
         kill(0)
         put(1, 3)  # the member whose disk was lost votes again: two of three
-        assert json.loads(system.until("a read", "GET", at(2, "/v1/config")))["revision"] == "00000003"
+        assert json.loads(system.wait_until("a read", "GET", at(2, "/v1/config")))["revision"] == "00000003"
     finally:
         for number in list(running):
             kill(number)
