--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -27,7 +27,7 @@
 from typing import Any
 
 from millfront.usage import audit
-from millfront.usage.receiver import Receiving, server
+from millfront.usage.receiver import BatchReceiver, create_server
 from tests.peers import configuration, row, settings
 
 CLIENTS = 12
@@ -192,7 +192,7 @@
         record.kills += 1
         stop.set()
         await asyncio.gather(*clients)
-        contents = audit.look(folder / "ledger")
+        contents = audit.read_ledger(folder / "ledger")
         record.open_at_kill |= {entry.request: entry.guess for entry in contents.open.values()}
     stop.set()
     await asyncio.gather(*clients)
@@ -210,12 +210,12 @@
     """:returns: what was seen, and every difference found"""
     rng = random.Random(seed + 1)
     fault_rate = [FAULT_RATE]
-    batch_receiver = Receiving()
+    batch_receiver = BatchReceiver()
 
     def fault(method: str, path: str) -> str:
         return rng.choice(FAULTS) if rng.random() < fault_rate[0] else ""
 
-    http_server = server(batch_receiver, "127.0.0.1", 0, fault)
+    http_server = create_server(batch_receiver, "127.0.0.1", 0, fault)
     threading.Thread(target=http_server.serve_forever, daemon=True).start()
     receiver = f"127.0.0.1:{http_server.server_port}"
     record = asyncio.run(
--- a/examples/try.py
+++ b/examples/try.py
@@ -20,7 +20,7 @@
 
 from page_server import PageServer
 
-from millfront.usage.receiver import Showing, server
+from millfront.usage.receiver import PrintingReceiver, create_server
 
 HERE = Path(__file__).parent
 CUSTOMER = "00000000b4d65521"
@@ -65,7 +65,7 @@
     parser.add_argument("--listen", default="127.0.0.1:8081")
     arguments = parser.parse_args()
     pages = [serve_in_background(ThreadingHTTPServer(("127.0.0.1", 0), PageServer)) for _ in range(2)]
-    receiver = serve_in_background(server(Showing(show), "127.0.0.1", 0))
+    receiver = serve_in_background(create_server(PrintingReceiver(show), "127.0.0.1", 0))
     with tempfile.TemporaryDirectory(prefix="millfront-") as name:
         environment = write_files(Path(name), arguments.listen, pages, receiver)
         command = [sys.executable, "-B", "-m", "millfront"]
--- a/millfront/cli/usage.py
+++ b/millfront/cli/usage.py
@@ -13,11 +13,11 @@
 
 from millfront.cli.exits import DIFFERS, UNREACHABLE, UNUSABLE, fail, json_option, show
 from millfront.operators import document
-from millfront.operators.faults import Unusable
+from millfront.operators.faults import InvalidDocument
 from millfront.usage import audit
-from millfront.usage.ledger import Foreign, Ledger
-from millfront.usage.part import Exporter, sink_of
-from millfront.usage.receiver import Receiving, Showing, server
+from millfront.usage.ledger import Ledger, UnsupportedFormat
+from millfront.usage.part import Exporter, create_sink
+from millfront.usage.receiver import BatchReceiver, PrintingReceiver, create_server
 
 
 class LedgerTarget:
@@ -28,7 +28,7 @@
         if operator is not None:
             try:
                 self.usage = document.parse(Path(operator).read_bytes()).usage
-            except Unusable as error:
+            except InvalidDocument as error:
                 fail(UNUSABLE, *error.faults)
         path = folder or (self.usage.folder if self.usage else None)
         if path is None:
@@ -39,10 +39,10 @@
     def period_s(self) -> int:
         return self.usage.period_s if self.usage else 60
 
-    def contents(self) -> audit.Seen:
+    def contents(self) -> audit.LedgerContents:
         if not self.folder.is_dir():
             fail(UNUSABLE, f"{self.folder}: there is no ledger")
-        return audit.look(self.folder)
+        return audit.read_ledger(self.folder)
 
 
 @click.group()
@@ -167,11 +167,11 @@
     ledger = Ledger(told.folder, contents.source or "export", usage, lambda: time.time_ns() // 1000)
     try:
         ledger.open()
-    except (OSError, Foreign) as error:
+    except (OSError, UnsupportedFormat) as error:
         fail(UNREACHABLE, error)
 
     async def exported() -> Exporter:
-        exporter = Exporter(ledger, usage, sink_of(usage), random.Random())
+        exporter = Exporter(ledger, usage, create_sink(usage), random.Random())
         with anyio.move_on_after(seconds):
             await exporter.run(until_idle=True)
         await exporter.sink.close()
@@ -183,7 +183,7 @@
     summary = {"batches": exporter.batches, "lines": exporter.lines, "left": left}
     show(as_json, summary, f"{exporter.batches} batches with {exporter.lines} lines exported, {left} left")
     if left:
-        fail(UNREACHABLE, exporter.sending.trouble or "time is up")
+        fail(UNREACHABLE, exporter.state.last_error or "time is up")
 
 
 @group.command()
@@ -199,8 +199,8 @@
         raise click.UsageError(f"{listen!r} is no loopback HOST:PORT")
 
     store = Path(folder) if folder else None
-    receiver = Receiving(store) if quiet else Showing(click.echo, store)
-    http_server = server(receiver, host, int(port))
+    receiver = BatchReceiver(store) if quiet else PrintingReceiver(click.echo, store)
+    http_server = create_server(receiver, host, int(port))
     click.echo(f"receiver at {host}:{http_server.server_port}")
     try:
         http_server.serve_forever()
