--- a/Makefile
+++ b/Makefile
@@ -19,14 +19,14 @@
 	.venv/bin/ruff check .
 	.venv/bin/mypy
 
-# A gatekeeper with toy page servers and a receiver of usage; NODE_CONFIG alone starts one as the platform does.
+# A gatekeeper with toy page servers and a usage receiver. The platform starts one with NODE_CONFIG alone.
 run: build
 	$(PYTHON) examples/try.py --listen $(LISTEN)
 
-# A whole system on loopback: three offices, toy servers, a platform and a first configuration.
+# A whole system on loopback: three gatekeepers, toy servers, a platform and a first configuration.
 run-system: build
 	$(PYTHON) examples/try_system.py
 
-# Real processes on real sockets under overlapping troubles, for many seeds; CI plays a short form.
+# Real processes on real sockets under overlapping faults, for many seeds; CI runs a short form.
 soak: build
 	$(PYTHON) -m benchmarks.soak
--- a/examples/page_server.py
+++ b/examples/page_server.py
@@ -1,4 +1,4 @@
-"""A toy page server to try a gatekeeper with: answers every request after a moment, and bills a unit.
+"""A toy page server to try a gatekeeper with: answers each request after 50 ms, and bills one unit.
 
 python examples/page_server.py 127.0.0.1:9081
 """
--- a/examples/toy_servers.py
+++ b/examples/toy_servers.py
@@ -1,4 +1,4 @@
-"""Toy stand-ins for what a whole system stands between: servers, and the platform that lists them."""
+"""Simulated peers of a whole system: servers of a service, and the platform that lists them."""
 
 import json
 import time
@@ -24,7 +24,7 @@
 
 
 class ToyServer(QuietHandler):
-    """A server of a service: answers with its stamp, and nobody else's requests at all."""
+    """A server of a service: answers with its seal, and refuses requests meant for another instance (421)."""
 
     ident = ""
 
@@ -43,7 +43,7 @@
 
 
 class Platform(QuietHandler):
-    """Lists the servers."""
+    """The platform's API that lists the servers."""
 
     instances: ClassVar[dict[str, Any]] = {}
 
@@ -53,12 +53,12 @@
 
 
 def toy_server(ident: str) -> ThreadingHTTPServer:
-    """A server at a port of its own."""
+    """Create a server on a free port."""
     return ThreadingHTTPServer(("127.0.0.1", 0), type("ToyServer", (ToyServer,), {"ident": ident}))
 
 
 def platform(servers: dict[str, tuple[str, str]]) -> ThreadingHTTPServer:
-    """The platform's list of these servers: ident -> (address, zone)."""
+    """Create a platform that lists these servers: ident -> (address, zone)."""
     instances = {
         ident: {"target": "shop", "address": address, "zone": zone, "revision": "v1", "capacity": 3,
                 "phase": "ready", "warm_left": "0ms"}
--- a/examples/try.py
+++ b/examples/try.py
@@ -1,8 +1,8 @@
-"""A gatekeeper to try: two toy page servers before it and a receiver that shows the usage it exports.
+"""A gatekeeper to try, with two toy page servers and a receiver that prints the usage it exports.
 
 python examples/try.py [--listen 127.0.0.1:8081]
 
-All of it runs until Ctrl-C, in a folder of its own that goes with it.
+Runs until Ctrl-C, in a temporary folder that is removed at the end.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 
 def write_files(folder: Path, listen: str, pages: list[str], receiver: str) -> dict[str, str]:
-    """The two files, and the environment that names them."""
+    """Write the two files; returns the environment variables that name them."""
     config: dict[str, Any] = json.loads((HERE / "config.json").read_text())
     template = config["known"]["hosts"][0]
     config["known"]["hosts"] = [
--- a/examples/try_system.py
+++ b/examples/try_system.py
@@ -3,7 +3,7 @@
 
 python examples/try_system.py
 
-All of it runs until Ctrl-C, in a folder of its own that goes with it.
+Runs until Ctrl-C, in a temporary folder that is removed at the end.
 """
 
 import json
@@ -33,7 +33,7 @@
 
 
 def ports(count: int) -> list[int]:
-    """Free ones; each gatekeeper has an address of its own and the same ports."""
+    """Free port numbers. All gatekeepers use the same ports, each on an address of its own."""
     sockets = [socket.socket() for _ in range(count)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -79,7 +79,7 @@
 
 
 def call(method: str, url: str, body: str = "") -> tuple[int, str]:
-    """A call of the operator: status and text; 0 where nobody answers."""
+    """Send an operator's request; returns status and text, with status 0 if there is no answer."""
     request = urllib.request.Request(url, body.encode() or None, method=method)
     try:
         with urllib.request.urlopen(request, timeout=5) as answer:
@@ -91,14 +91,14 @@
 
 
 def wait_until(description: str, method: str, url: str, body: str = "") -> str:
-    """Asked again until it is answered with 200, as an operator does."""
+    """Repeat a request until it is answered with 200, as an operator does."""
     deadline = time.monotonic() + START_S
     while time.monotonic() < deadline:
         status, text = call(method, url, body)
         if status == 200:
             return text
         time.sleep(0.2)
-    sys.exit(f"{description}: not within {START_S:g} s")
+    sys.exit(f"{description}: no answer with status 200 from {url} within {START_S:g} s")
 
 
 def show(line: str) -> None:
@@ -132,7 +132,7 @@
             show("            -H 'Millfront-Deadline-Ms: 3000'")
             show(f"read:     curl http://127.0.0.3:{ctl}/v1/config")
             show(f"evacuate: curl -X POST http://127.0.0.2:{ctl}/v1/evacuation/north    (-X DELETE: back)")
-            show(f"state of each office: {name}/ZONE; Ctrl-C ends all")
+            show(f"state of each gatekeeper: {name}/ZONE; Ctrl-C ends all")
             stop.wait()
         finally:
             for process in processes:
--- a/millfront/cli/caller.py
+++ b/millfront/cli/caller.py
@@ -35,7 +35,7 @@
 
 
 def call(admin: str, method: str, path: str, body: bytes = b"", **fields: str) -> Answer:
-    """One call; ends the command with 4 where nobody answers."""
+    """Send one request; exits with 4 if there is no answer."""
     is_unix = admin.startswith("unix:")
     connection = (
         UnixConnection(admin.removeprefix("unix:"))
@@ -47,6 +47,6 @@
         response = connection.getresponse()
         return Answer(response.status, {k.lower(): v for k, v in response.getheaders()}, response.read())
     except (OSError, http.client.HTTPException) as error:
-        fail(UNREACHABLE, f"{admin}: {error}")
+        fail(UNREACHABLE, f"no answer from {admin}: {error}")
     finally:
         connection.close()
--- a/millfront/cli/commands.py
+++ b/millfront/cli/commands.py
@@ -1,4 +1,4 @@
-"""`millfront`: the commands. Each imports what it needs when it is called."""
+"""The `millfront` command line. Each command imports what it needs when it runs."""
 
 import importlib
 import importlib.metadata
@@ -13,7 +13,7 @@
 
 
 class LazyGroup(click.Group):
-    """Groups whose modules are imported only when they are asked for."""
+    """Imports the modules of its subcommands only when they are used."""
 
     GROUPS: ClassVar[dict[str, str]] = {
         "plans": "millfront.cli.plans",
@@ -49,7 +49,7 @@
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(_version(), prog_name="millfront")
 def group() -> None:
-    """A quota-keeping gateway. Without a command it runs, configured by NODE_* alone."""
+    """A gateway that enforces quotas. Without a command it serves, configured by NODE_* alone."""
 
 
 @group.command()
@@ -71,11 +71,11 @@
 @click.option(
     "--kind",
     type=click.Choice(["operators", "plans", "config", "settings", "configuration"]),
-    help="Of all of them.",
+    help="Kind of all FILES; detected by default.",
 )
 @json_option
 def check(files: tuple[str, ...], kind: str | None, as_json: bool) -> None:
-    """Check FILES of ours: operators' files, plan books, configurations of a gatekeeper; of the whole system
+    """Validate FILES: operators' files, plan books, configurations of a gatekeeper; of the whole system,
     settings (.toml) and configurations. Exits with 2 on any fault."""
     from millfront.cli import documents
 
@@ -112,7 +112,7 @@
 @group.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
-    """Print what makes SHELL complete our commands."""
+    """Print the completion script for SHELL."""
     from click.shell_completion import get_completion_class
 
     completion_class = get_completion_class(shell)
@@ -124,7 +124,7 @@
 @click.option("--admin", required=True, envvar="MILLFRONT_ADMIN", help="unix:/PATH or HOST:PORT.")
 @json_option
 def status(admin: str, as_json: bool) -> None:
-    """What a running gatekeeper says of itself."""
+    """Show the status of a running gatekeeper."""
     from millfront.cli import caller
 
     response = caller.call(admin, "GET", "/v1/status")
--- a/millfront/cli/documents.py
+++ b/millfront/cli/documents.py
@@ -1,4 +1,4 @@
-"""Our documents by their kind: checked, and their schemas."""
+"""Validation of the documents that operators write, and their published schemas."""
 
 import json
 import tomllib
@@ -14,7 +14,7 @@
 
 
 def check(path: Path, kind: str | None) -> tuple[str, list[Fault]]:
-    """The kind of a file, told by its fields where it is not given, and its faults."""
+    """The kind of a file, detected from its fields unless given, and its faults."""
     try:
         text = path.read_bytes()
     except OSError as error:
@@ -35,7 +35,7 @@
             document.parse(text)
         elif kind == "plans":
             book = books.decode(text)
-            # without the settings and the operators' file: what the book says by itself
+            # settings and operators' file are not at hand: check the book by itself
             plan_names = {entry.plan for entry in book.assignments}
             return kind, books.check(book, plan_names, float("inf"))
         else:
@@ -49,7 +49,7 @@
 
 
 def _check_system_document(text: bytes, kind: str) -> list[Fault]:
-    """Of the whole system's documents the first fault is named."""
+    """Check a document of the whole system; reports only the first fault."""
     from result import Err
 
     from millfront import environment
--- a/millfront/cli/exits.py
+++ b/millfront/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes, the same for every command (docs/cli.md), and how a command says what it found."""
+"""Exit codes, the same for every command (docs/cli.md), and helpers for output."""
 
 import json
 import sys
@@ -7,21 +7,21 @@
 import click
 
 DONE = 0
-DIFFERS = 1  # the command did its work, and what it looked at is not as it should be
-UNUSABLE = 2  # an argument, a file or a document can't be used
-CONFLICT = 3  # somebody else changed it meanwhile
-UNREACHABLE = 4  # a gatekeeper, a receiver or a disk did not do its part
+DIFFERS = 1  # the command ran, but what it examined is not as expected
+UNUSABLE = 2  # an argument, a file or a document is invalid
+CONFLICT = 3  # another client changed the document meanwhile
+UNREACHABLE = 4  # a gatekeeper, a receiver or a disk failed or did not answer
 
 
 def fail(code: int, *lines: object) -> NoReturn:
-    """Each line on standard error; ends the command."""
+    """Print each line on standard error and exit with `code`."""
     for line in lines:
         click.echo(f"millfront: {line}", err=True)
     sys.exit(code)
 
 
 def show(as_json: bool, value: Any, text: str) -> None:
-    """For programs one JSON object, for people a text."""
+    """Print the value as JSON for programs, or the text for people."""
     click.echo(json.dumps(value, default=str) if as_json else text)
 
 
--- a/millfront/cli/gatekeeper.py
+++ b/millfront/cli/gatekeeper.py
@@ -1,4 +1,4 @@
-"""The system's commands: its roles, and what an operator asks a running gatekeeper."""
+"""Commands of the whole system: running one of its gatekeepers, and querying a running one."""
 
 import json
 import os
@@ -16,18 +16,18 @@
     "address",
     required=True,
     envvar="MILLFRONT_CTL",
-    help="HOST:PORT where a gatekeeper serves control.",
+    help="HOST:PORT of a gatekeeper's control API.",
 )
 
 
 @click.group("control")
 def group() -> None:
-    """millfront as a whole system: what a gatekeeper knows, and why it did what it did."""
+    """Inspect the whole system: what a gatekeeper knows, and why it acted as it did."""
 
 
 @click.command()
 @click.option(
-    "--metrics-port", default=0, type=click.IntRange(0, 65535), help="Serve /v1/metrics there, too."
+    "--metrics-port", default=0, type=click.IntRange(0, 65535), help="Serve /v1/metrics on this port, too."
 )
 def gatekeeper(metrics_port: int) -> None:
     """Serve as one process of the whole system; MILLFRONT_CONFIG names its settings file."""
@@ -43,9 +43,9 @@
 @at_option
 @json_option
 def show_gatekeeper(address: str, as_json: bool) -> None:
-    """The roster and each one's version, the core and its disks, duties, what is under way.
+    """Show all members and their versions, the core and its disks, role holders and rounds under way.
 
-    Exits with 1 where versions differ or somebody is missing."""
+    Exits with 1 if versions differ, a member is not up, or the gatekeeper is not ready."""
     state = _call_json(address, "GET", "/v1/gatekeeper")
     show(as_json, state, "\n".join(_status_lines(state)))
     out_of_date = [
@@ -59,11 +59,11 @@
 @group.command()
 @at_option
 @click.option(
-    "--part", default="", help="Only of this part: register, membership, discovery, delivery, admin."
+    "--part", default="", help="Only events of this part: register, membership, discovery, delivery, admin."
 )
 @json_option
 def why(address: str, part: str, as_json: bool) -> None:
-    """What a gatekeeper did lately, and on which facts."""
+    """Show what a gatekeeper did recently, and on which facts."""
     events = _call_json(address, "GET", f"/v1/gatekeeper/events?part={part}")["pages"]
     lines = [
         f"{event['ago']:9.1f} s ago  {event['part']}: {event['text']}"
@@ -78,8 +78,8 @@
 @click.argument("name")
 @json_option
 def tenant(address: str, name: str, as_json: bool) -> None:
-    """Why a tenant's requests are let in or refused by a gatekeeper. Exits with 1 where there is none
-    such."""
+    """Show why a gatekeeper admits or refuses a tenant's requests. Exits with 1 if there is no such
+    tenant."""
     state = _call_json(address, "GET", "/v1/gatekeeper/tenants").get(name)
     if state is None:
         fail(DIFFERS, f"no tenant {name} in the configuration in force at {address}")
@@ -118,8 +118,8 @@
 @at_option
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def import_register(address: str, file: Path) -> None:
-    """Put the snapshot in FILE into the register; a configuration that it holds already at a higher version
-    stays, the evacuations of FILE are ordered anew."""
+    """Store the snapshot in FILE in the register. A configuration already there at a higher version stays;
+    the evacuations of FILE are ordered again."""
     from result import Err
 
     from millfront.register import snapshot
@@ -128,7 +128,7 @@
     if isinstance(read := snapshot.load(text), Err):
         fail(UNUSABLE, f"{file}: {read.err_value}")
     _call(address, "PUT", "/v1/register", text)
-    click.echo(f"{file}: {len(json.loads(text)['values'])} values are with a majority")
+    click.echo(f"{file}: {len(json.loads(text)['values'])} values stored by a majority")
 
 
 def _call_json(address: str, method: str, path: str) -> Any:
@@ -138,32 +138,32 @@
 def _call(address: str, method: str, path: str, body: str = "") -> str:
     answer = caller.call(address, method, path, body.encode())
     if answer.status != 200:
-        fail(UNREACHABLE, f"{address}: {answer.status} {answer.body.decode(errors='replace')}")
+        fail(UNREACHABLE, f"{path} at {address}: {answer.status} {answer.body.decode(errors='replace')}")
     return answer.body.decode()
 
 
 def _status_lines(state: dict[str, Any]) -> list[str]:
-    """For people."""
-    ready = "ready" if state["ready"] else "not ready, it lacks " + ", ".join(state["not_ready_for"])
+    """The status as text for people."""
+    ready = "ready" if state["ready"] else "not ready, missing " + ", ".join(state["not_ready_for"])
     lines = [
         f"{state['name']} in {state['zone']}: {ready}; version {state['version']}, lease {state['lease_s']} s"
     ]
     if state["evacuated"]:
         lines.append(f"evacuated: {' '.join(state['evacuated'])}")
     if (core := state["core"]) is None:
-        lines.append("no core is known")
+        lines.append("no core known")
     else:
         lines.append(f"core {core['epoch']}: {' '.join(core['members'])}; change: {core['change']}")
         if "old_members" in core:
-            lines.append(f"  it takes over from: {' '.join(core['old_members'])}")
+            lines.append(f"  replaces the old members: {' '.join(core['old_members'])}")
     if (replica := state["replica"]) is not None:
         held_versions = " ".join(f"{key}@{version}" for key, version in replica["held"].items())
-        lines.append(f"keeper: {replica['state']}; its disk {replica['disk']} writes; {held_versions}")
+        lines.append(f"replica: {replica['state']}; its disk {replica['disk']} writes; {held_versions}")
     for name, duty in state["duties"].items():
-        lines.append(f"duty {name}: {duty['holder']}, fence {duty['fence']}")
+        lines.append(f"role {name}: {duty['holder']}, fence {duty['fence']}")
     for round in state["under_way"]:
         lines.append(
-            f"under way: {round['phase']} {' '.join(round['keys'])}, had by {' '.join(round['had_by'])}"
+            f"under way: {round['phase']} {' '.join(round['keys'])}, acked by {' '.join(round['had_by'])}"
         )
     for service, phases in state["servers"].items():
         lines.append(
--- a/millfront/cli/plans.py
+++ b/millfront/cli/plans.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where the book is: a file, or a gatekeeper."""
+    """Where the book is stored: a file, or a gatekeeper."""
 
     store: BookStore | None
     admin: str | None
@@ -80,12 +80,14 @@
 @click.option(
     "--operator", envvar="MILLFRONT_OPERATOR", type=click.Path(dir_okay=False), help="The operators' file."
 )
-@click.option("--plan", "known", multiple=True, help="A plan of the settings; where not told, any.")
+@click.option(
+    "--plan", "known", multiple=True, help="A plan of the settings; by default any name is accepted."
+)
 @click.pass_context
 def group(
     ctx: click.Context, file: str | None, admin: str | None, operator: str | None, known: tuple[str, ...]
 ) -> None:
-    """Who holds which plan when, and what is reserved."""
+    """Which customer has which plan when, and what is reserved."""
     max_reserved = float("inf")
     if operator is not None and (options := _plans_options(operator)) is not None:
         file = file or (None if admin else options.file)
@@ -104,11 +106,11 @@
 
 @group.command("show")
 @click.option("--customer", help="Only this customer.")
-@click.option("--at", help="What holds at this instant (RFC 3339); now where not told.")
+@click.option("--at", help="Show what applies at this instant (RFC 3339); default: now.")
 @json_option
 @click.pass_obj
 def show_book(target: Target, customer: str | None, at: str | None, as_json: bool) -> None:
-    """The book, or what it says of one customer."""
+    """Show the book, or its entries for one customer."""
     book, tag = target.book()
     if book is None:
         fail(DIFFERS, "there is no plan book yet")
@@ -152,7 +154,7 @@
 @json_option
 @click.pass_obj
 def check(target: Target, book_file: str, as_json: bool) -> None:
-    """Check a book as the gatekeepers would, also against the reserved share. Exits with 2 on any fault."""
+    """Validate a book as the gatekeepers do, also against the reserved share. Exits with 2 on any fault."""
     faults = _faults(target, Path(book_file).read_bytes())
     show(as_json, {"sound": not faults, "faults": [str(f) for f in faults]}, "" if faults else "sound")
     if faults:
@@ -172,7 +174,7 @@
 @json_option
 @click.pass_obj
 def diff(target: Target, book_file: str, as_json: bool) -> None:
-    """What BOOK_FILE would change. Exits with 1 where it differs."""
+    """Show what BOOK_FILE would change. Exits with 1 if it differs."""
     book, _ = target.book()
     try:
         other = books.decode(Path(book_file).read_bytes())
@@ -190,7 +192,7 @@
 @json_option
 @click.pass_obj
 def apply(target: Target, book_file: str, if_match: str | None, as_json: bool) -> None:
-    """Put BOOK_FILE in force. Its version must go up."""
+    """Put BOOK_FILE in force. Its version must be higher than that in force."""
     try:
         book = books.decode(Path(book_file).read_bytes())
     except InvalidDocument as error:
@@ -216,15 +218,15 @@
 
 
 by_option = click.option("--by", default="", help="Who makes the change; kept in the history.")
-note_option = click.option("--note", default="", help="What for; kept in the history.")
+note_option = click.option("--note", default="", help="Reason for the change; kept in the history.")
 
 
 @group.command()
 @click.argument("customer")
 @click.argument("plan", required=False)
-@click.option("--from", "start", help="From this instant (RFC 3339); at once where not told.")
+@click.option("--from", "start", help="From this instant (RFC 3339); default: at once.")
 @click.option("--until", help="Until this instant.")
-@click.option("--clear", is_flag=True, help="Drop its assignments: the request's plan holds again.")
+@click.option("--clear", is_flag=True, help="Remove its assignments: the request's plan applies again.")
 @by_option
 @note_option
 @json_option
@@ -240,10 +242,10 @@
     note: str,
     as_json: bool,
 ) -> None:
-    """Put CUSTOMER on PLAN. What it was assigned for the same time before gives way."""
+    """Assign PLAN to CUSTOMER, replacing its earlier assignments for the same time."""
     key = _parse_customer(customer)
     if (plan is None) != clear:
-        raise click.UsageError("PLAN or --clear is wanted")
+        raise click.UsageError("expected either PLAN or --clear")
     begins, ends = _parse_instant(start) if start else None, _parse_instant(until) if until else None
 
     def change(book: Book) -> Book:
@@ -261,7 +263,7 @@
 def _outside(
     entry: Assignment, start: datetime.datetime | None, end: datetime.datetime | None
 ) -> list[Assignment]:
-    """What is left of an assignment outside [begins, ends)."""
+    """The parts of an assignment outside [start, end)."""
     remaining = []
     if start is not None and books.to_micros(entry.from_, 0) < books.to_micros(start, 0):
         until = min(start, entry.until) if entry.until else start
@@ -275,8 +277,8 @@
 @group.command()
 @click.argument("name")
 @click.argument("customer")
-@click.option("--rate", type=float, help="Units a second above the plan.")
-@click.option("--units", type=float, help="Units in all above the plan.")
+@click.option("--rate", type=float, help="Units per second in addition to the plan.")
+@click.option("--units", type=float, help="Total units in addition to the plan.")
 @click.option("--from", "start", required=True, help="From this instant (RFC 3339).")
 @click.option("--until", required=True, help="Until this instant.")
 @by_option
@@ -295,7 +297,7 @@
     note: str,
     as_json: bool,
 ) -> None:
-    """Reserve allowance for CUSTOMER under NAME; one of that name is replaced."""
+    """Reserve units for CUSTOMER under NAME; replaces a reservation of that name."""
     key = _parse_customer(customer)
     reservation = _new_entry(
         Reservation,
@@ -322,7 +324,7 @@
 @json_option
 @click.pass_obj
 def release(target: Target, name: str, customer: str, by: str, note: str, as_json: bool) -> None:
-    """Cancel a reservation; what is not used of it is given back at once."""
+    """Cancel a reservation; its unused units are released at once."""
     key = _parse_customer(customer)
 
     def change(book: Book) -> Book:
@@ -338,9 +340,9 @@
 @json_option
 @click.pass_obj
 def history(target: Target, as_json: bool) -> None:
-    """The versions kept beside the book's file."""
+    """List the versions kept beside the book's file."""
     if target.store is None:
-        raise click.UsageError("the history lies beside the book's file: --file or --operator is wanted")
+        raise click.UsageError("the history is kept beside the book's file: expected --file or --operator")
     versions, lines = [], []
     before = books.empty()
     for number in target.store.versions():
@@ -358,7 +360,7 @@
 
 
 def _new_entry(kind: Any, **fields: Any) -> Any:
-    """An entry, checked as one in a document is."""
+    """An entry, validated like one in a document."""
     names = {f.name: f.encode_name for f in msgspec.structs.fields(kind)}
     encoded = {names[name]: value for name, value in fields.items() if value is not None}
     try:
@@ -371,16 +373,20 @@
     try:
         return f"{int(text, 16):016x}"
     except ValueError:
-        raise click.UsageError(f"{text!r} is no customer: up to 16 hex digits are wanted") from None
+        raise click.UsageError(f"customer: expected up to 16 hex digits, got {text!r}") from None
 
 
 def _parse_instant(text: str) -> datetime.datetime:
     try:
         at = datetime.datetime.fromisoformat(text)
     except ValueError:
-        raise click.UsageError(f"{text!r} is no instant: 2026-12-02T08:00:00+10:00 is one") from None
+        raise click.UsageError(
+            f"expected an instant such as 2026-12-02T08:00:00+10:00, got {text!r}"
+        ) from None
     if at.tzinfo is None:
-        raise click.UsageError(f"{text!r} names no zone: guards against a change hours off")
+        raise click.UsageError(
+            f"expected an instant with a zone, as a guessed one could be hours off, got {text!r}"
+        )
     return at
 
 
--- a/millfront/cli/rehearse.py
+++ b/millfront/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""`millfront rehearse`: scenarios checked and played (docs/rehearsal.md)."""
+"""`millfront rehearse`: check and run scenarios (docs/rehearsal.md)."""
 
 import asyncio
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 @click.group()
 def group() -> None:
-    """Rehearsals: real gatekeepers between stand-in peers, with faults between them."""
+    """Rehearsals: real gatekeepers between simulated peers, with faults injected between them."""
 
 
 def _load(path: str) -> object:
@@ -27,7 +27,7 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 @json_option
 def check(file: str, as_json: bool) -> None:
-    """Check a scenario whole; exit 2 and the field named where it is wrong."""
+    """Validate a scenario; exits with 2 and names the invalid fields."""
     from millfront.rehearsal.scenario import Scenario
 
     scenario = _load(file)
@@ -43,12 +43,12 @@
 @group.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option(
-    "--out", type=click.Path(file_okay=False), required=True, help="Where verdict.json and logs go."
+    "--out", type=click.Path(file_okay=False), required=True, help="Folder for verdict.json and logs."
 )
-@click.option("--seed", type=int, help="Instead of the scenario's own.")
+@click.option("--seed", type=int, help="Used instead of the scenario's seed.")
 @json_option
 def run(file: str, out: str, seed: int | None, as_json: bool) -> None:
-    """Play a scenario; exit 1 when a rule broke, 4 when a gatekeeper did not start."""
+    """Run a scenario; exits with 1 if a rule was broken, 4 if a gatekeeper did not start."""
     import msgspec
 
     from millfront.rehearsal.fleet import StartFailed
--- a/millfront/cli/usage.py
+++ b/millfront/cli/usage.py
@@ -1,5 +1,4 @@
-"""`millfront usage`: look at a ledger, export it by hand, verify and reconcile it, and a receiver to try
-with."""
+"""`millfront usage`: inspect, verify, reconcile and export a ledger, and run a receiver for trials."""
 
 import http.client
 import json
@@ -21,7 +20,7 @@
 
 
 class LedgerTarget:
-    """Which ledger, and how it is exported."""
+    """A ledger's folder, and its options where the operators' file is given."""
 
     def __init__(self, operator: str | None, folder: str | None) -> None:
         self.usage: document.Usage | None = None
@@ -32,7 +31,7 @@
                 fail(UNUSABLE, *error.faults)
         path = folder or (self.usage.folder if self.usage else None)
         if path is None:
-            raise click.UsageError("--folder is wanted, or --operator with usage")
+            raise click.UsageError("expected --folder, or --operator with usage")
         self.folder = Path(path)
 
     @property
@@ -52,7 +51,7 @@
 @click.option("--folder", type=click.Path(file_okay=False), help="The ledger's folder.")
 @click.pass_context
 def group(ctx: click.Context, operator: str | None, folder: str | None) -> None:
-    """What was used, and its export for billing."""
+    """Recorded usage, and its export for billing."""
     if ctx.invoked_subcommand != "receive":
         ctx.obj = LedgerTarget(operator, folder)
 
@@ -61,7 +60,7 @@
 @json_option
 @click.pass_obj
 def show_ledger(told: LedgerTarget, as_json: bool) -> None:
-    """What lies in the ledger: exported, waiting, out, and what could not be recorded."""
+    """Show the ledger's content: exported, waiting, in flight (out), and what could not be recorded."""
     contents = told.contents()
     summary: dict[str, Any] = {
         "source": contents.source,
@@ -88,7 +87,7 @@
 @json_option
 @click.pass_obj
 def verify(told: LedgerTarget, as_json: bool) -> None:
-    """Read every record. Exits with 1 where something is damaged, lost, or not in its order."""
+    """Read every record. Exits with 1 if anything is damaged, lost or out of order."""
     contents = told.contents()
     summary = {
         "records": contents.records,
@@ -108,9 +107,9 @@
 
 
 @group.command()
-@click.option("--receiver", help="HOST:PORT of a receiver; the operators' file's where not told.")
-@click.option("--path", default="/v1", show_default=True, help="Under which it answers.")
-@click.option("--spool", type=click.Path(file_okay=False), help="A spool folder instead.")
+@click.option("--receiver", help="HOST:PORT of a receiver; default: that of the operators' file.")
+@click.option("--path", default="/v1", show_default=True, help="Path prefix at the receiver.")
+@click.option("--spool", type=click.Path(file_okay=False), help="Compare with a spool folder instead.")
 @json_option
 @click.pass_obj
 def reconcile(told: LedgerTarget, receiver: str | None, path: str, spool: str | None, as_json: bool) -> None:
@@ -122,7 +121,7 @@
         if export.receiver is not None:
             receiver, path = export.receiver.address, export.receiver.path
     if (receiver is None) == (spool is None):
-        raise click.UsageError("one of --receiver and --spool is wanted")
+        raise click.UsageError("expected exactly one of --receiver and --spool")
     contents = told.contents()
     faults = list(contents.faults)
     if spool is not None:
@@ -146,22 +145,22 @@
         connection.request("GET", path)
         answer = connection.getresponse()
         if answer.status != 200:
-            fail(UNREACHABLE, f"{receiver}{path}: status {answer.status}")
+            fail(UNREACHABLE, f"{receiver}{path}: expected status 200, got {answer.status}")
         return json.loads(answer.read())
     except (OSError, http.client.HTTPException, ValueError) as error:
-        fail(UNREACHABLE, f"{receiver}: {error}")
+        fail(UNREACHABLE, f"{receiver}{path}: {error}")
     finally:
         connection.close()
 
 
 @group.command()
-@click.option("--for", "seconds", default=60.0, show_default=True, help="Seconds after which it gives up.")
+@click.option("--for", "seconds", default=60.0, show_default=True, help="Time limit in seconds.")
 @json_option
 @click.pass_obj
 def export(told: LedgerTarget, seconds: float, as_json: bool) -> None:
-    """Export what is sealed, of a gatekeeper that does not run. Exits with 4 if something is left."""
+    """Export the sealed segments of a gatekeeper that does not run. Exits with 4 if any are left."""
     if told.usage is None or told.usage.export is None:
-        raise click.UsageError("--operator with usage.export is wanted")
+        raise click.UsageError("expected --operator with usage.export")
     contents = told.contents()
     usage = told.usage
     ledger = Ledger(told.folder, contents.source or "export", usage, lambda: time.time_ns() // 1000)
@@ -183,20 +182,20 @@
     summary = {"batches": exporter.batches, "lines": exporter.lines, "left": left}
     show(as_json, summary, f"{exporter.batches} batches with {exporter.lines} lines exported, {left} left")
     if left:
-        fail(UNREACHABLE, exporter.state.last_error or "time is up")
+        fail(UNREACHABLE, exporter.state.last_error or f"time limit of {seconds:g} s reached")
 
 
 @group.command()
 @click.option("--listen", default="127.0.0.1:9090", show_default=True, help="HOST:PORT on loopback.")
 @click.option(
-    "--folder", type=click.Path(file_okay=False), help="Where it keeps what came; in memory where not."
+    "--folder", type=click.Path(file_okay=False), help="Folder for received batches; default: in memory."
 )
-@click.option("--quiet", is_flag=True, help="Print nothing of what comes.")
+@click.option("--quiet", is_flag=True, help="Do not print what is received.")
 def receive(listen: str, folder: str | None, quiet: bool) -> None:
-    """A receiver to rehearse with: takes batches and shows them."""
+    """Run a receiver for trials that accepts batches and prints them."""
     host, _, port = listen.rpartition(":")
     if not host.startswith("127.") or not port.isdigit():
-        raise click.UsageError(f"{listen!r} is no loopback HOST:PORT")
+        raise click.UsageError(f"--listen: expected HOST:PORT on loopback, got {listen!r}")
 
     store = Path(folder) if folder else None
     receiver = BatchReceiver(store) if quiet else PrintingReceiver(click.echo, store)
