--- a/benchmarks/added_latency.py
+++ b/benchmarks/added_latency.py
@@ -1,9 +1,9 @@
-"""What an office adds to a request's time: a real process on loopback, asked in turns with the server itself.
+"""Latency added by a gatekeeper of the system: a real process on loopback, in turns with the bare server.
 
     python -m benchmarks.added_latency [--requests 4000] [--rate 167]
 
-One office, alone, one route; requests come one after the other on a kept connection, at a rate. Part of
-docs/CAPACITY.md.
+One gatekeeper alone with one route; requests are sent one after the other on a persistent connection, at a
+given rate. Part of docs/CAPACITY.md.
 """
 
 import argparse
@@ -43,7 +43,7 @@
             times_s.append(await measure_request(streams[server_address], number))
         due += 1.0 / rate
         await asyncio.sleep(max(0.0, due - loop.time()))
-    for name, server_address in (("the server itself", Platform.shop), ("by the office", address)):
+    for name, server_address in (("the server itself", Platform.shop), ("by the gatekeeper", address)):
         times_s = sorted(times[server_address][requests // 10 :])
         shown = [times_s[int(len(times_s) * part)] * 1e3 for part in (0.5, 0.99, 0.999)]
         print(f"{name:18} p50 {shown[0]:.2f}  p99 {shown[1]:.2f}  p99.9 {shown[2]:.2f} ms, of {len(times_s)}")
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,11 +1,11 @@
-"""How long gatekeepers act on contradicting settings after a change that not all of them are signalled of,
-over many seeds, with agreement at the counter and without.
+"""How long gatekeepers use conflicting settings after a change that only some of them are signalled about,
+over many seeds, with and without agreement through the counter.
 
     python -m benchmarks.agreement examples/rehearsals/sighup-reaches-three-agreed.toml --seeds 20
 
 Each seed is one rehearsal of real processes (millfront.rehearsal). Without agreement, the scenario's
-operators' file is played without its `agreement`. Prints, for each: max and p99 of time_on_two_rules_s,
-how many seeds ended on one version, rules broken, counter calls a second.
+operators' file is used without its `agreement`. Prints, for each: max and p99 of time_on_two_rules_s,
+number of seeds that ended with one version, broken rules, counter calls per second.
 """
 
 import argparse
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,9 +1,9 @@
-"""What one process holds and computes by size: configuration, accounts, servers, disk.
+"""Memory and CPU of one process by size of configuration, accounts, server list and disk.
 
     python -m benchmarks.capacity document|delivery|disk|accounts|servers|platform [SIZES]
 
-How load grows with the number of gatekeepers is measured by the bench alone (docs/CAPACITY.md). Peaks of
-memory are of a process of its own each. KB are 1,000 bytes.
+How load grows with the number of gatekeepers is measured only by the system benchmark (docs/CAPACITY.md).
+Each peak of memory is taken in a process of its own. KB are 1,000 bytes.
 """
 
 import asyncio
@@ -41,13 +41,13 @@
     encode_message,
 )
 
-ROUTES, TENANTS, SERVICES, SERVERS = 5300, 30_000, 290, 6600  # the target's
-MAX_DATAGRAM_BYTES = 65_507  # the most that UDP takes
+ROUTES, TENANTS, SERVICES, SERVERS = 5300, 30_000, 290, 6600  # of the capacity target
+MAX_DATAGRAM_BYTES = 65_507  # largest UDP payload
 NAME_CHARS = "bcdfghjklmnpqrstvwxz23456789"
 
 
 class Document:
-    """A valid configuration of a share of the target's routes, tenants and services."""
+    """A valid configuration with a share of the target's routes, tenants and services."""
 
     def __init__(self, share: float) -> None:
         rng = random.Random(1)
@@ -78,7 +78,7 @@
         ]  # fmt: skip
 
     def version_text(self, version: int) -> str:
-        """The version of that number: one route differs."""
+        """The text of a version; versions differ in one route."""
         first = self.resources[0]
         spec = first["spec"] | {"deadline": f"{4000 + version}ms"}
         resources = [first | {"spec": spec}, *self.resources[1:]]
@@ -90,7 +90,7 @@
 
     @property
     def packed_bytes(self) -> int:
-        """Bytes of a message that carries it."""
+        """Encoded length of a message that carries the text."""
         return len(encode_message(found_message(self.text)))
 
 
@@ -99,12 +99,12 @@
 
 
 def found_message(text: str) -> dict[str, Any]:
-    """A replica's answer to a subscriber that fetches."""
+    """A replica's answer to a subscriber that fetches the configuration."""
     return {"t": "found", "r": "f", "v": {"config": [1, "0123456789abcdef", text]}, "l": {}, "m": "z0-0001"}
 
 
 def measure(function: Callable[[], Any], times: int = 1) -> tuple[Any, float]:
-    """What it gives, and seconds of processor time once."""
+    """Returns the result, and seconds of CPU time per call."""
     began = time.process_time()
     for _ in range(times):
         result = function()
@@ -121,7 +121,7 @@
 
 
 def run_part(part: str, *arguments: str) -> str:
-    """Another process's word on one size."""
+    """Run a part in another process; returns its output."""
     command = [sys.executable, "-m", "benchmarks.capacity", part, *arguments]
     return subprocess.run(command, check=True, capture_output=True, text=True).stdout.rstrip()
 
@@ -130,7 +130,7 @@
 
 
 def documents(sizes: list[str]) -> None:
-    """A version of a share of the target's entries, read, checked, compiled, held."""
+    """Cost of reading, checking, compiling and holding a version, by share of the target's entries."""
     print(" share  entries |  raw KB  packed KB | checked, s  the next version, s  compiled, s | peak MB")
     print("                | of the compiled one alone: held MB  peak MB  with the next one held too")
     for size in sizes or ["0.01", "0.03", "0.1", "0.3", "1"]:
@@ -154,7 +154,7 @@
 
 
 def document_held(sizes: list[str]) -> None:
-    """The text comes from a file, so that the making of it is in no figure."""
+    """The text is read from files written by another process, so that no figure includes its creation."""
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "told")
         script = "import sys; from benchmarks.capacity import document; made = document(float(sys.argv[1]))"
@@ -173,7 +173,7 @@
 
 
 def delivery(sizes: list[str]) -> None:
-    """A version on its way to a subscriber: what the wire and a swap take, and whether it goes through."""
+    """Delivery of a version to a subscriber: message size, encoding and decoding, and whether it fits."""
     print(
         f" share | the message KB (a line may have {MAX_LINE_BYTES / 1000:.0f})"
         "  packed KB | encode, s  decode, s"
@@ -185,7 +185,7 @@
         try:
             decode = f"{measure(partial(decode_message, data))[1]:.3f}"
         except DecodeError as fault:
-            decode = f"not read: {fault}"
+            decode = f"not decoded: {fault}"
         print(
             f"{float(size):6g} | {raw / 1000:8.0f} {len(data) / 1000:8.0f} | {encode:.3f} {decode}",
             flush=True,
@@ -193,7 +193,7 @@
 
 
 def disk(sizes: list[str]) -> None:
-    """1,000 changes of a document on the disk, and what a recovering member is sent."""
+    """1,000 changes of a document on disk, and the bytes sent to a recovering member."""
     print(
         f" share | KB on the disk after 1,000 changes (10 of a large one; its map: {MAP_BYTES / 1e6:.0f} MB)"
     )
@@ -226,7 +226,7 @@
 
 
 class NoTokens:
-    """Nobody grants."""
+    """A token source without a reachable granter."""
 
     def request(
         self, now: float, tenant: Tenant, max_wait_s: float, prefetch: int, callback: DecisionCallback
@@ -238,8 +238,10 @@
 
 
 def accounts(sizes: list[str]) -> None:
-    """Totals of tenants by processes: memory, a tick, and how long a record is."""
-    print("tenants processes | MB  bytes a pair | a tick ms  µs a pair | a card KB, packed (10 in a letter)")
+    """Totals by tenants and processes: memory, cost of a tick, and length of a record."""
+    print(
+        "tenants processes | MB  bytes a pair | a tick ms  µs a pair | a record KB, packed (10 in a datagram)"
+    )
     for tenants, processes in ((300, 30), (1000, 30), (300, 120), (1000, 120), (3000, 120)):
         admission = Admission(Bounds(), 0.0, NoTokens())
         tenants_by_name = {
@@ -270,7 +272,7 @@
     asyncio.run(send_datagrams(range(50, 101, 10)))
     for count in (1, 10):
         least = next(t for t in range(100, 40_000, 100) if _exceeds_datagram(t, count))
-        print(f"{count} cards in a datagram pass {MAX_DATAGRAM_BYTES} bytes from {least} tenants each")
+        print(f"{count} records in a datagram exceed {MAX_DATAGRAM_BYTES} bytes from {least} tenants each")
 
 
 def _record_messages(tenants: int, count: int) -> list[Any]:
@@ -286,16 +288,16 @@
 
 
 async def send_datagrams(sizes: range) -> None:
-    """Letters so many KB long, over loopback by the very wire."""
+    """Send datagrams of these sizes in KB over loopback by the real transport."""
     arrived: list[int] = []
     address = "127.0.0.1:47311"
     wire = Transport(lambda line, message: None, lambda back, message: arrived.append(message["kb"]))
     await wire.listen("127.0.0.1", 47311)
     rng = random.Random(3)
-    for kb in sizes:  # as long when packed
+    for kb in sizes:  # this long once packed
         wire.send_datagram(address, {"t": "cards", "kb": kb, "c": rng.randbytes(kb * 643).hex()})
         await asyncio.sleep(0.05)
-    print(f"letters of {list(sizes)} KB sent, arrived: {arrived}")
+    print(f"datagrams of {list(sizes)} KB sent, arrived: {arrived}")
 
 
 def _exceeds_datagram(tenants: int, count: int) -> bool:
@@ -307,17 +309,15 @@
 
 
 def count_cold(load_balancer: LoadBalancer) -> int:
-    """As Proxy.update_cold_owners does with each beat."""
+    """As Proxy.update_cold_owners does on each tick."""
     return sum(
         load_balancer.is_cold(2.0, server_state) for server_state in load_balancer.server_states.values()
     )
 
 
 def servers(sizes: list[str]) -> None:
-    """The list of servers: a poll, what the others are told, and a choice."""
-    print(
-        "servers | whole list KB  packed | a poll ms  a line from it taken, ms  sorted anew  cold ms  MB held"
-    )
+    """The list of servers: a poll, the update sent to other members, and the choice of a server."""
+    print("servers | full list KB  packed | a poll ms  applying an update ms  resorting ms  cold ms  MB held")
     for size in sizes or ["66", "660", "2000", "6600"]:
         count = int(size)
         entries = [
@@ -375,7 +375,7 @@
 
 
 class Platform(asyncio.Protocol):
-    """The platform's list of servers, in pages."""
+    """A simulated platform that lists the servers in pages."""
 
     count, page = 0, 50
     calls = 0
@@ -401,14 +401,14 @@
 
 
 def platform(sizes: list[str]) -> None:
-    """Reading the platform's whole list over loopback, by entries a page."""
+    """Reading the platform's full list over loopback, by entries per page."""
 
     async def read(address: str) -> None:
         began, calls, cpu_s = time.monotonic(), Platform.calls, time.process_time()
         try:
             outcome = f"{len((await read_list(address)).entries)} entries"
         except PlatformError as fault:
-            outcome = f"not read: {fault}"
+            outcome = f"failed: {fault}"
         duration_s, cpu_s = time.monotonic() - began, time.process_time() - cpu_s
         count = Platform.calls - calls
         print(
--- a/benchmarks/catching_up.py
+++ b/benchmarks/catching_up.py
@@ -1,10 +1,10 @@
-"""Catching up, in simulated time: after many changes a restarted, a wiped and a long-dark member return.
+"""Catching up in simulated time: restarted, wiped and long-absent members return after many changes.
 
     python -m benchmarks.catching_up                # the figures of docs/design/catching-up.md
     python -m benchmarks.catching_up --changes 100
 
-The worlds are the tests' (`tests/system_world.py`, `tests/test_catching_up.py`): the very gatekeepers,
-here over lines of 2 Mbit/s between any two, on which a message waits for those before it. Times are seconds.
+Uses the simulations of the tests (`tests/system_world.py`, `tests/test_catching_up.py`) with the real
+gatekeepers, over links of 2 Mbit/s between any two, on which messages queue. Times are seconds.
 """
 
 import argparse
@@ -25,18 +25,18 @@
 from tests.system_world import Node
 from tests.test_catching_up import CatchUpWorld, held_by, long
 
-LINK_BYTES_PER_S = 2e6 / 8  # bytes a second
+LINK_BYTES_PER_S = 2e6 / 8
 LARGE_ROUTES = 21_000  # routes of a document of 6 MB
-configuration.compiled = lru_cache(4)(configuration.compiled)  # type: ignore[assignment]  # once for all gatekeepers of a world
+configuration.compiled = lru_cache(4)(configuration.compiled)  # type: ignore[assignment]  # shared by all gatekeepers of a simulation
 
 
 class SlowLinkWorld(CatchUpWorld):
-    """A world whose lines take time by length, while `measured` is set."""
+    """A simulation in which messages to `measured_member` take time by their length."""
 
-    measured_member = -1  # whose
-    received_bytes = 0  # bytes on lines to it
-    max_queued_s = 0.0  # the longest that a message to it waited for those before it on its line
-    busy_until: dict[tuple[int, int], float]  # until when
+    measured_member = -1  # number of the member, or -1 for none
+    received_bytes = 0  # by this member, without datagrams
+    max_queued_s = 0.0  # longest wait of a message to it for those before it
+    busy_until: dict[tuple[int, int], float]  # by (sender, receiver), simulated time
 
     def deliver(self, sender: Node, address: str, give: Callable[[Any, Any], None], message: Any) -> None:
         receiver = self.by_address.get(address)
@@ -58,7 +58,7 @@
         self.env.process(deliver_later())
 
     def measure(self, number: int, timeout_s: float = 120.0) -> tuple[float, int, float]:
-        """Until it has caught up, the bytes on lines to it, and the longest that a message waited."""
+        """Seconds until it has caught up, bytes received, and the longest time that a message was queued."""
         self.measured_member, self.received_bytes, self.max_queued_s, self.busy_until = number, 0, 0.0, {}
         self.bring_back(number)
         self.wait_until_caught_up(timeout_s)
@@ -68,7 +68,7 @@
 
 
 def measure_changes(changes: int) -> None:
-    """1 is dark all the time; 2 and 3 are down for some changes, and 4 is wiped, after the others."""
+    """Member 1 is down all the time; 2 and 3 are down for some changes; 4 is wiped after the others."""
     started, text = time.monotonic(), long(1)
     for name, without_differences in (("differences", False), ("whole", True)):
         original = Archive.record_change
@@ -83,7 +83,7 @@
             (2, "restarted, 1 change", 1),
             (3, "restarted, 20 changes", 20),
             (4, "wiped", 0),
-            (1, "dark all the time", 0),
+            (1, "down all the time", 0),
         ):
             if missed_changes:
                 world.nodes[number].kill()
@@ -101,10 +101,10 @@
 
 
 def measure_large_document() -> None:
-    """A wiped member and a document of 6 MB: by pieces, and in one message."""
+    """A wiped member and a document of 6 MB, by chunk size and in one message."""
     text = long(1, LARGE_ROUTES)
     for name, chunk_chars in (
-        ("pieces", chunks.CHUNK_CHARS),
+        ("chunks", chunks.CHUNK_CHARS),
         ("256 K", 256 * 1024),
         ("one message", 64 * 1024 * 1024),
     ):
@@ -124,10 +124,10 @@
 
 
 def measure_cpu() -> None:
-    """Processor time of one message at either end, and of a difference."""
+    """CPU time of one message at both ends, and of a difference."""
     text, changed = long(1, LARGE_ROUTES), long(2, LARGE_ROUTES)
     for name, part in (
-        ("a piece", text[: chunks.CHUNK_CHARS]),
+        ("a chunk", text[: chunks.CHUNK_CHARS]),
         ("256 K", text[: 256 * 1024]),
         ("the whole", text),
     ):
@@ -136,8 +136,8 @@
         encoded_at = time.process_time()
         decode_message(encoded)
         print(
-            f"{name}: {len(encoded)} bytes, made in {1000 * (encoded_at - started):.1f} ms, "
-            f"read in {1000 * (time.process_time() - encoded_at):.1f} ms"
+            f"{name}: {len(encoded)} bytes, encoded in {1000 * (encoded_at - started):.1f} ms, "
+            f"decoded in {1000 * (time.process_time() - encoded_at):.1f} ms"
         )
     for old, new in ((long(1), long(2)), (text, changed)):
         started = time.process_time()
@@ -146,7 +146,7 @@
         assert delta is not None
         apply_chain(old, [delta], len(new), configuration.digest_of(new)).unwrap()
         print(
-            f"a difference of {len(old)} characters: {wire_size(delta)} on a line, made in "
+            f"a difference of {len(old)} characters: {wire_size(delta)} encoded, computed in "
             f"{1000 * (made_at - started):.1f} ms, applied in {1000 * (time.process_time() - made_at):.1f} ms"
         )
 
@@ -169,7 +169,7 @@
     measure_cpu()
     measure_disk(changes, 350)
     measure_disk(max(2, changes // 10), LARGE_ROUTES)
-    print("                                 caught up   bytes held up")
+    print("                                 caught up   bytes queued")
     measure_changes(changes)
     measure_large_document()
 
--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -1,12 +1,12 @@
-"""The control side's worst days, with real processes and doors between them: each story a verdict line.
+"""Control-plane faults on real processes with proxies between them: one verdict line per scenario.
 
     python -m benchmarks.control_faults                          # all, at full length
     python -m benchmarks.control_faults --story cut_off --seed 7
     python -m benchmarks.control_faults --small                  # as in CI
 
-The seed draws who is struck, which ways a cut goes and whether it holds bytes back (`millfront/rehearsal/
-links.py`), who is asked, and the documents; an even one's links between regions take 20 to 40 ms. Exit code
-1: a story is broken. Times are seconds.
+The seed draws the affected members, the direction of a cut and whether it delays bytes until its end
+(`millfront/rehearsal/links.py`), the members called, and the documents; with an even seed, links between
+regions take 20 to 40 ms. Exit code 1: a check failed. Times are seconds.
 """
 
 import argparse
@@ -24,18 +24,18 @@
 
 from millfront.rehearsal.system import Answer, Late, System, document, until
 
-REVOKE_S = 5.0  # `revoke_within` where the settings say nothing
+REVOKE_S = 5.0  # default of `revoke_within`
 LEASE_S = 0.8 * REVOKE_S
-LEASE_MARGIN_S = 1.0  # beyond the lease: an answer on its way, a beat, a busy machine
+LEASE_MARGIN_S = 1.0  # beyond the lease: an answer in transit, a tick, a busy machine
 ACK_TIMEOUT_S = 6.0  # `ack_within`
 CATCH_UP_TIMEOUT_S = 10.0
-MAX_DISK_KB = 1000.0  # what 500 documents of 20 KB may leave; 150 KB of it are lmdb's pages for one
+MAX_DISK_KB = 1000.0  # limit after 500 documents of 20 KB; 150 KB of it are lmdb's pages for one document
 Figures = dict[str, Any]
 
 
 @dataclass
 class Verdict:
-    """Of one story: what did not hold, and what was measured."""
+    """Result of one scenario: the failed checks and the measured figures."""
 
     scenario: str
     seed: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One look: when it was asked and answered, by which gatekeeper."""
+    """One poll: when it was sent and answered, and the answer of which gatekeeper."""
 
     sent_at: float
     answered_at: float
@@ -66,10 +66,10 @@
 
 
 class Poller:
-    """Looks at gatekeepers all the time, each with a thread of its own, and keeps what they answered."""
+    """Polls gatekeepers continuously, each in a thread of its own, and keeps their answers."""
 
     def __init__(self, poll: Callable[[int], tuple[int, int]], gatekeepers: list[int]) -> None:
-        """:param look: at one gatekeeper: a status, and a version or 0"""
+        """:param poll: polls one gatekeeper; returns a status, and a version or 0"""
         self.samples: list[Sample] = []
         self._poll, self._stop = poll, threading.Event()
         self._threads = [threading.Thread(target=self._run, args=[number]) for number in gatekeepers]
@@ -120,35 +120,36 @@
 
 
 def check_versions_only_rise(verdict: Verdict, poller: Poller) -> None:
-    """The version in force in a process only rises."""
+    """The version in force in a process never falls."""
     highest: dict[int, int] = {}
     for sample in poller.samples:
         if sample.version:
             previous = highest.get(sample.gatekeeper, 0)
             verdict.check(
                 sample.version >= previous,
-                f"office {sample.gatekeeper} went from {previous} to {sample.version}",
+                f"gatekeeper {sample.gatekeeper} went from {previous} to {sample.version}",
             )
             highest[sample.gatekeeper] = max(previous, sample.version)
 
 
 def check_no_stale_reads(verdict: Verdict, poller: Poller, acked_at: float, version: int) -> None:
-    """No read that was asked after an acknowledgement is told of an older version."""
+    """No read sent after an acknowledgement returns an older version."""
     for sample in poller.samples:
         if sample.sent_at > acked_at and sample.status == 200 and sample.version < version:
             late = sample.sent_at - acked_at
             verdict.check(
-                False, f"office {sample.gatekeeper} told of {sample.version}, {late:.2f} s after {version}"
+                False,
+                f"gatekeeper {sample.gatekeeper}: {sample.version}, {late:.2f} s after {version} was acked",
             )
 
 
 def check_key_refused(verdict: Verdict, poller: Poller, since: float) -> None:
-    """A key that was removed is refused."""
+    """A removed key is refused."""
     late = [
         sample.sent_at - since for sample in poller.samples if sample.sent_at > since and sample.status == 200
     ]
     verdict.check(
-        not late, f"the removed key was let in {len(late)} times, {max(late, default=0):.2f} s late"
+        not late, f"the removed key was accepted {len(late)} times, {max(late, default=0):.2f} s late"
     )
 
 
@@ -163,18 +164,18 @@
 
 
 def put_first_version(system: System, version: int, keys: list[str]) -> None:
-    """A first version, in force everywhere."""
+    """Put a first version and wait until it is in force everywhere."""
     system.settled(0, lambda number: system.put(number, document(version, keys)))
     gatekeepers = list(range(system.count))
     until("all ready", lambda: all(system.ready(number) == 200 for number in gatekeepers))
     wait_in_force(system, version, gatekeepers)
 
 
-# ---- stories ---------------------------------------------------------------------------------------
+# ---- scenarios -------------------------------------------------------------------------------------
 
 
 def cut_off(verdict: Verdict, system: System, rng: random.Random, small: bool) -> None:
-    """A core machine is cut off while the others take a version that removes a key."""
+    """A core member is cut off while the others accept a version that removes a key."""
     duration_s = 6.0 if small else 20.0
     put_first_version(system, 1, ["kept", "gone"])
     member, others = rng.randrange(system.count), list(range(system.count))
@@ -197,7 +198,9 @@
         since = time.monotonic()
         answer = system.settled(others[0], lambda number: system.put(number, document(2, ["kept", "new"])))
         acked_at = time.monotonic()
-        verdict.check(answer.status == 200, f"the others: {answer.status} {answer.text}")
+        verdict.check(
+            answer.status == 200, f"put of version 2: expected 200, got {answer.status} {answer.text}"
+        )
         while True:
             calls = {
                 "another document of the same number": pool.submit(
@@ -205,49 +208,56 @@
                 ),
                 "an older version": pool.submit(system.put, member, document(1, ["kept", "gone"])),
                 "an evacuation": pool.submit(system.call, member, "POST", "/v1/evacuation/north"),
-                "a zone taken back": pool.submit(system.call, member, "DELETE", "/v1/evacuation/south"),
+                "the end of an evacuation": pool.submit(
+                    system.call, member, "DELETE", "/v1/evacuation/south"
+                ),
             }
-            if higher:  # it may be found later, as any order that was answered with 503
+            if higher:  # it may take effect later, like any put answered with 503
                 calls["a higher version"] = pool.submit(system.put, member, document(3, ["kept", "new"]))
             for what, call in calls.items():
                 answer = call.result()
-                verdict.check(is_retry_later(answer), f"cut off, {what}: {answer.status} {answer.text}")
+                verdict.check(is_retry_later(answer), f"cut off, {what}: got {answer.status} {answer.text}")
             if time.monotonic() - since > duration_s / 2:
                 break
         lease_end = since + LEASE_S + LEASE_MARGIN_S
         until("the lease's end", lambda: time.monotonic() > lease_end)
         status = system.page(member, "kept")
-        verdict.check(status == 503, f"cut off and without a lease, a key: {status}")
+        verdict.check(status == 503, f"cut off without a lease, valid key: expected 503, got {status}")
         status = system.page(member, "gone")
-        verdict.check(status in (401, 503), f"cut off and without a lease, the removed key: {status}")
-        verdict.figures["new_key_there"] = system.page(member, "new")  # not judged
+        verdict.check(status in (401, 503), f"cut off without a lease, removed key: got {status}")
+        verdict.figures["new_key_there"] = system.page(member, "new")  # not checked
         until("the cut's end", lambda: time.monotonic() - since > duration_s)
         system.links.heal()
         healed = time.monotonic()
         answer = system.settled(member, system.get)
         verdict.figures["read_again_s"] = round(time.monotonic() - healed, 2)
-        verdict.check(revision(answer) in (2, 3 if higher else 2), f"back, and tells of {revision(answer)}")
+        verdict.check(
+            revision(answer) in (2, 3 if higher else 2), f"healed, a read: version {revision(answer)}"
+        )
         until("it is ready", lambda: system.ready(member) == 200)
         verdict.figures["ready_again_s"] = round(time.monotonic() - healed, 2)
-        # What was held back has come: the confirmed document of its number stays, and nothing was evacuated
+        # Delayed bytes have arrived: the confirmed document of that number stays, and nothing was evacuated
         answer = system.settled(others[1], system.get)
-        verdict.check("rival" not in answer.text, "the rival of a confirmed document took its place")
+        verdict.check("rival" not in answer.text, "a rival document replaced the confirmed one of its number")
         evacuated = {zone_name for number in others for zone_name in system.statement(number)["evacuated"]}
-        verdict.check(not evacuated, f"evacuated by a call that was answered with 503: {evacuated}")
+        verdict.check(not evacuated, f"zones evacuated by a call answered with 503: {evacuated}")
         answer = system.settled(member, lambda number: system.put(number, document(4, ["kept", "new"])))
-        verdict.check(answer.status == 200, f"back, and answers {answer.status} {answer.text}")
+        verdict.check(answer.status == 200, f"healed, a put: expected 200, got {answer.status} {answer.text}")
         wait_in_force(system, 4, [member, *others])
-        verdict.check(system.page(member, "kept") == 200, "back, and refuses a key that is well")
+        verdict.check(system.page(member, "kept") == 200, "healed, a valid key is refused")
     for sample in reads.samples:
         if sample.gatekeeper == member and sample.sent_at > since and sample.answered_at < healed:
-            verdict.check(sample.status == 503, f"cut off, a read: {sample.status} with {sample.version}")
+            verdict.check(
+                sample.status == 503,
+                f"cut off, a read: expected 503, got {sample.status}, version {sample.version}",
+            )
     ready = [
         s.sent_at
         for s in readiness.samples
         if since < s.sent_at and s.answered_at < healed and s.status != 503
     ]
     verdict.figures["ready_no_more_s"] = round(max(ready, default=since) - since, 1)
-    verdict.check(max(ready, default=since) < lease_end, "ready though cut off")
+    verdict.check(max(ready, default=since) < lease_end, "ready after the lease's end though cut off")
     check_no_stale_reads(verdict, reads, acked_at, 2)
     check_versions_only_rise(verdict, versions)
     check_key_refused(verdict, keys, acked_at + REVOKE_S)
@@ -255,13 +265,13 @@
 
 
 def frozen(verdict: Verdict, system: System, rng: random.Random, small: bool) -> None:
-    """A core machine stands still while the others take a version that removes a key; it is asked meanwhile,
-    and answers when it goes on."""
+    """A core member is frozen while the others accept a version that removes a key; calls to it wait until it
+    resumes."""
     duration_s = 6.0 if small else 20.0
     put_first_version(system, 1, ["kept", "gone"])
     stopped = rng.randrange(system.count)
     others = [number for number in range(system.count) if number != stopped]
-    also_cut_off = rng.random() < 0.5  # it is cut off as well, until its first answers are in
+    also_cut_off = rng.random() < 0.5  # until it has sent its first answers
     verdict.figures |= {"frozen": system.names[stopped], "cut_off": also_cut_off}
     with poll_versions(system, others) as versions, ThreadPoolExecutor(16) as pool:
         if also_cut_off:
@@ -269,7 +279,9 @@
         system.freeze(stopped)
         since = time.monotonic()
         answer = system.settled(others[0], lambda number: system.put(number, document(2, ["kept"])))
-        verdict.check(answer.status == 200, f"the others: {answer.status} {answer.text}")
+        verdict.check(
+            answer.status == 200, f"put of version 2: expected 200, got {answer.status} {answer.text}"
+        )
         acked_at = time.monotonic()
         until("the lease's end", lambda: time.monotonic() - acked_at > max(REVOKE_S, duration_s - 0.5))
         reads = [pool.submit(system.get, stopped) for _ in range(6)]
@@ -279,21 +291,21 @@
         for call in reads:
             answer = call.result()
             valid = revision(answer) == 2 or answer.status in (0, 503)
-            verdict.check(valid, f"thawed, a read: {answer.status} with {revision(answer)}")
+            verdict.check(valid, f"thawed, a read: {answer.status}, version {revision(answer)}")
         for page in pages:
-            verdict.check(page.result() != 200, "thawed, the removed key is let in")
+            verdict.check(page.result() != 200, "thawed, the removed key is accepted")
         system.links.heal()
         thawed = time.monotonic()
         until("it is ready", lambda: system.ready(stopped) == 200)
         verdict.figures["ready_again_s"] = round(time.monotonic() - thawed, 2)
         verdict.check(
-            revision(system.settled(stopped, system.get)) == 2, "back, and tells of another version"
+            revision(system.settled(stopped, system.get)) == 2, "thawed, a read returns another version"
         )
     check_versions_only_rise(verdict, versions)
 
 
 def rivals(verdict: Verdict, system: System, rng: random.Random, small: bool) -> None:
-    """Two operators under one number with different documents; then orders whose answers are lost."""
+    """Two operators put different documents under one number; then puts whose answers are lost."""
     put_first_version(system, 1, ["kept"])
     numbers, lost_answers = (8, 4) if small else (24, 8)
     both = none = 0
@@ -322,35 +334,41 @@
             winner = statuses.index(200)
             verdict.check(
                 f"{version:08x}" in answers[1 - winner].text,
-                f"409 names no number: {answers[1 - winner].text}",
+                f"409 does not name the version: {answers[1 - winner].text}",
             )
             verdict.check(
-                order(third, texts[winner]).status == 200, f"number {version}, the winner's once more"
+                order(third, texts[winner]).status == 200,
+                f"number {version}, the repeated winner is not answered with 200",
             )
             verdict.check(
-                order(third, texts[1 - winner]).status == 409, f"number {version}, the loser's once more"
+                order(third, texts[1 - winner]).status == 409,
+                f"number {version}, the repeated loser is not answered with 409",
             )
             read = system.settled(third, system.get)
             is_winner = f"of-{'one' if winner == 0 else 'other'}-" in read.text
             verdict.check(is_winner, f"number {version}: another document is in force")
     verdict.figures |= {"numbers": numbers, "confirmed_to_both": both, "to_none": none}
     verdict.figures["slowest_s"] = round(max(durations), 2)
-    verdict.check(max(durations) < ACK_TIMEOUT_S, f"an order took {max(durations):.2f} s")
+    verdict.check(
+        max(durations) < ACK_TIMEOUT_S, f"a put took {max(durations):.2f} s, the limit is {ACK_TIMEOUT_S:g} s"
+    )
     for version in range(2 + numbers, 2 + numbers + lost_answers):
         one, other = rng.sample(range(system.count), 2)
         text = document(version, ["kept"], note=f"lost-{version}")
         system.lose(one, text)
         answer = system.settled(other, lambda number, text=text: system.put(number, text))  # type: ignore[misc]
-        verdict.check(answer.status == 200, f"an order sent again: {answer.status} {answer.text}")
+        verdict.check(
+            answer.status == 200, f"a repeated put: expected 200, got {answer.status} {answer.text}"
+        )
     verdict.figures["sent_again"] = lost_answers
 
 
 def second_loss(verdict: Verdict, system: System, rng: random.Random, small: bool) -> None:
-    """A core machine loses its disk; as soon as it votes again, another one does."""
+    """A core member loses its disk; as soon as it votes again, another one loses its disk."""
     put_first_version(system, 1, ["kept"])
     version, times = 1, 1 if small else 4
     answer = system.settled(0, lambda number: system.call(number, "POST", "/v1/evacuation/west"))
-    verdict.check(answer.status == 200, f"an evacuation: {answer.status}")
+    verdict.check(answer.status == 200, f"an evacuation: expected 200, got {answer.status}")
     repairs = []
     for _ in range(times):
         one, other = rng.sample(range(system.count), 2)
@@ -359,7 +377,10 @@
         def order(number: int, version: int) -> None:
             text = document(version, ["kept"], routes=20)
             answer = system.settled(number, lambda at: system.put(at, text))
-            verdict.check(answer.status == 200, f"version {version}: {answer.status} {answer.text}")
+            verdict.check(
+                answer.status == 200,
+                f"put of version {version}: expected 200, got {answer.status} {answer.text}",
+            )
 
         order(one, version + 1)
         system.kill(one, wipe=True)
@@ -367,14 +388,14 @@
         system.start(one)
         repairs.append(until("it votes", lambda one=one: system.votes(one)))  # type: ignore[misc]
         verdict.check(
-            system.held(one) == version + 2, f"votes, and holds {system.held(one)} of {version + 2}"
+            system.held(one) == version + 2, f"votes with version {system.held(one)} of {version + 2}"
         )
         system.kill(other, wipe=True)
         for number in (one, *left):
             answered_version = revision(system.settled(number, system.get))
             verdict.check(
                 answered_version == version + 2,
-                f"office {number} tells of {answered_version}, {version + 2} was confirmed",
+                f"gatekeeper {number}: version {answered_version}, {version + 2} was confirmed",
             )
         started = time.monotonic()
         order(one, version + 3)
@@ -386,15 +407,15 @@
             answered_version = revision(system.settled(number, system.get))
             verdict.check(
                 answered_version == version,
-                f"office {number} tells of {answered_version}, {version} was confirmed",
+                f"gatekeeper {number}: version {answered_version}, {version} was confirmed",
             )
             evacuated = system.statement(number)["evacuated"]
-            verdict.check(evacuated == ["west"], f"office {number} has evacuated {evacuated}")
+            verdict.check(evacuated == ["west"], f"gatekeeper {number}: evacuated {evacuated}")
     verdict.figures["repaired_s"] = [round(duration, 1) for duration in repairs]
 
 
 def many_changes(verdict: Verdict, system: System, rng: random.Random, small: bool) -> None:
-    """Changes without end while a member is down; it is started as another one loses its disk."""
+    """Many changes while a member is down; it is started when another one loses its disk."""
     put_first_version(system, 1, ["kept"])
     down, wiped = rng.sample(range(system.count), 2)
     others = [number for number in range(system.count) if number != down]
@@ -405,31 +426,36 @@
         text, sent = document(version, ["kept", f"key-{version}"], routes=routes), time.monotonic()
         answer = system.settled(rng.choice(others), lambda number, text=text: system.put(number, text))  # type: ignore[misc]
         slowest = max(slowest, (round(time.monotonic() - sent, 2), version))
-        verdict.check(answer.status == 200, f"version {version}: {answer.status} {answer.text}")
+        verdict.check(
+            answer.status == 200, f"put of version {version}: expected 200, got {answer.status} {answer.text}"
+        )
     newest = count + 1
     verdict.figures |= {"changes": count, "a_change_s": round((time.monotonic() - started) / count, 3)}
-    verdict.check(slowest[0] < ACK_TIMEOUT_S, f"version {slowest[1]} took {slowest[0]} s")
+    verdict.check(
+        slowest[0] < ACK_TIMEOUT_S,
+        f"version {slowest[1]} took {slowest[0]} s, the limit is {ACK_TIMEOUT_S:g} s",
+    )
     verdict.figures |= {"slowest_s": slowest[0], "which": slowest[1]}
     system.kill(wiped, wipe=True)
     for number in (wiped, down):
         system.start(number)
     members, caught_up = {"wiped": wiped, "restarted": down}, {}
-    for what, number in members.items():  # by themselves: a read would bring a replica what it lacks
+    for what, number in members.items():  # without reads, which would repair a replica
 
         def holds(number: int = number) -> bool:
             return system.held(number) == newest and system.version(number) == newest
 
         with contextlib.suppress(Late):
-            caught_up[what] = round(until(f"the {what} one has all", holds, CATCH_UP_TIMEOUT_S), 1)
-        progress = f"the {what} one holds {system.held(number)} and has {system.version(number)} of {newest}"
+            caught_up[what] = round(until(f"the {what} one has all changes", holds, CATCH_UP_TIMEOUT_S), 1)
+        progress = f"the {what} one stores {system.held(number)}, uses {system.version(number)} of {newest}"
         verdict.check(what in caught_up, f"{progress} after {CATCH_UP_TIMEOUT_S:g} s")
     for what, number in members.items():
         answered_version = revision(system.settled(number, system.get))
         verdict.check(
-            answered_version == newest, f"the {what} one tells of {answered_version}, {newest} was confirmed"
+            answered_version == newest, f"the {what} one: version {answered_version}, {newest} was confirmed"
         )
     disks = [system.disk_kb(number) for number in range(system.count)]
-    verdict.check(max(disks) < MAX_DISK_KB, f"disks of {max(disks):.0f} KB")
+    verdict.check(max(disks) < MAX_DISK_KB, f"disk of {max(disks):.0f} KB, the limit is {MAX_DISK_KB:g} KB")
     verdict.figures |= {
         "caught_up_s": caught_up,
         "disk_kb": round(max(disks)),
@@ -444,7 +470,7 @@
 
 
 def run_scenario(name: str, seed: int, small: bool, folder: Path) -> Verdict:
-    """One story, played with a system of its own in that folder."""
+    """Run one scenario with a system of its own in that folder."""
     verdict, started = Verdict(name, seed), time.monotonic()
     try:
         with System(folder, seed=seed) as system:
@@ -473,9 +499,9 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--story", choices=list(SCENARIOS))
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=1, help="so many, from --seed on")
-    parser.add_argument("--small", action="store_true", help="as short as in CI")
-    parser.add_argument("--logs", type=Path, help="a new folder that keeps logs and disks")
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds, from --seed on")
+    parser.add_argument("--small", action="store_true", help="short form, as in CI")
+    parser.add_argument("--logs", type=Path, help="new folder for logs and disks")
     args = parser.parse_args()
     seeds = range(args.seed, args.seed + args.seeds)
     broken = 0
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -1,14 +1,13 @@
-"""Daily operation, measured on real processes: upgrades under load, and many long answers read slowly.
+"""Daily operation on real processes: upgrades under load, and many large responses read slowly.
 
     python -m benchmarks.daily [--upgrades 50] [--bodies 200] [--seconds 20]
 
-Upgrades: a successor starts beside its predecessor; once its operators' line says yes, the predecessor gets
-SIGTERM. Meanwhile clients ask, half of them on a new connection for each request. A request is turned back
-where its connection is refused, or ends without a byte of an answer on it; one on a kept connection is asked
-once more on a new one, as the platform's clients do, and is counted only if that fails too.
+Upgrades: a successor starts beside its predecessor; once the successor's operators' line reports success, the
+predecessor gets SIGTERM. Meanwhile clients send requests, half of them on a new connection each. A request
+counts as turned back if its connection is refused or ends before a complete answer; on a reused connection
+it is retried once on a new one, as the platform's clients do, and counted only if that fails too.
 
-Bodies: answers of 32 MB, each read at 64 kB a second; the process's resident memory is looked at ten times a
-second.
+Bodies: responses of 32 MB, each read at 64 kB/s; the process's resident memory is sampled ten times a second.
 """
 
 import argparse
@@ -35,7 +34,7 @@
 
 
 class LargePageServer(FastPageServer):
-    """32 MB to whoever asks, as fast as they are taken."""
+    """Sends 32 MB in response to each request, as fast as they are read."""
 
     def data_received(self, data: bytes) -> None:
         self.unsent_bytes = BODY_BYTES
@@ -61,7 +60,7 @@
 
 
 class Gatekeeper:
-    """A process with an operators' line."""
+    """A gatekeeper process with an operators' line."""
 
     def __init__(self, folder: Path, listen: str, page: str, memory_mb: int = 192) -> None:
         node_settings = settings()
@@ -80,7 +79,7 @@
         threading.Thread(target=self.process.stderr.read, daemon=True).start()
 
     async def wait_ready(self) -> float:
-        """Seconds until its line does."""
+        """Seconds until the operators' line reports success."""
         started = time.monotonic()
         host, _, port = self.admin.rpartition(":")
         while True:
@@ -101,7 +100,7 @@
 
 
 async def exchange(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> tuple[bool, bool]:
-    """Whether there was an answer, and whether the connection goes on."""
+    """Send a request; returns whether it was answered, and whether the connection can be reused."""
     try:
         writer.write(request())
         head = await reader.readuntil(b"\r\n\r\n")
@@ -177,7 +176,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 64 * 1024)
         sock.connect(("127.0.0.1", port))
         reader, writer = await asyncio.open_connection(sock=sock, limit=32 * 1024)
-        while True:  # so many at once are more than are let in
+        while True:  # more than are admitted at once
             writer.write(request())
             head = await reader.readuntil(b"\r\n\r\n")
             if head.startswith(b"HTTP/1.1 200"):
@@ -201,8 +200,8 @@
         max_rss = max(max_rss, rss_mb(gatekeeper.process.pid))
         await asyncio.sleep(0.1)
     await asyncio.gather(*tasks)
-    print(f"{count} answers of 32 MB read slowly, {seconds:.0f} s of all together:", end=" ")
-    print(f"{received[0] / 1e6:.0f} MB taken,", end=" ")
+    print(f"{count} responses of 32 MB read slowly, all at once for {seconds:.0f} s:", end=" ")
+    print(f"{received[0] / 1e6:.0f} MB received,", end=" ")
     print(f"{before:.1f} MB before, {max_rss:.1f} MB at most, with a limit of 80")
     await gatekeeper.stop()
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -1,10 +1,10 @@
-"""A fuzz run of a stated length over all that reads bytes from a peer.
+"""A fuzz run of a given length over all code that reads bytes from a peer.
 
     python -m benchmarks.fuzz [--seconds 60]
 
-Draws from the strategies of the tests, anew each time: HTTP/1.1 requests and answers against h2's elder,
-h11; frames from a client and from a member; cut and flipped ledgers. Prints how many cases each part had,
-and the first failure.
+Draws new examples from the strategies of the tests on each run: HTTP/1.1 requests and responses compared to
+h11; frames from a client and from a member; truncated and corrupted ledgers. Prints the number of cases of
+each part, and its first failure.
 """
 
 import argparse
@@ -23,11 +23,11 @@
     "HTTP/2 from members": test_http2_members.test_whatever_a_member_sends_each_attempt_ends_once,
     "ledger segments": test_usage.test_flipped_bits_lose_the_records_they_lie_in_and_name_them,
 }
-CASES_PER_BLOCK = 300  # cases in one go
+CASES_PER_BLOCK = 300
 
 
 def run_blocks(part: Any, deadline: float) -> tuple[int, BaseException | None]:
-    """Cases until then; the failure that ended it, if any."""
+    """Run cases until the deadline or a failure; returns their number and the failure, if any."""
     cases = 0
     part_settings = settings(
         max_examples=CASES_PER_BLOCK,
@@ -37,7 +37,7 @@
         phases=[Phase.generate, Phase.shrink],
         suppress_health_check=list(HealthCheck),
     )
-    part._hypothesis_internal_use_settings = part_settings  # in place of those of CI
+    part._hypothesis_internal_use_settings = part_settings  # instead of the CI profile
     while time.monotonic() < deadline:
         try:
             part()
--- a/benchmarks/gatekeeper_cost.py
+++ b/benchmarks/gatekeeper_cost.py
@@ -1,11 +1,11 @@
-"""What a request costs an office of the whole system, in turns with the gatekeeper in service.
+"""Cost of a request at a gatekeeper of the whole system, in turns with a single gatekeeper (NODE_*).
 
     python -m benchmarks.gatekeeper_cost [--rounds 24] [--requests 400]
 
-A real process of each, both up at once, between stand-ins and a client with kept connections on loopback;
-each round gives both a block of requests, in an order drawn anew. CPU is that of the process's threads. The
-office is alone: it has founded a core of one on its disk and keeps the quota of a tenant that is never
-reached.
+One real process of each, both running at once, between simulated servers and a client with persistent
+connections on loopback; each round sends both a block of requests, in random order. CPU is that of the
+process's threads. The system's gatekeeper (`office` in the output) runs alone: it has bootstrapped a core of
+one on its disk and enforces the quota of a tenant, which is never reached.
 """
 
 import argparse
@@ -38,7 +38,7 @@
 
 
 class ToyServer(PageServer):
-    """A server of the system's protocol: at once and always well."""
+    """A server of the system's protocol that always succeeds at once."""
 
     def data_received(self, data: bytes) -> None:
         self.data += data
@@ -54,7 +54,7 @@
 
 
 class Platform(asyncio.Protocol):
-    """One server, on one page."""
+    """A simulated platform that lists one server, on one page."""
 
     shop = ""
 
@@ -116,7 +116,7 @@
 
 
 async def start_gatekeeper(folder: Path, cloud: str) -> tuple[subprocess.Popen[str], str, float]:
-    """An office that is ready; its address, and how long that took."""
+    """Start a gatekeeper of the system; returns it when ready, its address and the seconds taken."""
     plain, ctl = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
     settings = SETTINGS.format(folder=folder / "disk", port=free_port(), ctl=ctl, plain=plain, cloud=cloud)
     (folder / "node.toml").write_text(settings)
@@ -135,7 +135,7 @@
             pass
         await asyncio.sleep(0.05)
     process.kill()
-    raise SystemExit("the office is not ready in time")
+    raise SystemExit(f"gatekeeper not ready within {READY_S:g} s")
 
 
 def request(number: int) -> bytes:
@@ -177,7 +177,7 @@
     )
     cost: dict[str, list[float]] = {"gatekeeper": [], "office": []}
     record, rng = LoadRecord(), random.Random(1)
-    for round_number in range(-1, count):  # the first is for warming up
+    for round_number in range(-1, count):  # round -1 warms up
         for name in random.sample(sorted(cost), 2):
             pid = process.pid if name == "office" else node.process.pid
             before = cpu_s(pid)
@@ -194,7 +194,7 @@
     print(
         f"office over gatekeeper {statistics.median(ratios):.2f} (half of the pairs {low:.2f} to {high:.2f})"
     )
-    print(f"the office served {startup_s:.2f} s after its start, a core of one founded")
+    print(f"the office served {startup_s:.2f} s after its start, with a core of one bootstrapped")
     process.send_signal(signal.SIGTERM)
     await asyncio.to_thread(process.wait)
     await asyncio.to_thread(node.stop)
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -1,12 +1,12 @@
-"""A gatekeeper killed again and again under load, its usage exported to a faulty receiver: does every unit
-arrive?
+"""Checks that every unit is exported although a gatekeeper is killed repeatedly under load and the receiver
+is faulty.
 
     python -m benchmarks.kills --kills 200 --seed 1
 
-Stand-in page servers keep their own tally of the true units, by request. After each SIGKILL the ledger is
-read from outside: which tries were out. In the end the exported lines must equal, for every customer and
-class, what the page servers answered (`told`), what ran without a good answer (`guessed`), and what was out
-at a kill (`abandoned`).
+Simulated page servers keep their own tally of the true units, by request. After each SIGKILL the ledger is
+read from outside for the tries in flight. At the end, the exported lines must equal, for every customer and
+class, what the page servers answered (`told`), what ran without a good answer (`guessed`), and what was in
+flight at a kill (`abandoned`).
 """
 
 import argparse
@@ -33,29 +33,30 @@
 CLIENTS = 12
 CUSTOMERS = 5
 FAULTS = ("before", "after", "error", "half", "busy")
-FAULT_RATE = 0.4  # of the receiver's answers
+FAULT_RATE = 0.4  # share of the receiver's answers
 Key = tuple[str, str]  # customer, class
 
 
 def true_units(name: str) -> float:
-    """What a request really costs, the same whoever serves it: tenths, from 0.1 to 8."""
+    """The true cost of a request, the same at every server: tenths of a unit, from 0.1 to 8."""
     return (hashlib.blake2b(name.encode(), digest_size=2).digest()[0] % 80 + 1) / 10
 
 
 @dataclass(slots=True)
 class LoadRecord:
-    """What the stand-ins saw."""
+    """What clients and simulated page servers observed."""
 
     ran: dict[str, Key] = field(default_factory=dict)
     answered: dict[str, float] = field(default_factory=dict)
-    open_at_kill: dict[str, float] = field(default_factory=dict)  # at a kill, with its guess
+    # requests in flight at a kill, with their guessed units
+    open_at_kill: dict[str, float] = field(default_factory=dict)
     served: int = 0
     kills: int = 0
     seconds: float = 0.0
 
 
 class PageServer(asyncio.Protocol):
-    """Answers after a few ms, and tallies what it answers well. Some requests end in 500 or in silence."""
+    """Answers after a few ms and records the units of good answers; some get a 500 or a closed connection."""
 
     record: LoadRecord
     rng: random.Random
@@ -138,7 +139,7 @@
 
 
 def wait_until_serving(process: subprocess.Popen[str]) -> str:
-    """The address, once it serves; its log goes on being read."""
+    """Returns the address once it serves; a thread goes on reading its log."""
     assert process.stderr is not None
     address, log = "", ""
     for line in process.stderr:
@@ -199,7 +200,7 @@
     stop_faults()
     process.send_signal(signal.SIGTERM)
     if await asyncio.to_thread(process.wait) != 0:
-        raise RuntimeError("the gatekeeper did not end well")
+        raise RuntimeError(f"the gatekeeper exited with {process.returncode}, expected 0")
     record.seconds = time.monotonic() - started
     for page in pages:
         page.close()
@@ -207,7 +208,7 @@
 
 
 def run(kills: int, seed: int, folder: Path, spool: bool = False) -> tuple[LoadRecord, list[str]]:
-    """:returns: what was seen, and every difference found"""
+    """:returns: the observations, and every difference found"""
     rng = random.Random(seed + 1)
     fault_rate = [FAULT_RATE]
     batch_receiver = BatchReceiver()
@@ -242,7 +243,7 @@
 
 
 def differences(record: LoadRecord, lines: Counter[tuple[str, ...]]) -> list[str]:
-    """Exported against the page servers' own tally, by figure, customer and class; units in millionths."""
+    """Compare export and page servers' tally by figure, customer and class; in millionths of a unit."""
     exported: Counter[tuple[str, ...]] = Counter()
     for (_, customer, _, _, cls, _, figure, _), units in lines.items():
         exported[(figure, customer, cls)] += units
@@ -263,7 +264,7 @@
     exported_abandoned = sum(units for key, units in exported.items() if key[0] == "abandoned")
     if exported_abandoned != abandoned:
         problems.append(
-            f"abandoned: {exported_abandoned / 1e6:g} exported, {abandoned / 1e6:g} out at the kills"
+            f"abandoned: {exported_abandoned / 1e6:g} exported, {abandoned / 1e6:g} in flight at the kills"
         )
     return problems
 
@@ -281,7 +282,7 @@
         f"{record.kills} kills in {record.seconds:.0f} s; {len(record.ran)} tries ran, "
         f"{units:.1f} units answered"
     )
-    print(f"{len(record.open_at_kill)} tries were out at a kill; {len(problems)} differences")
+    print(f"{len(record.open_at_kill)} tries were in flight at a kill; {len(problems)} differences")
     for line in problems[:20]:
         print(" ", line)
     sys.exit(bool(problems))
--- a/benchmarks/ledger_speed.py
+++ b/benchmarks/ledger_speed.py
@@ -1,10 +1,10 @@
-"""The ledger at rate: tries recorded on one core, and the start on a large ledger.
+"""Speed of the usage ledger: recording tries on one core, and opening a large ledger.
 
     python -m benchmarks.ledger_speed
 
-Records are made at 20,000 a second (a record for the send, one for the end of each try) with sealing,
-syncing in a thread and batches made beside it, as a node does; what the core had left is told. Then a
-ledger of a million records is opened.
+Records are written at 20,000 per second (one when a try is sent, one when it ends) with sealing, syncing in a
+thread and building batches alongside, as in a node; prints the CPU used. Then a ledger of a million records
+is opened.
 """
 
 import resource
@@ -68,7 +68,7 @@
         f"{batches} batches made"
     )
     print(
-        f"{cpu_spent / recorded * 1e6:.1f} µs of CPU a try with its batch; "
+        f"{cpu_spent / recorded * 1e6:.1f} µs of CPU per try with its batch; "
         f"never more than {max_lag_s * 1e3:.0f} ms behind"
     )
     ledger.close()
--- a/benchmarks/plan_change.py
+++ b/benchmarks/plan_change.py
@@ -1,11 +1,11 @@
-"""How soon a new plan holds at three gatekeepers, and what a large book does to the loop.
+"""Delay until a new plan applies at three gatekeepers, and event-loop delay from a large book.
 
     python -m benchmarks.plan_change [--changes 60]
 
-Three real gatekeepers follow one book. A customer is moved to and fro between a plan that lets all in and
-one that lets nothing in; for each change and gatekeeper, the time from the file's replacement to the first
-answer under the new plan. Then a node in this process applies books of 100,000 assignments, with a beat
-every ms beside it: the longest gap.
+Three real gatekeepers follow one book. A customer is switched between a plan that admits everything and one
+that admits nothing; measures, per change and gatekeeper, the time from the file's replacement to the first
+answer under the new plan. Then a node in this process applies books of 100,000 assignments beside a timer of
+1 ms; measures the longest gap between its ticks.
 """
 
 import argparse
@@ -150,7 +150,7 @@
         median, p99, longest = (
             delays[min(len(delays) - 1, int(len(delays) * share))] for share in (0.5, 0.99, 1.0)
         )
-        print(f"{len(delays)} changes heard: median {median:.3f} s, p99 {p99:.3f} s, most {longest:.3f} s")
+        print(f"{len(delays)} changes applied: median {median:.3f} s, p99 {p99:.3f} s, most {longest:.3f} s")
         gap, duration_s, size = anyio.run(large, Path(folder), backend_options={"use_uvloop": True})
     print(f"100,000 assignments: longest gap {gap:.1f} ms, applied in {duration_s:.2f} s, {size:.1f} MB")
 
--- a/benchmarks/protocols.py
+++ b/benchmarks/protocols.py
@@ -1,10 +1,10 @@
-"""What a request costs over HTTP/1.1 and HTTP/2, beside a bare relay, all in one run.
+"""Cost of a request over HTTP/1.1 and HTTP/2, compared to a bare relay in the same run.
 
     python -m benchmarks.protocols [--against FOLDER] [--rounds 12] [--requests 1200]
 
-Every variant is a process that is up all the time; each round gives each a block of requests, in an order
-drawn anew: the relay, HTTP/1.1 on kept connections, HTTP/1.1 with a connection for each request (both also
-of another checkout), and HTTP/2 with 1, 10 and 100 streams open at once on a connection. CPU is that of the
+Every variant is a process that runs all the time; each round sends each a block of requests, in random order:
+the relay, HTTP/1.1 on persistent connections, HTTP/1.1 with a connection for each request (both also of
+another checkout), and HTTP/2 with 1, 10 and 100 concurrent streams on a connection. CPU is that of the
 process's threads.
 """
 
@@ -97,7 +97,7 @@
 
 
 async def multiplexed(address: str, requests: int, at_once: int) -> list[float]:
-    """Over one connection; returns the time of each answer in s."""
+    """Send requests over one connection; returns the response times in s."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     connection = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
@@ -119,7 +119,7 @@
                 durations.append(now() - sent_at.pop(event.stream_id or 0))
                 done += 1
             elif isinstance(event, h2.events.ConnectionTerminated):
-                raise RuntimeError(f"told to go: {event.error_code}")
+                raise RuntimeError(f"connection ended by GOAWAY with error code {event.error_code}")
     writer.close()
     return durations
 
@@ -172,7 +172,7 @@
 
 
 async def at_size(current: Process) -> None:
-    """10,000 streams over 100 connections, and what an idle connection holds."""
+    """10,000 streams over 100 connections, and the memory of an idle connection."""
     before = rss_mb(current.pid)
     durations = sorted(
         t
--- a/benchmarks/quota_cost.py
+++ b/benchmarks/quota_cost.py
@@ -1,11 +1,12 @@
-"""What a token costs: real processes on loopback, clients with a limit beside clients without.
+"""Cost of quota tokens: real processes on loopback, clients with a limit compared to clients without.
 
     python -m benchmarks.quota_cost               # 11 processes, 4 of them with a disk
     python -m benchmarks.quota_cost --processes 69 --disks 8
 
-Requests come one by one at processes drawn at random, at 0.6 of the tenant's limit, for 20 s. Told: from the
-sending of a request to its arrival at a server, with a limit and without; refusals; questions a request that
-came, of all processes; and the bytes of a question with its answer. Loopback has no way to another region.
+Requests go one by one to processes drawn at random, at 0.6 of the tenant's limit, for 20 s. Figures: time
+from sending a request to its arrival at a server, with a limit and without; refusals; token requests of all
+processes per client request; and the bytes of a token request and its reply. Loopback has no cross-region
+delay.
 """
 
 import argparse
@@ -23,7 +24,7 @@
 
 LIMITED, UNLIMITED = "limited", "free"
 RATE = 30.0
-LOAD = 0.6  # of the rate
+LOAD = 0.6  # share of RATE
 SECONDS = 20.0
 CLIENTS = 6
 HEADER_BYTES = 28  # bytes of IP and UDP
@@ -31,7 +32,7 @@
 
 
 class Clients:
-    """They ask one process after another, each on a connection of its own."""
+    """Clients that send each request to a random process, on a new connection."""
 
     def __init__(self, system: System, key: str, seed: int) -> None:
         self.system, self.key, self.random = system, key, random.Random(seed)
@@ -39,7 +40,7 @@
         self.statuses: list[int] = []
 
     def run(self, rate: float, seconds: float) -> None:
-        """So many requests a second, for so long."""
+        """Send `rate` requests per second for `seconds`."""
         deadline, pause = time.monotonic() + seconds, threading.Event()
         while time.monotonic() < deadline:
             pause.wait(self.random.expovariate(rate))
@@ -57,7 +58,7 @@
 
 
 def run_clients(system: System, key: str, rate: float) -> tuple[list[float], int, int]:
-    """Milliseconds to a server, how many were refused, and how many came."""
+    """Returns the milliseconds until arrival at a server, the number of refusals and that of requests."""
     clients = [Clients(system, key, seed) for seed in range(CLIENTS)]
     threads = [threading.Thread(target=client.run, args=[rate / CLIENTS, SECONDS]) for client in clients]
     for thread in threads:
@@ -76,12 +77,12 @@
 
 
 def count_token_requests(system: System) -> float:
-    """That all processes have asked."""
+    """Token requests sent by all processes so far."""
     return sum(system.metrics(n).get("millfront_quota_questions_total", 0.0) for n in range(system.count))
 
 
 def print_line(label: str, delays_ms: list[float], refused: int, total: int) -> None:
-    """A line."""
+    """Print the delays and refusals of one run."""
     p99 = delays_ms[int(0.99 * len(delays_ms))]
     print(
         f"{label}: p50 {statistics.median(delays_ms):.2f} ms, p99 {p99:.2f} ms, {refused} of {total} refused"
@@ -107,10 +108,10 @@
         before = count_token_requests(system)
         delays_ms, refused, total = run_clients(system, LIMITED, LOAD * RATE)
         print_line("with a limit", delays_ms, refused, total)
-        print(f"{(count_token_requests(system) - before) / total:.2f} questions a request")
+        print(f"{(count_token_requests(system) - before) / total:.2f} token requests per request")
     request_bytes = len(encode_message(TokenRequest(2**31, "tenant01", 1.0).to_wire())) + HEADER_BYTES
     reply_bytes = len(encode_message(TokenReply(2**31, 1.0, 0.0).to_wire())) + HEADER_BYTES
-    print(f"{request_bytes} bytes a question, {reply_bytes} an answer")
+    print(f"{request_bytes} bytes per token request, {reply_bytes} per reply")
 
 
 if __name__ == "__main__":
--- a/benchmarks/register_changes.py
+++ b/benchmarks/register_changes.py
@@ -1,10 +1,10 @@
-"""Control state in simulated time: how soon a change is in force, a fleet whole again, and what it costs.
+"""Control state in simulated time: delay until a change is in force, recovery of a fleet, and traffic.
 
     python -m benchmarks.register_changes            # the figures of docs/design/register.md
     python -m benchmarks.register_changes --histories 10000
 
-The worlds are the tests' (`tests/system_world.py`): the very gatekeepers, links of 1 to 2 ms in a region and
-20 to 40 ms between two, disks that sync in 2 ms. Times are seconds.
+Uses the simulation of the tests (`tests/system_world.py`) with the real gatekeepers, links of 1 to 2 ms in a
+region and 20 to 40 ms between two, and disks that sync in 2 ms. Times are seconds.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 
 class CountingWorld(World):
-    """A world that counts what crosses between regions, and all that is carried."""
+    """A simulation that counts the bytes sent within and between regions."""
 
     cross_region_bytes = in_region_bytes = 0
 
@@ -50,7 +50,7 @@
 
 
 def run_until(world: World, condition: Callable[[], bool], timeout_s: float = 60.0) -> float:
-    """Seconds until it holds."""
+    """Seconds until the condition holds, or inf at the time limit."""
     started = world.env.now
     while not condition():
         world.run(0.02)
@@ -60,7 +60,7 @@
 
 
 def measure_in_force(n: int, disks: int) -> None:
-    """From the acknowledgement of a version until each process acts on it."""
+    """Delay from the acknowledgement of a version until each process has it in force."""
     world, rng, lags = start_world(n, disks), random.Random(n), []
     cross_region_before, started = world.cross_region_bytes, world.env.now
     world.run(20.0)
@@ -93,8 +93,8 @@
 
 
 def measure_recovery(n: int, disks: int) -> None:
-    """After all of the core was killed, and after all machines lost power: until all replicas vote, and until
-    every process is ready."""
+    """After the whole core was killed, and after all machines lost power: time until all replicas vote, and
+    until every process is ready."""
 
     def ready() -> bool:
         return all(node.gatekeeper is not None and node.gatekeeper.ready(node.now()) for node in world.nodes)
@@ -130,11 +130,13 @@
 def search_histories(count: int) -> None:
     reconfiguration.JOIN_DELAY_S, reconfiguration.REMOVAL_DELAY_S = 2.0, 8.0
     started = time.monotonic()
-    print("search:", test_core_search.first_violation(count) or f"nothing in {count} plays")
+    print("search:", test_core_search.first_violation(count) or f"no violation in {count} runs")
     play = test_core_changes.test_histories_with_changes_of_the_core_lose_nothing_and_have_one_core_an_epoch
     for seed in range(1000, 1000 + count // 20):
         play(seed)
-    print(f"histories: nothing in {count // 20} of whole fleets; {time.monotonic() - started:.0f} s in all")
+    print(
+        f"histories: no violation in {count // 20} of whole fleets; {time.monotonic() - started:.0f} s in all"
+    )
 
 
 def main() -> None:
@@ -143,11 +145,11 @@
     if count := parser.parse_args().histories:
         search_histories(count)
         return
-    print("in force after the acknowledgement; KB between regions: a second at rest, a change")
-    print("    n disks   p50    p99  worst    at rest   a change")
+    print("in force after the acknowledgement; KB between regions: per second when idle, per change")
+    print("    n disks   p50    p99  worst       idle   a change")
     for n, disks in ((11, 4), (30, 6)):
         measure_in_force(n, disks)
-    print("whole again, s: all voting and all ready after the core was killed, the same after all lost power")
+    print("recovery, s: all vote and all are ready after the core was killed, and after all lost power")
     for n, disks in ((11, 4), (30, 6)):
         measure_recovery(n, disks)
     size_on_disk()
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,7 +1,7 @@
-"""A bare HTTP/1.1 relay on the loop's transports: what moving a request costs when nothing is decided.
+"""A bare HTTP/1.1 relay on the loop's transports: the cost of forwarding a request without any decision.
 
-It stands beside the gatekeeper in `benchmarks.protocols`: `python -m benchmarks.relay CLIENTS MEMBER`
-relays whole messages byte for byte over kept connections, reading no more of them than their end.
+The baseline of `benchmarks.protocols`: `python -m benchmarks.relay CLIENTS MEMBER` relays complete messages
+byte for byte over persistent connections, and parses them only to find their end.
 """
 
 import asyncio
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -1,10 +1,10 @@
-"""What a request costs a gatekeeper, in turns with and without what is switched on, also against another
+"""Cost of a request at a gatekeeper, in turns with and without optional parts, also compared to another
 checkout.
 
     python -m benchmarks.request_cost [--against FOLDER] [--rounds 40] [--requests 400]
 
-A real gatekeeper process for each variant, all up at once, between a stand-in page server and a client with
-kept connections, on loopback. Each round gives every variant a block of requests, in an order drawn anew:
+A real gatekeeper process for each variant, all running at once, between a simulated page server and a client
+with persistent connections, on loopback. Each round sends every variant a block of requests, in random order:
 `off`, `ledger` (usage exported to a spool), `plans` (a book of 100,000 assignments), and `other` (another
 checkout). CPU is that of the gatekeeper's threads.
 """
@@ -32,7 +32,7 @@
 
 
 class FastPageServer(PageServer):
-    """The same, at once and always well."""
+    """A page server that always succeeds at once."""
 
     def data_received(self, data: bytes) -> None:
         self.data += data
@@ -42,7 +42,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Of all of its threads, from the scheduler's own account in ns."""
+    """CPU time of all threads, from the scheduler's statistics in ns."""
     files = Path(f"/proc/{pid}/task").glob("*/schedstat")
     return sum(int(file.read_text().split()[0]) for file in files) / 1e9
 
@@ -95,7 +95,7 @@
 async def rounds(
     folder: Path, variants: dict[str, Path], count: int, requests: int
 ) -> dict[str, tuple[list[float], float, float]]:
-    """By variant: µs of CPU a request in each round, MB held in the end, seconds from the start to
+    """Returns by variant: µs of CPU per request in each round, resident MB at the end, seconds from start to
     serving."""
     loop = asyncio.get_running_loop()
     page = await loop.create_server(FastPageServer, "127.0.0.1", 0)
@@ -105,7 +105,7 @@
         running[name] = await asyncio.to_thread(RunningGatekeeper, folder / name, name, tree, page_address)
     cost: dict[str, list[float]] = {name: [] for name in variants}
     record, rng = LoadRecord(), random.Random(1)
-    for round_number in range(-1, count):  # the first is for warming up
+    for round_number in range(-1, count):  # round -1 warms up
         for name in random.sample(sorted(running), len(running)):
             pid = running[name].process.pid
             before = cpu_s(pid)
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,6 +1,6 @@
-"""What finding a request's route costs, by the number of routes: `python -m benchmarks.routes`.
+"""Cost of a route lookup by number of routes: `python -m benchmarks.routes`.
 
-All routes are one host's; each path is two levels below its prefix.
+All routes belong to one host; each path is two levels below its prefix.
 """
 
 import time
@@ -23,7 +23,7 @@
 
 
 def main() -> None:
-    print("routes  us a look-up")
+    print("routes  us per lookup")
     for count in (10, 1_000, 10_000):
         configuration, paths = make_configuration(count)
         fastest = 1e9
--- a/benchmarks/slow_reader.py
+++ b/benchmarks/slow_reader.py
@@ -1,9 +1,9 @@
-"""What a client that reads nothing costs the others on the same gatekeeper, and on the same connection.
+"""Effect of clients that read nothing on the response time of others at the same gatekeeper.
 
     python -m benchmarks.slow_reader [--rounds 6]
 
-HTTP/2 with 10 streams at once, in turns alone and beside 20 connections that each hold 20 answers of 60 KB
-without a window. The 99th percentile of the others' time, paired.
+HTTP/2 with 10 concurrent streams, in turns alone and beside 20 connections that each hold 20 responses of
+60 KB without a flow-control window. Prints the 99th percentile of the others' response time, paired.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 
 class LargePageServer(FastPageServer):
-    """60 KB to whoever asks for it."""
+    """Sends 60 KB for paths with /stalled/."""
 
     def data_received(self, data: bytes) -> None:
         self.data += data
@@ -35,7 +35,7 @@
 
 
 async def open_stalled(address: str) -> Any:
-    """A connection with 20 answers that wait for a window which does not come."""
+    """Open a connection with 20 responses that wait for a flow-control window that never opens."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     connection = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -1,11 +1,11 @@
-"""Ways to keep a ledger, weighed: a segment log, SQLite in WAL mode, and a log in shared memory.
+"""Compares ways to store a ledger: a segment log, SQLite in WAL mode, and a log in a mapped file.
 
     python -m benchmarks.storage [--records 200000]
 
-Each keeps the same records one by one as they are made, so that each survives the end of the process: the
-segment log by a write(), SQLite by a transaction, the mapped file by a copy into its pages. Figures: CPU
-per record, the slowest append and the 99.9th of a hundred, bytes per record, and the time to open what is
-there and know the next number.
+Each stores the same records one by one, so that each record survives the end of the process: the segment log
+by a write(), SQLite by a transaction, the mapped file by a copy into its pages. Figures: CPU per record,
+slowest append and its 99.9th percentile, bytes per record, and the time to open an existing ledger and find
+the next number.
 """
 
 import argparse
@@ -39,7 +39,7 @@
         self.ledger.record_opened(ENTRY)
         if seq % 5000 == 0:
             self.ledger.tick()
-            self.ledger._open.clear()  # a few hundred are out at once in service
+            self.ledger._open.clear()  # in service, a few hundred tries are in flight at once
 
     def close(self) -> None:
         self.ledger.close()
@@ -67,7 +67,7 @@
 
 
 class MappedFile:
-    name = "mapped file, filled ahead"
+    name = "mapped file, preallocated"
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(exist_ok=True)
