--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from millfront.rehearsal import scenario
-from millfront.rehearsal.play import play
+from millfront.rehearsal.play import run_scenario
 
 
 def p99(values: list[float]) -> float:
@@ -31,7 +31,7 @@
     times, ends, broken, calls = [], 0, 0, []
     for seed in range(1, seeds + 1):
         with tempfile.TemporaryDirectory() as out:
-            verdict = asyncio.run(play(msgspec.structs.replace(told, seed=seed), Path(out)))
+            verdict = asyncio.run(run_scenario(msgspec.structs.replace(told, seed=seed), Path(out)))
         figures = verdict["figures"]
         times.append(figures["time_on_two_rules_s"])
         ends += figures["versions_at_end"] == 1
--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from millfront.rehearsal.system import Answer, Late, System, document, until
+from millfront.rehearsal.system import Answer, ConditionTimeout, System, document, wait_until
 
 REVOKE_S = 5.0  # `revoke_within` where the settings say nothing
 LEASE_S = 0.8 * REVOKE_S
@@ -152,16 +152,16 @@
 
 
 def all_in_force(system: System, version: int, gatekeepers: list[int]) -> float:
-    return until(
+    return wait_until(
         f"version {version} everywhere", lambda: all(system.version(n) >= version for n in gatekeepers)
     )
 
 
 def begun(system: System, version: int, keys: list[str]) -> None:
     """A first version, in force everywhere."""
-    system.settled(0, lambda number: system.put(number, document(version, keys)))
+    system.retry_call(0, lambda number: system.put(number, document(version, keys)))
     gatekeepers = list(range(system.count))
-    until("all ready", lambda: all(system.ready(number) == 200 for number in gatekeepers))
+    wait_until("all ready", lambda: all(system.ready(number) == 200 for number in gatekeepers))
     all_in_force(system, version, gatekeepers)
 
 
@@ -186,7 +186,7 @@
     ):
         system.links.cut(cut, way, keeps)
         since = time.monotonic()
-        answer = system.settled(others[0], lambda number: system.put(number, document(2, ["kept", "new"])))
+        answer = system.retry_call(others[0], lambda number: system.put(number, document(2, ["kept", "new"])))
         acked = time.monotonic()
         told.check(answer.status == 200, f"the others: {answer.status} {answer.text}")
         while True:
@@ -206,26 +206,26 @@
             if time.monotonic() - since > lasts / 2:
                 break
         over = since + LEASE_S + AGREED_S
-        until("the lease's end", lambda: time.monotonic() > over)
+        wait_until("the lease's end", lambda: time.monotonic() > over)
         status = system.page(cut, "kept")
         told.check(status == 503, f"cut off and without a lease, a key: {status}")
         status = system.page(cut, "gone")
         told.check(status in (401, 503), f"cut off and without a lease, the removed key: {status}")
         told.figures["new_key_there"] = system.page(cut, "new")  # not judged
-        until("the cut's end", lambda: time.monotonic() - since > lasts)
+        wait_until("the cut's end", lambda: time.monotonic() - since > lasts)
         system.links.heal()
         healed = time.monotonic()
-        answer = system.settled(cut, system.get)
+        answer = system.retry_call(cut, system.get)
         told.figures["read_again_s"] = round(time.monotonic() - healed, 2)
         told.check(revision(answer) in (2, 3 if higher else 2), f"back, and tells of {revision(answer)}")
-        until("it is ready", lambda: system.ready(cut) == 200)
+        wait_until("it is ready", lambda: system.ready(cut) == 200)
         told.figures["ready_again_s"] = round(time.monotonic() - healed, 2)
         # What was held back has come: the confirmed document of its number stays, and nothing was evacuated
-        answer = system.settled(others[1], system.get)
+        answer = system.retry_call(others[1], system.get)
         told.check("rival" not in answer.text, "the rival of a confirmed document took its place")
-        evacuated = {zone for number in others for zone in system.statement(number)["evacuated"]}
+        evacuated = {zone for number in others for zone in system.status_report(number)["evacuated"]}
         told.check(not evacuated, f"evacuated by a call that was answered with 503: {evacuated}")
-        answer = system.settled(cut, lambda number: system.put(number, document(4, ["kept", "new"])))
+        answer = system.retry_call(cut, lambda number: system.put(number, document(4, ["kept", "new"])))
         told.check(answer.status == 200, f"back, and answers {answer.status} {answer.text}")
         all_in_force(system, 4, [cut, *others])
         told.check(system.page(cut, "kept") == 200, "back, and refuses a key that is well")
@@ -257,13 +257,13 @@
             system.links.cut(still)
         system.freeze(still)
         since = time.monotonic()
-        answer = system.settled(others[0], lambda number: system.put(number, document(2, ["kept"])))
+        answer = system.retry_call(others[0], lambda number: system.put(number, document(2, ["kept"])))
         told.check(answer.status == 200, f"the others: {answer.status} {answer.text}")
         acked = time.monotonic()
-        until("the lease's end", lambda: time.monotonic() - acked > max(REVOKE_S, lasts - 0.5))
+        wait_until("the lease's end", lambda: time.monotonic() - acked > max(REVOKE_S, lasts - 0.5))
         reads = [pool.submit(system.get, still) for _ in range(6)]
         pages = [pool.submit(system.page, still, "gone") for _ in range(6)]
-        until("the calls wait", lambda: time.monotonic() - since > lasts + 0.5)
+        wait_until("the calls wait", lambda: time.monotonic() - since > lasts + 0.5)
         system.thaw(still)
         for call in reads:
             answer = call.result()
@@ -273,9 +273,9 @@
             told.check(page.result() != 200, "thawed, the removed key is let in")
         system.links.heal()
         thawed = time.monotonic()
-        until("it is ready", lambda: system.ready(still) == 200)
+        wait_until("it is ready", lambda: system.ready(still) == 200)
         told.figures["ready_again_s"] = round(time.monotonic() - thawed, 2)
-        told.check(revision(system.settled(still, system.get)) == 2, "back, and tells of another version")
+        told.check(revision(system.retry_call(still, system.get)) == 2, "back, and tells of another version")
     never_back(told, versions)
 
 
@@ -292,7 +292,7 @@
 
             def order(number: int, text: str) -> Answer:
                 began = time.monotonic()
-                answer = system.settled(number, lambda at: system.put(at, text))
+                answer = system.retry_call(number, lambda at: system.put(at, text))
                 took.append(time.monotonic() - began)
                 return answer
 
@@ -312,7 +312,7 @@
             )
             told.check(order(third, texts[won]).status == 200, f"number {version}, the winner's once more")
             told.check(order(third, texts[1 - won]).status == 409, f"number {version}, the loser's once more")
-            read = system.settled(third, system.get)
+            read = system.retry_call(third, system.get)
             mine = f"of-{'one' if won == 0 else 'other'}-" in read.text
             told.check(mine, f"number {version}: another document is in force")
     told.figures |= {"numbers": numbers, "confirmed_to_both": both, "to_none": none}
@@ -321,8 +321,8 @@
     for version in range(2 + numbers, 2 + numbers + lost):
         one, other = rng.sample(range(system.count), 2)
         text = document(version, ["kept"], note=f"lost-{version}")
-        system.lose(one, text)
-        answer = system.settled(other, lambda number, text=text: system.put(number, text))  # type: ignore[misc]
+        system.put_and_disconnect(one, text)
+        answer = system.retry_call(other, lambda number, text=text: system.put(number, text))  # type: ignore[misc]
         told.check(answer.status == 200, f"an order sent again: {answer.status} {answer.text}")
     told.figures["sent_again"] = lost
 
@@ -331,7 +331,7 @@
     """A core machine loses its disk; as soon as it votes again, another one does."""
     begun(system, 1, ["kept"])
     version, times = 1, 1 if small else 4
-    answer = system.settled(0, lambda number: system.call(number, "POST", "/v1/evacuation/west"))
+    answer = system.retry_call(0, lambda number: system.call(number, "POST", "/v1/evacuation/west"))
     told.check(answer.status == 200, f"an evacuation: {answer.status}")
     repairs = []
     for _ in range(times):
@@ -340,29 +340,32 @@
 
         def order(number: int, version: int) -> None:
             text = document(version, ["kept"], routes=20)
-            answer = system.settled(number, lambda at: system.put(at, text))
+            answer = system.retry_call(number, lambda at: system.put(at, text))
             told.check(answer.status == 200, f"version {version}: {answer.status} {answer.text}")
 
         order(one, version + 1)
         system.kill(one, wipe=True)
         order(left[0], version + 2)
         system.start(one)
-        repairs.append(until("it votes", lambda one=one: system.votes(one)))  # type: ignore[misc]
-        told.check(system.held(one) == version + 2, f"votes, and holds {system.held(one)} of {version + 2}")
+        repairs.append(wait_until("it votes", lambda one=one: system.is_voting(one)))  # type: ignore[misc]
+        told.check(
+            system.synced(one) == version + 2,
+            f"votes, and holds {system.synced(one)} of {version + 2}",
+        )
         system.kill(other, wipe=True)
         for number in (one, *left):
-            found = revision(system.settled(number, system.get))
+            found = revision(system.retry_call(number, system.get))
             told.check(found == version + 2, f"office {number} tells of {found}, {version + 2} was confirmed")
         began = time.monotonic()
         order(one, version + 3)
         told.figures["confirmed_in_s"] = round(time.monotonic() - began, 2)
         system.start(other)
-        repairs.append(until("the second votes", lambda other=other: system.votes(other)))  # type: ignore[misc]
+        repairs.append(wait_until("the second votes", lambda other=other: system.is_voting(other)))  # type: ignore[misc]
         version += 3
         for number in range(system.count):
-            found = revision(system.settled(number, system.get))
+            found = revision(system.retry_call(number, system.get))
             told.check(found == version, f"office {number} tells of {found}, {version} was confirmed")
-            gone = system.statement(number)["evacuated"]
+            gone = system.status_report(number)["evacuated"]
             told.check(gone == ["west"], f"office {number} has evacuated {gone}")
     told.figures["repaired_s"] = [round(took, 1) for took in repairs]
 
@@ -377,7 +380,7 @@
     began, slowest = time.monotonic(), (0.0, 0)
     for version in range(2, count + 2):
         text, sent = document(version, ["kept", f"key-{version}"], routes=routes), time.monotonic()
-        answer = system.settled(rng.choice(others), lambda number, text=text: system.put(number, text))  # type: ignore[misc]
+        answer = system.retry_call(rng.choice(others), lambda number, text=text: system.put(number, text))  # type: ignore[misc]
         slowest = max(slowest, (round(time.monotonic() - sent, 2), version))
         told.check(answer.status == 200, f"version {version}: {answer.status} {answer.text}")
     newest = count + 1
@@ -391,14 +394,14 @@
     for what, number in struck.items():  # by themselves: a read would bring a replica what it lacks
 
         def holds(number: int = number) -> bool:
-            return system.held(number) == newest and system.version(number) == newest
+            return system.synced(number) == newest and system.version(number) == newest
 
-        with contextlib.suppress(Late):
-            caught_up[what] = round(until(f"the {what} one has all", holds, CAUGHT_UP_S), 1)
-        has = f"the {what} one holds {system.held(number)} and has {system.version(number)} of {newest}"
+        with contextlib.suppress(ConditionTimeout):
+            caught_up[what] = round(wait_until(f"the {what} one has all", holds, CAUGHT_UP_S), 1)
+        has = f"the {what} one holds {system.synced(number)} and has {system.version(number)} of {newest}"
         told.check(what in caught_up, f"{has} after {CAUGHT_UP_S:g} s")
     for what, number in struck.items():
-        found = revision(system.settled(number, system.get))
+        found = revision(system.retry_call(number, system.get))
         told.check(found == newest, f"the {what} one tells of {found}, {newest} was confirmed")
     disks = [system.disk_kb(number) for number in range(system.count)]
     told.check(max(disks) < DISK_KB, f"disks of {max(disks):.0f} KB")
@@ -421,9 +424,9 @@
     try:
         with System(folder, seed=seed) as system:
             if seed % 2 == 0:
-                system.links.lengthen([0, 1], [2, 3], 20.0, 20.0)  # between the regions
+                system.links.set_base_delay([0, 1], [2, 3], 20.0, 20.0)  # between the regions
             STORIES[name](told, system, random.Random(f"{name} {seed}"), small)
-    except Late as late:
+    except ConditionTimeout as late:
         told.broken.append(str(late))
     told.figures["took_s"] = round(time.monotonic() - began, 1)
     return told
--- a/benchmarks/quota_cost.py
+++ b/benchmarks/quota_cost.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from millfront.quotas.messages import TokenReply, TokenRequest
-from millfront.rehearsal.system import Limit, System, document, until
+from millfront.rehearsal.system import Limit, System, document, wait_until
 from millfront.transport.connections import encode_message
 
 LIMITED, FREE = "limited", "free"
@@ -46,8 +46,8 @@
             self._ask(self.random.randrange(self.system.count))
 
     def _ask(self, process: int) -> None:
-        attempt = self.system.attempt(process)
-        address = self.system.links.front(process)
+        attempt = self.system.new_attempt_id(process)
+        address = self.system.links.advertised_ip(process)
         connection = http.client.HTTPConnection(address, self.system.plain, timeout=5.0)
         connection.connect()
         self.sent[attempt] = time.monotonic()
@@ -64,7 +64,7 @@
         thread.start()
     for thread in threads:
         thread.join()
-    arrived = system.peer.seen.attempts
+    arrived = system.peer.observed.attempts
     took = [1e3 * (arrived[a] - at) for one in clients for a, at in one.sent.items() if a in arrived]
     statuses = [status for one in clients for status in one.statuses]
     return sorted(took), sum(status != 200 for status in statuses), len(statuses)
@@ -92,9 +92,9 @@
         System(Path(folder), given.processes, disks=given.disks, relays=False, servers=6) as system,
     ):
         text = document(1, limits, limits=limits)
-        system.settled(0, lambda number: system.put(number, text), 60.0)
+        system.retry_call(0, lambda number: system.put(number, text), 60.0)
         numbers = range(given.processes)
-        until("all are ready", lambda: all(system.ready(number) == 200 for number in numbers), 60.0)
+        wait_until("all are ready", lambda: all(system.ready(number) == 200 for number in numbers), 60.0)
         threading.Event().wait(WARM_S)
         told("without a limit", *played(system, FREE, LOAD * RATE))
         before = questions(system)
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -5,23 +5,23 @@
 import sys
 
 import benchmarks.soak
-from benchmarks.soak.play import Plan, play
+from benchmarks.soak.faults import Fleet
+from benchmarks.soak.play import SoakSettings, run_soak
 from benchmarks.soak.record import Record
-from benchmarks.soak.troubles import Fleet
 
 PROCESSES, DISKS = 8, 4
-MANY_DISKS, MOST_MANY = 6, 200
+MANY_DISKS, MAX_MANY = 6, 200
 MEMORY_MB = 40  # of a process, with its sockets
 SMALL_S, LONG_S = 60.0, 90.0
 
 
-def many() -> int:
+def max_processes() -> int:
     """Processes that half of the machine's memory bears, a few hundred at the most."""
     memory_mb = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") // 2**20
-    return min(MOST_MANY, memory_mb // 2 // MEMORY_MB)
+    return min(MAX_MANY, memory_mb // 2 // MEMORY_MB)
 
 
-def told(seed: int, record: Record) -> str:
+def seed_line(seed: int, record: Record) -> str:
     """One line of a seed."""
     shown = "; ".join(record.broken[:3])
     verdict = f"BROKEN ({len(record.broken)}): {shown}" if record.broken else "held"
@@ -36,16 +36,16 @@
     parser.add_argument("--seconds", type=float, default=LONG_S)
     parser.add_argument("--small", action="store_true", help="one short seed")
     parser.add_argument(
-        "--many", type=int, nargs="?", const=many(), default=0, help="processes, without relays"
+        "--many", type=int, nargs="?", const=max_processes(), default=0, help="processes, without relays"
     )
-    given = parser.parse_args()
-    seeds, seconds = (1, SMALL_S) if given.small else (given.seeds, given.seconds)
-    fleet = Fleet(given.many, MANY_DISKS, relays=False) if given.many else Fleet(PROCESSES, DISKS)
+    args = parser.parse_args()
+    seeds, seconds = (1, SMALL_S) if args.small else (args.seeds, args.seconds)
+    fleet = Fleet(args.many, MANY_DISKS, relays=False) if args.many else Fleet(PROCESSES, DISKS)
     broken = 0
-    for seed in range(given.first, given.first + seeds):
-        record = play(Plan(seed, seconds, fleet))
+    for seed in range(args.first, args.first + seeds):
+        record = run_soak(SoakSettings(seed, seconds, fleet))
         broken += bool(record.broken)
-        print(told(seed, record), flush=True)
+        print(seed_line(seed, record), flush=True)
     return min(1, broken)
 
 
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -14,42 +14,43 @@
 from millfront.rehearsal.quotas import SentLog
 from millfront.rehearsal.system import REGIONS, Answer, System
 
-KEY = "key-1"
-CONTACT_S, NAMED_S = 4.0, 3.0  # a process that has been off for both together is named to nobody
-PAUSE_S = 0.02
-REPLACED_S = (1.0, 3.0)  # between replacements of servers
-GONE_AFTER_S = 4.0  # beyond `drain_within` a server that drains serves on
-ANSWERED_S = 4.0
-BUSY_S = 1.5  # that a loaded machine may take longer than the bounds of the rules
-MOST_DIRECTORY_LATE = 3  # answers that may name a machine that is gone, by the rules
+API_KEY = "key-1"
+# The directory names no process that has been down for longer than both together
+CONTACT_TIMEOUT_S, DIRECTORY_RETENTION_S = 4.0, 3.0
+REQUEST_INTERVAL_S = 0.02
+REPLACEMENT_INTERVAL_S = (1.0, 3.0)  # between replacements of servers
+REMOVAL_DELAY_S = 4.0  # beyond `drain_within` a server that drains serves on
+ANSWER_TIMEOUT_S = 4.0
+LOAD_SLACK_S = 1.5  # that a loaded machine may take longer than the bounds of the rules
+MAX_STALE_LOOKUPS = 3  # answers that may name a machine that is gone, by the rules
 
 
 @dataclass(frozen=True, slots=True)
-class Stage:
+class SoakContext:
     """What all of them work on."""
 
     system: System
     record: Record
-    ends: threading.Event
+    stopping: threading.Event
     drain_within: float
-    operations: int  # operation keys there are
+    operation_count: int  # operation keys there are
     sent: SentLog = field(default_factory=SentLog)  # requests of tenants with limits
 
-    def some(self, rng: random.Random) -> int:
+    def random_process(self, rng: random.Random) -> int:
         """A process, whatever state it is in."""
         return rng.randrange(self.system.count)
 
 
-def orders(stage: Stage, rng: random.Random) -> None:
+def orders(context: SoakContext, rng: random.Random) -> None:
     """Repeat orders with operation keys at any gatekeeper: each runs once, all successes are alike."""
-    while not stage.ends.wait(PAUSE_S):
-        operation = f"o{rng.randrange(stage.operations)}"
-        answer = stage.system.order(stage.some(rng), KEY, operation)
+    while not context.stopping.wait(REQUEST_INTERVAL_S):
+        operation = f"o{rng.randrange(context.operation_count)}"
+        answer = context.system.order(context.random_process(rng), API_KEY, operation)
         if answer.status == 200:
-            _ordered(stage.record, operation, answer)
+            _check_order(context.record, operation, answer)
 
 
-def _ordered(record: Record, operation: str, answer: Answer) -> None:
+def _check_order(record: Record, operation: str, answer: Answer) -> None:
     record.count("orders")
     with record.lock:
         seals = record.seals.setdefault(operation, set())
@@ -57,123 +58,125 @@
     record.check(len(seals) == 1, f"{operation} was answered with {sorted(seals)}")
 
 
-def kept_connections(stage: Stage, rng: random.Random) -> None:
+def kept_connections(context: SoakContext, rng: random.Random) -> None:
     """Ask for pages on one connection until the process that it leads to is gone, then at another one."""
-    while not stage.ends.is_set():
-        process = stage.some(rng)
-        address = stage.system.links.front(process)
-        connection = http.client.HTTPConnection(address, stage.system.plain, timeout=ANSWERED_S)
-        while not stage.ends.wait(PAUSE_S) and _page(stage, process, connection):
+    while not context.stopping.is_set():
+        process = context.random_process(rng)
+        address = context.system.links.advertised_ip(process)
+        connection = http.client.HTTPConnection(address, context.system.plain, timeout=ANSWER_TIMEOUT_S)
+        while not context.stopping.wait(REQUEST_INTERVAL_S) and _page(context, process, connection):
             pass
         connection.close()
 
 
-def _page(stage: Stage, process: int, connection: http.client.HTTPConnection) -> bool:
+def _page(context: SoakContext, process: int, connection: http.client.HTTPConnection) -> bool:
     """One request; whether the connection can take another."""
-    attempt, sent = stage.system.attempt(process), time.monotonic()
+    attempt, sent = context.system.new_attempt_id(process), time.monotonic()
     try:
-        connection.request("GET", "/pages/1", headers=stage.system.client_fields(KEY, attempt))
+        connection.request("GET", "/pages/1", headers=context.system.client_fields(API_KEY, attempt))
         answer = connection.getresponse()
         answer.read()
     except (OSError, http.client.HTTPException) as fault:
-        _unanswered(stage, process, attempt, sent, fault)
+        _check_unanswered(context, process, attempt, sent, fault)
         return False
-    stage.record.count("pages")
+    context.record.count("pages")
     return not answer.will_close
 
 
-def _unanswered(stage: Stage, process: int, attempt: str, sent: float, fault: Exception) -> None:
+def _check_unanswered(
+    context: SoakContext, process: int, attempt: str, sent: float, fault: Exception
+) -> None:
     """Where planned work alone befell the process, what has run at a server is answered."""
-    stage.record.count("unanswered")
-    if attempt not in stage.system.peer.seen.attempts:
+    context.record.count("unanswered")
+    if attempt not in context.system.peer.observed.attempts:
         return
-    lost = stage.record.only_ends_in_order(process, sent, time.monotonic())
-    stage.record.check(not lost, f"a page ran and process {process} gave no answer: {fault!r}")
+    lost = context.record.only_planned_faults(process, sent, time.monotonic())
+    context.record.check(not lost, f"a page ran and process {process} gave no answer: {fault!r}")
 
 
-def look_ups(stage: Stage, rng: random.Random) -> None:
+def directory_lookups(context: SoakContext, rng: random.Random) -> None:
     """Ask the directory: it names nobody who has been off for long, but for a few answers."""
     late: list[str] = []
     regions = sorted(set(REGIONS.values()))
-    while not stage.ends.wait(5.0 * PAUSE_S):
-        asked, process = time.monotonic(), stage.some(rng)
+    while not context.stopping.wait(5.0 * REQUEST_INTERVAL_S):
+        asked, process = time.monotonic(), context.random_process(rng)
         off = {
-            f"{stage.system.links.front(gone)}:{stage.system.plain}"
-            for gone, since in stage.record.off_since.copy().items()
-            if asked - since > CONTACT_S + NAMED_S
+            f"{context.system.links.advertised_ip(gone)}:{context.system.plain}"
+            for gone, since in context.record.off_since.copy().items()
+            if asked - since > CONTACT_TIMEOUT_S + DIRECTORY_RETENTION_S
         }
-        named = stage.system.named(process, rng.choice(regions))
+        named = context.system.resolve_addresses(process, rng.choice(regions))
         if named:
-            stage.record.count("lookups")
-        if off.intersection(named) and stage.record.in_touch(process, asked, asked):
+            context.record.count("lookups")
+        if off.intersection(named) and context.record.was_undisturbed(process, asked, asked):
             late.append(f"process {process} names one that is off")
-    stage.record.check(len(late) <= MOST_DIRECTORY_LATE, f"{len(late)} answers: {late[:1]}")
+    context.record.check(len(late) <= MAX_STALE_LOOKUPS, f"{len(late)} answers: {late[:1]}")
 
 
-def operator(stage: Stage, rng: random.Random) -> None:
+def operator(context: SoakContext, rng: random.Random) -> None:
     """Change the configuration at any gatekeeper, one version after another, and evacuate zones."""
     version = 1
-    while not stage.ends.wait(rng.uniform(0.2, 1.0)):
+    while not context.stopping.wait(rng.uniform(0.2, 1.0)):
         version += 1
-        put = stage.system.put(stage.some(rng), quotas.configuration(version, KEY))
+        put = context.system.put(context.random_process(rng), quotas.configuration(version, API_KEY))
         if put.status == 200:
-            stage.record.acknowledged = version
+            context.record.acknowledged = version
         if rng.random() < 0.2:
-            _evacuate(stage, rng)
+            _evacuate(context, rng)
 
 
-def _evacuate(stage: Stage, rng: random.Random) -> None:
+def _evacuate(context: SoakContext, rng: random.Random) -> None:
     """Of one zone, so that the servers of the others take the traffic whatever becomes of the call."""
-    zone, on = stage.system.zones[-1], rng.random() < 0.5
-    stage.record.evacuated.pop(zone, None)  # a call without an answer may be in force or not
-    if stage.system.evacuate(stage.some(rng), zone, on).status == 200:
-        stage.record.evacuated[zone] = on
+    zone, on = context.system.zones[-1], rng.random() < 0.5
+    context.record.evacuated.pop(zone, None)  # a call without an answer may be in force or not
+    if context.system.evacuate(context.random_process(rng), zone, on).status == 200:
+        context.record.evacuated[zone] = on
 
 
-def replacements(stage: Stage, rng: random.Random) -> None:
+def replacements(context: SoakContext, rng: random.Random) -> None:
     """Servers are replaced one after another; the old one drains, serves on for a while, and is gone."""
     draining: list[tuple[float, str]] = []
-    while not stage.ends.wait(rng.uniform(*REPLACED_S)):
-        draining.append((time.monotonic(), stage.system.peer.replace()))
-        stage.record.count("replaced")
-        while draining and time.monotonic() - draining[0][0] > stage.drain_within + GONE_AFTER_S:
-            stage.system.peer.remove(draining.pop(0)[1])
+    while not context.stopping.wait(rng.uniform(*REPLACEMENT_INTERVAL_S)):
+        draining.append((time.monotonic(), context.system.peer.replace()))
+        context.record.count("replaced")
+        while draining and time.monotonic() - draining[0][0] > context.drain_within + REMOVAL_DELAY_S:
+            context.system.peer.remove(draining.pop(0)[1])
 
 
-def scrapes(stage: Stage, rng: random.Random) -> None:
+def scrapes(context: SoakContext, rng: random.Random) -> None:
     """Read the metrics: no invariant is violated, and no process goes back to an older version."""
     seen: dict[int, tuple[int, float]] = {}  # by process: the life that was asked, and its version
-    while not stage.ends.wait(10.0 * PAUSE_S):
-        process = stage.some(rng)
-        life = stage.system.pid(process)
-        figures = stage.system.metrics(process)
-        if not figures or life is None or life != stage.system.pid(process):
+    while not context.stopping.wait(10.0 * REQUEST_INTERVAL_S):
+        process = context.random_process(rng)
+        pid = context.system.pid(process)
+        figures = context.system.metrics(process)
+        if not figures or pid is None or pid != context.system.pid(process):
             continue
-        no_violations(stage.record, process, figures)
+        check_violations(context.record, process, figures)
         version = figures["millfront_configuration_version"]
-        before_life, before = seen.get(process, (life, 0.0))
-        went_back = life == before_life and version < before
-        stage.record.check(not went_back, f"process {process} went back from {before:g} to {version:g}")
-        seen[process] = (life, version)
+        previous_pid, previous = seen.get(process, (pid, 0.0))
+        went_back = pid == previous_pid and version < previous
+        context.record.check(not went_back, f"process {process} went back from {previous:g} to {version:g}")
+        seen[process] = (pid, version)
 
 
-def no_violations(record: Record, process: int, figures: dict[str, float]) -> None:
+def check_violations(record: Record, process: int, figures: dict[str, float]) -> None:
     """Note each invariant that a process has counted as violated."""
     for name, count in figures.items():
         if name.startswith("millfront_invariant_violations_total"):
             record.check(count == 0.0, f"process {process}: {name} {count:g}")
 
 
-WORKS: tuple[Callable[[Stage, random.Random], None], ...] = (
+CLIENTS: tuple[Callable[[SoakContext, random.Random], None], ...] = (
     orders,
     orders,
     kept_connections,
     kept_connections,
     kept_connections,
-    look_ups,
+    directory_lookups,
     operator,
     replacements,
     scrapes,
-    quotas.clumps,
+    quotas.send_bursts,
     quotas.hot_tenants,
 )
--- a/benchmarks/soak/quotas.py
+++ b/benchmarks/soak/quotas.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from benchmarks.soak.record import Record
-from millfront.rehearsal.quotas import HeldConnections, QuotaRule, SentLog, most_in_window
-from millfront.rehearsal.servers import Seen
+from millfront.rehearsal.quotas import KeptConnections, QuotaRule, SentLog, max_requests_in_window
+from millfront.rehearsal.servers import ObservedRequests
 from millfront.rehearsal.system import Limit, document
 
 if TYPE_CHECKING:
-    from benchmarks.soak.clients import Stage
+    from benchmarks.soak.clients import SoakContext
 
 LIMITS = {
     "five": Limit(5.0, 5.0),
@@ -20,14 +20,14 @@
     "sixty": Limit(60.0, 30.0),
     "changing": Limit(24.0, 24.0),
 }
-CHANGING = "changing"
-LOWER = Limit(8.0, 8.0)  # of that tenant, in every other version
-ABSENT_EACH = 5  # in each so many versions it is not there at all
-LASTING = tuple(key for key in LIMITS if key != CHANGING)  # in each version, with the same limit
+CHANGING_TENANT = "changing"
+LOWERED_LIMIT = Limit(8.0, 8.0)  # of that tenant, in every other version
+ABSENT_EVERY = 5  # in each so many versions it is not there at all
+PERMANENT_TENANTS = tuple(key for key in LIMITS if key != CHANGING_TENANT)  # in each version, same limit
 RULE = QuotaRule()
-CLUMP_S = (0.2, 2.0)  # between clumps
-HOT_S, REST_S = (2.0, 6.0), (1.0, 5.0)  # of a hot tenant, and between two
-HOT_CLUMP_S = 0.15
+BURST_INTERVAL_S = (0.2, 2.0)  # between clumps
+HOT_DURATION_S, HOT_PAUSE_S = (2.0, 6.0), (1.0, 5.0)  # of a hot tenant, and between two
+HOT_BURST_INTERVAL_S = 0.15
 
 
 def configuration(version: int, key: str) -> str:
@@ -37,47 +37,47 @@
     """
     limits = dict(LIMITS)
     if version % 2:
-        limits[CHANGING] = LOWER
-    if version % ABSENT_EACH == 0:
-        del limits[CHANGING]
+        limits[CHANGING_TENANT] = LOWERED_LIMIT
+    if version % ABSENT_EVERY == 0:
+        del limits[CHANGING_TENANT]
     return document(version, [key, *limits], orders=True, limits=limits)
 
 
-def clumps(stage: "Stage", rng: random.Random) -> None:
+def send_bursts(context: "SoakContext", rng: random.Random) -> None:
     """One request, or a few, of a tenant at each process at once; now and then of all tenants together."""
-    connections = HeldConnections(stage.system, stage.sent)
-    while not stage.ends.is_set():
+    connections = KeptConnections(context.system, context.sent)
+    while not context.stopping.is_set():
         connections.open()
         keys = list(LIMITS) if rng.random() < 0.2 else [rng.choice(list(LIMITS))]
         for key in keys:
-            connections.clump(key, each=rng.choice((1, 1, 1, 2)))
-            stage.record.count("clumps")
-        connections.read(rng.uniform(*CLUMP_S))
+            connections.send_burst(key, per_process=rng.choice((1, 1, 1, 2)))
+            context.record.count("clumps")
+        connections.read(rng.uniform(*BURST_INTERVAL_S))
     connections.close()
 
 
-def hot_tenants(stage: "Stage", rng: random.Random) -> None:
+def hot_tenants(context: "SoakContext", rng: random.Random) -> None:
     """One tenant after another asks for many times its limit, through whatever befalls the processes."""
-    connections = HeldConnections(stage.system, stage.sent)
-    while not stage.ends.wait(rng.uniform(*REST_S)):
-        key, lasts = rng.choice(list(LIMITS)), rng.uniform(*HOT_S)
-        for _ in range(int(lasts / HOT_CLUMP_S)):
-            if stage.ends.is_set():
+    connections = KeptConnections(context.system, context.sent)
+    while not context.stopping.wait(rng.uniform(*HOT_PAUSE_S)):
+        key, duration_s = rng.choice(list(LIMITS)), rng.uniform(*HOT_DURATION_S)
+        for _ in range(int(duration_s / HOT_BURST_INTERVAL_S)):
+            if context.stopping.is_set():
                 break
             connections.open()
-            connections.clump(key)
-            connections.read(HOT_CLUMP_S)
-        stage.record.count("hot")
+            connections.send_burst(key)
+            connections.read(HOT_BURST_INTERVAL_S)
+        context.record.count("hot")
     connections.close()
 
 
-def judge(record: Record, sent: SentLog, seen: Seen) -> None:
+def check_windows(record: Record, sent: SentLog, observed: ObservedRequests) -> None:
     """Each window of each tenant."""
-    attempts = seen.attempts.copy()
+    attempts = observed.attempts.copy()
     for key, limit in LIMITS.items():
         runs = sent.runs(key, attempts)
-        most, allowed = most_in_window(runs, RULE.window_s), RULE.allowed(limit.rate, limit.burst)
-        record.counts[f"{key}_most_of_{allowed:.0f}"] = most
+        highest, allowed = max_requests_in_window(runs, RULE.window_s), RULE.allowed(limit.rate, limit.burst)
+        record.counts[f"{key}_most_of_{allowed:.0f}"] = highest
         record.check(
-            most <= allowed, f"{most} requests of {key} ran within {RULE.window_s:g} s of {allowed:g}"
+            highest <= allowed, f"{highest} requests of {key} ran within {RULE.window_s:g} s of {allowed:g}"
         )
--- a/benchmarks/soak/record.py
+++ b/benchmarks/soak/record.py
@@ -4,23 +4,23 @@
 import time
 from dataclasses import dataclass, field
 
-from benchmarks.soak.troubles import CONTACT_S, EVERYWHERE, PLANNED, Trouble
+from benchmarks.soak.faults import ALL_PROCESSES, CONTACT_TIMEOUT_S, PLANNED, FaultKind
 
 FOREVER = float("inf")
 
 
 @dataclass(slots=True)
-class Spell:
+class FaultPeriod:
     """A trouble as it was played: from when to when, on the steady clock."""
 
-    trouble: Trouble
+    kind: FaultKind
     process: int
-    begun: float
-    over: float = FOREVER
+    started: float
+    ended: float = FOREVER
 
-    def touches(self, since: float, until: float) -> bool:
+    def overlaps(self, since: float, until: float) -> bool:
         """Whether any of it lies between the two."""
-        return self.begun <= until and self.over >= since
+        return self.started <= until and self.ended >= since
 
 
 @dataclass
@@ -34,7 +34,7 @@
     acknowledged: int = 0  # the highest version
     evacuated: dict[str, bool] = field(default_factory=dict)  # by zone, as acknowledged last
     off_since: dict[int, float] = field(default_factory=dict)
-    spells: list[Spell] = field(default_factory=list)
+    faults: list[FaultPeriod] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def check(self, holds: bool, text: str) -> None:
@@ -48,25 +48,27 @@
         with self.lock:
             self.counts[what] = self.counts.get(what, 0) + 1
 
-    def begins(self, trouble: Trouble, process: int) -> Spell:
+    def begin_fault(self, kind: FaultKind, process: int) -> FaultPeriod:
         """A trouble begins now."""
-        spell = Spell(trouble, process, time.monotonic())
+        period = FaultPeriod(kind, process, time.monotonic())
         with self.lock:
-            self.spells.append(spell)
-        return spell
+            self.faults.append(period)
+        return period
 
-    def in_touch(self, process: int, since: float, until: float) -> bool:
+    def was_undisturbed(self, process: int, since: float, until: float) -> bool:
         """Whether neither that machine nor the core had trouble, since the contact time before."""
         with self.lock:
-            near = [spell for spell in self.spells if spell.touches(since - CONTACT_S, until)]
-        return not any(spell.process in (process, EVERYWHERE) or spell.process < self.disks for spell in near)
+            near = [period for period in self.faults if period.overlaps(since - CONTACT_TIMEOUT_S, until)]
+        return not any(
+            period.process in (process, ALL_PROCESSES) or period.process < self.disks for period in near
+        )
 
-    def only_ends_in_order(self, process: int, since: float, until: float) -> bool:
+    def only_planned_faults(self, process: int, since: float, until: float) -> bool:
         """Whether planned work alone befell that machine, and nothing the core."""
         with self.lock:
-            near = [spell for spell in self.spells if spell.touches(since - CONTACT_S, until)]
+            near = [period for period in self.faults if period.overlaps(since - CONTACT_TIMEOUT_S, until)]
         return all(
-            spell.trouble in PLANNED and spell.process != EVERYWHERE
-            for spell in near
-            if spell.process == process or spell.process < self.disks
+            period.kind in PLANNED and period.process != ALL_PROCESSES
+            for period in near
+            if period.process == process or period.process < self.disks
         )
--- a/millfront/cli/rehearse.py
+++ b/millfront/cli/rehearse.py
@@ -48,7 +48,7 @@
     import msgspec
 
     from millfront.rehearsal.fleet import StartFailed
-    from millfront.rehearsal.play import play
+    from millfront.rehearsal.play import run_scenario
     from millfront.rehearsal.scenario import Scenario
 
     told = _load(file)
@@ -56,7 +56,7 @@
     if seed is not None:
         told = msgspec.structs.replace(told, seed=seed)
     try:
-        verdict = asyncio.run(play(told, Path(out), lambda line: click.echo(line, err=True)))
+        verdict = asyncio.run(run_scenario(told, Path(out), lambda line: click.echo(line, err=True)))
     except StartFailed as wrong:
         fail(UNREACHABLE, wrong)
     broken = [name for name, rule in verdict["rules"].items() if not rule["held"]]
--- a/millfront/rehearsal/audit.py
+++ b/millfront/rehearsal/audit.py
@@ -11,10 +11,10 @@
 from datetime import datetime
 from typing import Any
 
-from millfront.rehearsal.load import Asked
-from millfront.rehearsal.standins import Arrival, Told
+from millfront.rehearsal.load import SentRequest
+from millfront.rehearsal.standins import Arrival, HealthUpdate
 
-SEEN_S = 0.1  # between a gatekeeper's write and the stand-in's stamp, on a loaded loop
+OBSERVATION_DELAY_S = 0.1  # between a gatekeeper's write and the stand-in's stamp, on a loaded loop
 ANSWER_SLACK_S = 0.25  # beyond a client's timeout: the platform's slack and the loop's delay
 SOCKET_SLACK_S = 0.05  # PROTOCOL: every time limit on sockets is longer by this
 CEILING_SLACK_S = 0.15  # PROTOCOL: the ceiling's slack grows by what its rate gives in this
@@ -30,15 +30,15 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class Observations:
     """Everything a rehearsal's stand-ins saw, and when each gatekeeper was unable to act."""
 
     settings: dict[str, Any]
-    asked: list[Asked]
+    requests: list[SentRequest]
     arrivals: list[Arrival]
-    told: list[Told]
+    health_updates: list[HealthUpdate]
     starts: dict[int, list[float]]  # by gatekeeper, the times its lives began
-    out: dict[int, list[tuple[float, float]]]  # by gatekeeper: killed or paused, from and to
+    unavailable: dict[int, list[tuple[float, float]]]  # by gatekeeper: killed or paused, from and to
     plan: str = ""  # that the clients name
     cold: dict[int, tuple[float, float]] = field(default_factory=dict)  # member: (born, warm capacity per s)
     zones: dict[int, int] = field(default_factory=dict)  # member: zone
@@ -48,99 +48,117 @@
     return {entry["Name"]: entry for entry in settings.get("Classes", [])}
 
 
-def _first(items: list[str], more: int) -> str:
+def _shorten(items: list[str], total: int) -> str:
     shown = ", ".join(items[:5])
-    return shown + (f" and {more - 5} more" if more > 5 else "")
+    return shown + (f" and {total - 5} more" if total > 5 else "")
 
 
-def one_final_answer(seen: Seen) -> Rule:
+def one_final_answer(observed: Observations) -> Rule:
     """Each request taken by a live gatekeeper is answered once, while its client waits."""
     broken = []
-    sent_on = {a.request: a.at for a in sorted(seen.arrivals, key=lambda a: -a.at)}  # the first of each
-    for asked in seen.asked:
-        if asked.resent and sent_on.get(asked.request, asked.resent) < asked.resent:
+    # By request id, the time of its first arrival
+    forwarded_at = {a.request: a.at for a in sorted(observed.arrivals, key=lambda a: -a.at)}
+    for record in observed.requests:
+        if record.resent and forwarded_at.get(record.request, record.resent) < record.resent:
             # The client took a close for one that crossed an unread request; a page server had it already.
-            broken.append(f"{asked.request} at g{asked.who}: taken, sent on, and its connection closed")
+            broken.append(
+                f"{record.request} at g{record.gatekeeper}: taken, sent on, and its connection closed"
+            )
             continue
-        if asked.ending == "unreachable":
+        if record.ending == "unreachable":
             continue
-        windows = seen.out.get(asked.who, [])
+        outages = observed.unavailable.get(record.gatekeeper, [])
         if any(
-            start <= asked.sent + asked.timeout_s + ANSWER_SLACK_S and end >= asked.sent
-            for start, end in windows
+            start <= record.sent + record.timeout_s + ANSWER_SLACK_S and end >= record.sent
+            for start, end in outages
         ):
             continue  # killed or paused while it held the request: the client's to try again
-        late = asked.ending == "answered" and asked.answered - asked.sent > asked.timeout_s + ANSWER_SLACK_S
-        if asked.ending != "answered" or late:
-            broken.append(f"{asked.request} at g{asked.who}: {'late' if late else asked.ending}")
+        late = (
+            record.ending == "answered" and record.answered - record.sent > record.timeout_s + ANSWER_SLACK_S
+        )
+        if record.ending != "answered" or late:
+            broken.append(f"{record.request} at g{record.gatekeeper}: {'late' if late else record.ending}")
     return Rule(
         not broken,
-        f"{len(broken)} of {len(seen.asked)} without a timely answer: {_first(broken, len(broken))}"
+        f"{len(broken)} of {len(observed.requests)} without a timely answer: {_shorten(broken, len(broken))}"
         if broken
-        else f"{len(seen.asked)} requests, each answered once",
+        else f"{len(observed.requests)} requests, each answered once",
     )
 
 
-def _runs(seen: Seen) -> dict[str, list[Arrival]]:
+def _by_request(observed: Observations) -> dict[str, list[Arrival]]:
     runs: dict[str, list[Arrival]] = defaultdict(list)
-    for arrival in sorted(seen.arrivals, key=lambda a: a.at):
+    for arrival in sorted(observed.arrivals, key=lambda a: a.at):
         runs[arrival.request].append(arrival)
     return runs
 
 
-def no_forbidden_resend(seen: Seen) -> tuple[Rule, Rule]:
+def no_forbidden_resend(observed: Observations) -> tuple[Rule, Rule]:
     """`unsafe`: nothing after an attempt that may have run. `keyed`: further attempts only within the window
     of the first that may have run, and inside its group."""
-    classes = _classes(seen.settings)
-    twice, keyed = [], []
-    for request, arrivals in _runs(seen).items():
-        kind = classes.get(arrivals[0].kind, {})
-        ran = next((a for a in arrivals if a.ran), None)
-        if ran is None:
+    classes = _classes(observed.settings)
+    repeated, keyed = [], []
+    for request, arrivals in _by_request(observed).items():
+        request_class = classes.get(arrivals[0].request_class, {})
+        first = next((a for a in arrivals if a.may_have_run), None)
+        if first is None:
             continue
-        later = [a for a in arrivals if a.at > ran.at]
-        if kind.get("Repeat") == "unsafe" and later:
-            twice.append(f"{request} ({arrivals[0].kind}) at members {[a.member for a in arrivals]}")
-        elif kind.get("Repeat") == "keyed":
-            window = kind.get("WindowUs", 0) / 1e6 + SOCKET_SLACK_S
-            group = kind.get("Group", "all")
+        later = [a for a in arrivals if a.at > first.at]
+        if request_class.get("Repeat") == "unsafe" and later:
+            repeated.append(
+                f"{request} ({arrivals[0].request_class}) at members {[a.member for a in arrivals]}"
+            )
+        elif request_class.get("Repeat") == "keyed":
+            window = request_class.get("WindowUs", 0) / 1e6 + SOCKET_SLACK_S
+            group = request_class.get("Group", "all")
             for again in later:
-                outside = group == "zone" and seen.zones.get(again.member) != seen.zones.get(ran.member)
-                if again.at - ran.at > window or outside:
-                    keyed.append(f"{request} at member {again.member}, {again.at - ran.at:.3f} s on")
+                outside = group == "zone" and observed.zones.get(again.member) != observed.zones.get(
+                    first.member
+                )
+                if again.at - first.at > window or outside:
+                    keyed.append(f"{request} at member {again.member}, {again.at - first.at:.3f} s on")
     counted = sum(
-        1 for runs in _runs(seen).values() if classes.get(runs[0].kind, {}).get("Repeat") == "unsafe"
+        1
+        for runs in _by_request(observed).values()
+        if classes.get(runs[0].request_class, {}).get("Repeat") == "unsafe"
     )
     return (
         Rule(
-            not twice,
-            f"ran twice: {_first(twice, len(twice))}"
-            if twice
+            not repeated,
+            f"ran twice: {_shorten(repeated, len(repeated))}"
+            if repeated
             else f"{counted} unsafe requests, none sent again after it may have run",
         ),
         Rule(
             not keyed,
-            f"sent again outside its window or group: {_first(keyed, len(keyed))}"
+            f"sent again outside its window or group: {_shorten(keyed, len(keyed))}"
             if keyed
             else "keyed repeats within window and group",
         ),
     )
 
 
-def drain(seen: Seen) -> Rule:
+def drain(observed: Observations) -> Rule:
     """Nothing new to a member later than DrainGraceUs after this gatekeeper's present life was told that it
     drains or is gone."""
-    grace = seen.settings.get("Rules", {}).get("DrainGraceUs", 500_000) / 1e6 + SOCKET_SLACK_S + SEEN_S
-    told: dict[tuple[int, int], list[tuple[float, str]]] = defaultdict(list)
-    for entry in sorted(seen.told, key=lambda t: t.at):
-        told[(entry.who, entry.member)].append((entry.at, entry.health))
+    grace = (
+        observed.settings.get("Rules", {}).get("DrainGraceUs", 500_000) / 1e6
+        + SOCKET_SLACK_S
+        + OBSERVATION_DELAY_S
+    )
+    health_updates: dict[tuple[int, int], list[tuple[float, str]]] = defaultdict(list)
+    for entry in sorted(observed.health_updates, key=lambda t: t.at):
+        health_updates[(entry.gatekeeper, entry.member)].append((entry.at, entry.health))
     broken = []
-    for arrival in seen.arrivals:
-        life = max(
-            (start for start in seen.starts.get(arrival.who, [0.0]) if start <= arrival.at), default=0.0
+    for arrival in observed.arrivals:
+        started_at = max(
+            (start for start in observed.starts.get(arrival.gatekeeper, [0.0]) if start <= arrival.at),
+            default=0.0,
         )
         state = [
-            (at, health) for at, health in told[(arrival.who, arrival.member)] if life <= at <= arrival.at
+            (at, health)
+            for at, health in health_updates[(arrival.gatekeeper, arrival.member)]
+            if started_at <= at <= arrival.at
         ]
         leaving = None
         for at, health in state:
@@ -150,83 +168,83 @@
                 leaving = at
         if leaving is not None and arrival.at - leaving > grace:
             broken.append(
-                f"{arrival.request} from g{arrival.who} to member {arrival.member}, "
+                f"{arrival.request} from g{arrival.gatekeeper} to member {arrival.member}, "
                 f"{arrival.at - leaving:.3f} s after"
             )
     return Rule(
         not broken,
-        f"sent to a member that drains: {_first(broken, len(broken))}"
+        f"sent to a member that drains: {_shorten(broken, len(broken))}"
         if broken
         else "no send to a member told draining or gone",
     )
 
 
-def ceilings(seen: Seen) -> Rule:
+def ceilings(observed: Observations) -> Rule:
     """Per customer on a plan with a ceiling: the store of all gatekeepers' first sends never falls below
     its slack."""
-    plan = {plan["Name"]: plan for plan in seen.settings.get("Packages", [])}.get(seen.plan, {})
+    plan = {plan["Name"]: plan for plan in observed.settings.get("Packages", [])}.get(observed.plan, {})
     if not plan.get("CeilingRate"):
-        return Rule(True, f"no ceiling on plan {seen.plan!r}")
+        return Rule(True, f"no ceiling on plan {observed.plan!r}")
     rate, depth = float(plan["CeilingRate"]), float(plan["CapDepth"])
     floor = -(float(plan.get("CeilingSlack", 0)) + rate * CEILING_SLACK_S)
-    firsts: dict[str, list[Arrival]] = defaultdict(list)
-    for arrivals in _runs(seen).values():
-        firsts[arrivals[0].customer].append(arrivals[0])
+    first_attempts: dict[str, list[Arrival]] = defaultdict(list)
+    for arrivals in _by_request(observed).values():
+        first_attempts[arrivals[0].customer].append(arrivals[0])
     worst, broken = 0.0, []
-    for customer, arrivals in firsts.items():
-        store, last = depth, arrivals[0].at
+    for customer, arrivals in first_attempts.items():
+        level, last = depth, arrivals[0].at
         for arrival in arrivals:
-            store = min(depth, store + (arrival.at - last) * rate)
+            level = min(depth, level + (arrival.at - last) * rate)
             last = arrival.at
-            store -= arrival.units
-            worst = min(worst, store)
-            if store < floor:
+            level -= arrival.units
+            worst = min(worst, level)
+            if level < floor:
                 broken.append(
-                    f"customer {customer} at {arrival.at:.2f} s: {store:.1f} units, floor {floor:.1f}"
+                    f"customer {customer} at {arrival.at:.2f} s: {level:.1f} units, floor {floor:.1f}"
                 )
                 break
     return Rule(
         not broken,
-        f"over its ceiling: {_first(broken, len(broken))}"
+        f"over its ceiling: {_shorten(broken, len(broken))}"
         if broken
         else f"ceilings held; the lowest store {worst:.1f} units",
     )
 
 
-def cold_members(seen: Seen) -> Rule:
+def cold_members(observed: Observations) -> Rule:
     """A member that started cold gets no more than FallMultiple times its present capacity for FallUs."""
-    rules = seen.settings.get("Rules", {})
+    rules = observed.settings.get("Rules", {})
     multiple, window = float(rules.get("FallMultiple", 3)), rules.get("FallUs", 3_000_000) / 1e6
     cold_from, ramp = float(rules.get("ColdFrom", 0.2)), rules.get("RampTimeUs", 18_000_000) / 1e6
     broken = []
-    for member, (born, warm) in seen.cold.items():
-        times = sorted(a.at for a in seen.arrivals if a.member == member)
+    for member, (started_at, warm) in observed.cold.items():
+        times = sorted(a.at for a in observed.arrivals if a.member == member)
         start = 0
         for end, at in enumerate(times):
             while times[start] < at - window:
                 start += 1
             middle = at - window / 2
-            capacity = warm * (cold_from + (1 - cold_from) * min(1.0, max(0.0, middle - born) / ramp))
+            capacity = warm * (cold_from + (1 - cold_from) * min(1.0, max(0.0, middle - started_at) / ramp))
             if end - start + 1 > multiple * capacity * window:
                 broken.append(f"member {member}: {end - start + 1} in {window:.1f} s at {at:.1f} s")
                 break
     return Rule(
         not broken,
-        f"pushed over: {_first(broken, len(broken))}"
+        f"pushed over: {_shorten(broken, len(broken))}"
         if broken
-        else f"{len(seen.cold)} cold members kept under their fall",
+        else f"{len(observed.cold)} cold members kept under their fall",
     )
 
 
-def rules(seen: Seen) -> dict[str, Rule]:
-    twice, keyed = no_forbidden_resend(seen)
+def check_rules(observed: Observations) -> dict[str, Rule]:
+    repeated, keyed = no_forbidden_resend(observed)
     return {
-        "one_final_answer": one_final_answer(seen),
-        "unsafe_never_twice": twice,
+        "one_final_answer": one_final_answer(observed),
+        "unsafe_never_twice": repeated,
         "keyed_within_group": keyed,
-        "drain": drain(seen),
-        "ceiling": ceilings(seen),
-        "cold_member": cold_members(seen),
+        "drain": drain(observed),
+        "ceiling": ceilings(observed),
+        "cold_member": cold_members(observed),
     }
 
 
@@ -249,15 +267,15 @@
             continue
         at = datetime.fromisoformat(str(line["timestamp"]).replace("Z", "+00:00")).timestamp() - zero
         steps.append((at, int(line["gatekeeper"]), tuple(version.split(","))))
-    steps += [(at, who, None) for who, times in killed.items() for at in times]
+    steps += [(at, gatekeeper, None) for gatekeeper, times in killed.items() for at in times]
     steps.sort(key=lambda step: step[0])
-    acting: dict[int, tuple[str, ...]] = {}
+    in_force: dict[int, tuple[str, ...]] = {}
     total = longest = run = 0.0
     last = steps[0][0] if steps else 0.0
-    for at, who, version in [*steps, (end, -1, None)]:
-        held = list(acting.values())
-        split = any(not set(one) & set(other) for one in held for other in held)
-        if split:
+    for at, gatekeeper, version in [*steps, (end, -1, None)]:
+        held = list(in_force.values())
+        contradicting = any(not set(one) & set(other) for one in held for other in held)
+        if contradicting:
             total += at - last
             run += at - last
             longest = max(longest, run)
@@ -265,29 +283,29 @@
             run = 0.0
         last = at
         if version is None:
-            acting.pop(who, None)
+            in_force.pop(gatekeeper, None)
         else:
-            acting[who] = version
+            in_force[gatekeeper] = version
     return {
         "time_on_two_rules_s": round(total, 3),
         "longest_on_two_rules_s": round(longest, 3),
-        "versions_at_end": len({versions[-1] for versions in acting.values()}),
+        "versions_at_end": len({versions[-1] for versions in in_force.values()}),
     }
 
 
-def figures(seen: Seen, seconds: float, calls: dict[int, int]) -> dict[str, float]:
-    asked = seen.asked
-    answered = [a for a in asked if a.ending == "answered"]
+def figures(observed: Observations, seconds: float, calls: dict[int, int]) -> dict[str, float]:
+    requests = observed.requests
+    answered = [a for a in requests if a.ending == "answered"]
     served = [a for a in answered if a.status == 200]
     in_time = [a for a in served if a.answered - a.sent <= a.timeout_s]
     return {
-        "requests": len(asked),
+        "requests": len(requests),
         "served": len(served),
         "refused": sum(1 for a in answered if a.status in (429, 503)),
         "failed": sum(1 for a in answered if a.status not in (200, 429, 503)),
-        "unanswered": sum(1 for a in asked if a.ending in ("closed", "late", "open")),
-        "unreachable": sum(1 for a in asked if a.ending == "unreachable"),
-        "served_in_time_share": round(len(in_time) / len(asked), 4) if asked else 0.0,
-        "attempts_at_members": len(seen.arrivals),
+        "unanswered": sum(1 for a in requests if a.ending in ("closed", "late", "open")),
+        "unreachable": sum(1 for a in requests if a.ending == "unreachable"),
+        "served_in_time_share": round(len(in_time) / len(requests), 4) if requests else 0.0,
+        "attempts_at_members": len(observed.arrivals),
         "counter_calls_per_s": round(sum(calls.values()) / seconds, 2) if seconds else 0.0,
     }
--- a/millfront/rehearsal/fleet.py
+++ b/millfront/rehearsal/fleet.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-START_S = 20.0  # a gatekeeper that does not serve by then has failed to start
-END_S = 10.0  # after SIGTERM, before SIGKILL
+START_TIMEOUT_S = 20.0  # a gatekeeper that does not serve by then has failed to start
+STOP_TIMEOUT_S = 10.0  # after SIGTERM, before SIGKILL
 
 
 class StartFailed(Exception):
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Gatekeeper:
-    place: int
+    index: int
     folder: Path
     config: dict[str, Any]
     operators: dict[str, Any]
@@ -30,11 +30,11 @@
     address: str = ""
     admin: str = ""
     starts: int = 0
-    offset: int = 0  # of the log, where the present life's lines begin
+    log_offset: int = 0  # of the log, where the present life's lines begin
 
     @property
     def name(self) -> str:
-        return f"g{self.place}"
+        return f"g{self.index}"
 
     @property
     def config_path(self) -> Path:
@@ -53,9 +53,9 @@
         """Whole, by a rename: a reader sees the old file or the new one."""
         if config is not None:
             self.config = config
-        spare = self.config_path.with_suffix(".new")
-        spare.write_text(json.dumps(self.config, indent=1))
-        spare.replace(self.config_path)
+        temporary = self.config_path.with_suffix(".new")
+        temporary.write_text(json.dumps(self.config, indent=1))
+        temporary.replace(self.config_path)
 
     async def start(self) -> None:
         """:raises StartFailed: it exited, or did not serve within START_S"""
@@ -78,13 +78,13 @@
         log.close()
         self.starts += 1
         self.address = self.admin = ""
-        await self._until_serving()
+        await self._wait_until_serving()
 
-    async def _until_serving(self) -> None:
+    async def _wait_until_serving(self) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + START_S
-        while loop.time() < until:
-            for line in self._lines(self.offset):
+        deadline = loop.time() + START_TIMEOUT_S
+        while loop.time() < deadline:
+            for line in self._lines(self.log_offset):
                 if line.get("event") == "serves":
                     self.address = str(line["address"])
                 elif line.get("event") == "operators are answered":
@@ -98,7 +98,7 @@
                 break
             await asyncio.sleep(0.05)
         tail = self.log_path.read_text(errors="replace")[-2000:]
-        raise StartFailed(f"{self.name} did not serve within {START_S} s:\n{tail}")
+        raise StartFailed(f"{self.name} did not serve within {START_TIMEOUT_S} s:\n{tail}")
 
     def _lines(self, offset: int) -> list[dict[str, Any]]:
         with self.log_path.open("rb") as file:
@@ -112,7 +112,7 @@
             return lines
 
     async def restart(self) -> None:
-        self.offset = self.log_path.stat().st_size
+        self.log_offset = self.log_path.stat().st_size
         await self.start()
 
     def signal(self, number: signal.Signals) -> bool:
@@ -129,7 +129,7 @@
     def alive(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
-    async def end(self) -> int | None:
+    async def stop(self) -> int | None:
         """SIGTERM, then SIGKILL after END_S; the exit code, None where it was not running."""
         process = self.process
         if process is None:
@@ -138,7 +138,7 @@
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGTERM)
             try:
-                await asyncio.wait_for(process.wait(), END_S)
+                await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
             except TimeoutError:
                 self.signal(signal.SIGKILL)
                 await process.wait()
@@ -147,23 +147,23 @@
     def log(self) -> list[dict[str, Any]]:
         lines = self._lines(0) if self.log_path.exists() else []
         for line in lines:
-            line["gatekeeper"] = self.place
+            line["gatekeeper"] = self.index
         return lines
 
 
 def configuration(
-    place: int, listen_settings: dict[str, Any], discovery: str, counter: str | None, known: dict[str, Any]
+    index: int, listen_settings: dict[str, Any], discovery: str, counter: str | None, known: dict[str, Any]
 ) -> dict[str, Any]:
     """What the platform tells a gatekeeper (DEPLOY: NODE_CONFIG), on loopback, port 0."""
-    told: dict[str, Any] = {
-        "name": f"g{place}",
+    config: dict[str, Any] = {
+        "name": f"g{index}",
         "listen": "127.0.0.1:0",
         "discovery": discovery,
-        "seed": f"{place + 1:016x}",
+        "seed": f"{index + 1:016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": known,
-        "settings": listen_settings | {"Me": place},
+        "settings": listen_settings | {"Me": index},
     }
     if counter is not None:
-        told["counter"] = counter
-    return told
+        config["counter"] = counter
+    return config
--- a/millfront/rehearsal/links.py
+++ b/millfront/rehearsal/links.py
@@ -30,14 +30,14 @@
 
 from millfront.rehearsal.scenario import Effect
 
-GIVEN_UP_S = 2.0  # as millfront/transport/connections.py has it
-MOST_HELD = 1024  # pieces of a connection that wait in the relay, one way
-PIECE = 65536
+SEND_TIMEOUT_S = 2.0  # as millfront/transport/connections.py has it
+MAX_QUEUED_CHUNKS = 1024  # pieces of a connection that wait in the relay, one way
+CHUNK_BYTES = 65536
 LINGER_RESET = struct.pack("ii", 1, 0)  # close with RST
 T = TypeVar("T")
 
 
-class Cut(Exception):
+class LinkCut(Exception):
     """A link ends the connection."""
 
 
@@ -48,22 +48,22 @@
     effect: Effect = "heal"
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    keeps: bool = False
-    rest_ms: tuple[float, float] = (0.0, 0.0)  # delay and jitter where nothing is wrong
+    keep_open: bool = False
+    base_delay_ms: tuple[float, float] = (0.0, 0.0)  # delay and jitter where nothing is wrong
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    passed: int = 0  # pieces and datagrams
+    forwarded: int = 0  # pieces and datagrams
     lost: int = 0  # datagrams, and connections cut
 
-    def become(self, effect: Effect, delay_ms: float, jitter_ms: float, keeps: bool) -> None:
+    def set_effect(self, effect: Effect, delay_ms: float, jitter_ms: float, keep_open: bool) -> None:
         """The one change of what a link does."""
-        if effect == "heal" and any(self.rest_ms):
-            effect, (delay_ms, jitter_ms) = "delay", self.rest_ms
-        self.effect, self.delay_ms, self.jitter_ms, self.keeps = effect, delay_ms, jitter_ms, keeps
+        if effect == "heal" and any(self.base_delay_ms):
+            effect, (delay_ms, jitter_ms) = "delay", self.base_delay_ms
+        self.effect, self.delay_ms, self.jitter_ms, self.keep_open = effect, delay_ms, jitter_ms, keep_open
         self.changed.set()
         self.changed = asyncio.Event()
 
 
-class End:
+class Endpoint:
     """One end of a connection, as the relay holds it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -76,7 +76,7 @@
         self.writer.close()
 
 
-class Front(asyncio.DatagramProtocol):
+class Relay(asyncio.DatagramProtocol):
     """Before one process: where others reach it, and where what it sends to them comes from."""
 
     def __init__(self, links: "Links", number: int) -> None:
@@ -85,9 +85,9 @@
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        loop, host, port = asyncio.get_running_loop(), self.links.front(self.number), self.links.port
+        loop, host, port = asyncio.get_running_loop(), self.links.advertised_ip(self.number), self.links.port
         self.datagrams, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
-        self.server = await asyncio.start_server(self._came, host, port, limit=PIECE)
+        self.server = await asyncio.start_server(self._on_connection, host, port, limit=CHUNK_BYTES)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         sender = self.links.sender(addr[0])
@@ -97,45 +97,45 @@
         if link.effect in ("blackhole", "reset"):
             link.lost += 1
             return
-        link.passed += 1
+        link.forwarded += 1
         if link.effect == "delay":
             delay = self.links.delay(link)
         if delay:
-            asyncio.get_running_loop().call_later(delay, self._hand_on, sender, data)
+            asyncio.get_running_loop().call_later(delay, self._forward, sender, data)
         else:
-            self._hand_on(sender, data)
+            self._forward(sender, data)
 
-    def _hand_on(self, sender: int, data: bytes) -> None:
-        source = self.links.fronts[sender].datagrams
+    def _forward(self, sender: int, data: bytes) -> None:
+        source = self.links.relays[sender].datagrams
         if source is not None and not source.is_closing():
-            source.sendto(data, (self.links.behind(self.number), self.links.port))
+            source.sendto(data, (self.links.listen_ip(self.number), self.links.port))
 
     def error_received(self, exc: Exception) -> None:
         pass  # nobody listens behind it
 
-    async def _came(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self.links.serving.add(task)
-        near = End(reader, writer)
+        self.links.tasks.add(task)
+        near = Endpoint(reader, writer)
         try:
             sender = self.links.sender(writer.get_extra_info("peername")[0])
             if sender is not None:
                 await self._serve(sender, near)
-        except (Cut, OSError, asyncio.CancelledError):
+        except (LinkCut, OSError, asyncio.CancelledError):
             pass  # the link was cut, nobody listens behind it, or the relay closes
         finally:
-            self.links.serving.discard(task)
+            self.links.tasks.discard(task)
             near.cut()
 
-    async def _serve(self, sender: int, near: End) -> None:
+    async def _serve(self, sender: int, near: Endpoint) -> None:
         there, back = self.links.between[sender, self.number], self.links.between[self.number, sender]
         for link in (there, back):
-            await _pass(link, near, 0.0)
-        far = End(*await asyncio.open_connection(self.links.behind(self.number), self.links.port))
+            await _wait_to_forward(link, near, 0.0)
+        far = Endpoint(*await asyncio.open_connection(self.links.listen_ip(self.number), self.links.port))
         ways = [
-            asyncio.create_task(self._carry(there, near, far)),
-            asyncio.create_task(self._carry(back, far, near)),
+            asyncio.create_task(self._relay(there, near, far)),
+            asyncio.create_task(self._relay(back, far, near)),
         ]
         try:
             await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
@@ -145,56 +145,56 @@
                 way.cancel()
             await asyncio.gather(*ways, return_exceptions=True)
 
-    async def _carry(self, link: Link, source: End, sink: End) -> None:
+    async def _relay(self, link: Link, source: Endpoint, sink: Endpoint) -> None:
         """One direction of one connection, until it ends."""
-        held: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MOST_HELD)
-        taking = asyncio.create_task(self._take(link, source, held))
+        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
+        reading = asyncio.create_task(self._read(link, source, queue))
         try:
             while True:
-                due, data = await _first(held, link)
-                await _pass(link, source, due)
+                due, data = await _next_chunk(queue, link)
+                await _wait_to_forward(link, source, due)
                 if not data:
                     return
-                link.passed += 1
+                link.forwarded += 1
                 sink.writer.write(data)
                 await sink.writer.drain()
         finally:
-            taking.cancel()
+            reading.cancel()
 
-    async def _take(self, link: Link, source: End, held: "asyncio.Queue[tuple[float, bytes]]") -> None:
+    async def _read(self, link: Link, source: Endpoint, queue: "asyncio.Queue[tuple[float, bytes]]") -> None:
         """Empty: it has ended."""
         data = b"more"
         while data:
             try:
-                data = await source.reader.read(PIECE)
+                data = await source.reader.read(CHUNK_BYTES)
             except OSError:
                 data = b""
             delay = self.links.delay(link) if link.effect == "delay" else 0.0
-            await held.put((asyncio.get_running_loop().time() + delay, data))
+            await queue.put((asyncio.get_running_loop().time() + delay, data))
 
 
-async def _first(held: "asyncio.Queue[tuple[float, bytes]]", link: Link) -> tuple[float, bytes]:
+async def _next_chunk(queue: "asyncio.Queue[tuple[float, bytes]]", link: Link) -> tuple[float, bytes]:
     """What is next; also a reset of a link on which nothing is sent.
 
     :raises Cut: the link is reset
     """
-    getting = asyncio.create_task(held.get())
+    next_item = asyncio.create_task(queue.get())
     try:
-        while not getting.done():
+        while not next_item.done():
             changed = asyncio.create_task(link.changed.wait())
             try:
-                await asyncio.wait([getting, changed], return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait([next_item, changed], return_when=asyncio.FIRST_COMPLETED)
             finally:
                 changed.cancel()
             if link.effect == "reset":
                 link.lost += 1
-                raise Cut
-        return getting.result()
+                raise LinkCut
+        return next_item.result()
     finally:
-        getting.cancel()
+        next_item.cancel()
 
 
-async def _pass(link: Link, source: End, due: float) -> None:
+async def _wait_to_forward(link: Link, source: Endpoint, due: float) -> None:
     """Wait until what came from `source` may go on.
 
     :raises Cut: it may not any more
@@ -206,9 +206,9 @@
         if link.effect == "reset":
             changed.close()
             link.lost += 1
-            raise Cut
+            raise LinkCut
         if link.effect == "blackhole":
-            left = None if link.keeps else since + GIVEN_UP_S - loop.time()
+            left = None if link.keep_open else since + SEND_TIMEOUT_S - loop.time()
         elif loop.time() < due:
             left = due - loop.time()
         else:
@@ -224,33 +224,33 @@
                 source.cut()
                 while link.effect == "blackhole":
                     await link.changed.wait()
-                raise Cut from None
+                raise LinkCut from None
 
 
 class Links:
     """All links of one system. Its methods may be called from any thread but its own."""
 
-    def __init__(self, count: int, port: int, rng: random.Random, part: int = 0) -> None:
+    def __init__(self, count: int, port: int, rng: random.Random, subnet: int = 0) -> None:
         """:param part: P of the addresses, 2 to 254; 0: by this process's id, so that two runs don't meet"""
         self.count, self.port, self.rng = count, port, rng
-        self.part = part or 2 + os.getpid() % 250
-        self.fronts: list[Front] = []
+        self.subnet = subnet or 2 + os.getpid() % 250
+        self.relays: list[Relay] = []
         self.between: dict[tuple[int, int], Link] = {}
-        self.serving: set[asyncio.Task[Any]] = set()
+        self.tasks: set[asyncio.Task[Any]] = set()
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
 
-    def front(self, number: int) -> str:
+    def advertised_ip(self, number: int) -> str:
         """Where others reach it."""
-        return f"127.{self.part}.0.{number + 1}"
+        return f"127.{self.subnet}.0.{number + 1}"
 
-    def behind(self, number: int) -> str:
+    def listen_ip(self, number: int) -> str:
         """Where it listens and dials from."""
-        return f"127.{self.part}.1.{number + 1}"
+        return f"127.{self.subnet}.1.{number + 1}"
 
     def sender(self, address: str) -> int | None:
         number = int(address.rpartition(".")[2]) - 1
-        return number if 0 <= number < self.count and address == self.behind(number) else None
+        return number if 0 <= number < self.count and address == self.listen_ip(number) else None
 
     def delay(self, link: Link) -> float:
         return (link.delay_ms + self.rng.random() * link.jitter_ms) / 1000
@@ -264,8 +264,8 @@
         numbers = range(self.count)
         self.between = {(one, other): Link() for one in numbers for other in numbers if one != other}
         for number in numbers:
-            self.fronts.append(Front(self, number))
-            await self.fronts[-1].open()
+            self.relays.append(Relay(self, number))
+            await self.relays[-1].open()
 
     def _run(self, work: Coroutine[Any, Any, T]) -> T:
         return asyncio.run_coroutine_threadsafe(work, self._loop).result(10)
@@ -279,33 +279,35 @@
         way: str = "both",
         delay_ms: float = 0.0,
         jitter_ms: float = 0.0,
-        keeps: bool = False,
+        keep_open: bool = False,
     ) -> None:
         """What the links from `senders` to `others` do from now on (`way`: out, in or both)."""
         pairs = [(one, other) for one in senders for other in others if one != other]
         chosen = [pair for pair in pairs if way in ("out", "both")]
         chosen += [(other, one) for one, other in pairs if way in ("in", "both")]
 
-        async def become() -> None:
+        async def apply() -> None:
             for pair in chosen:
-                self.between[pair].become(effect, delay_ms, jitter_ms, keeps)
+                self.between[pair].set_effect(effect, delay_ms, jitter_ms, keep_open)
 
-        self._run(become())
+        self._run(apply())
 
-    def lengthen(self, some: Iterable[int], others: Iterable[int], delay_ms: float, jitter_ms: float) -> None:
+    def set_base_delay(
+        self, numbers: Iterable[int], others: Iterable[int], delay_ms: float, jitter_ms: float
+    ) -> None:
         """What the links between them take at rest, each way, from now on."""
 
-        async def become() -> None:
-            for one, other in [(one, other) for one in some for other in others]:
+        async def apply() -> None:
+            for one, other in [(one, other) for one in numbers for other in others]:
                 for link in (self.between[one, other], self.between[other, one]):
-                    link.rest_ms = (delay_ms, jitter_ms)
-                    link.become("heal", 0.0, 0.0, False)
+                    link.base_delay_ms = (delay_ms, jitter_ms)
+                    link.set_effect("heal", 0.0, 0.0, False)
 
-        self._run(become())
+        self._run(apply())
 
-    def cut(self, one: int, way: str = "both", keeps: bool = False) -> None:
+    def cut(self, one: int, way: str = "both", keep_open: bool = False) -> None:
         """One process from all others, silently."""
-        self.set([one], range(self.count), "blackhole", way=way, keeps=keeps)
+        self.set([one], range(self.count), "blackhole", way=way, keep_open=keep_open)
 
     def heal(self) -> None:
         """All links."""
@@ -313,14 +315,14 @@
 
     def close(self) -> None:
         async def end() -> None:
-            for front in self.fronts:
-                if front.server is not None:
-                    front.server.close()
-                if front.datagrams is not None:
-                    front.datagrams.close()
-            for task in list(self.serving):
+            for relay in self.relays:
+                if relay.server is not None:
+                    relay.server.close()
+                if relay.datagrams is not None:
+                    relay.datagrams.close()
+            for task in list(self.tasks):
                 task.cancel()
-            await asyncio.gather(*self.serving, return_exceptions=True)
+            await asyncio.gather(*self.tasks, return_exceptions=True)
 
         if self._thread.is_alive():
             self._run(end())
--- a/millfront/rehearsal/doors.py
+++ b/millfront/rehearsal/listeners.py
@@ -36,11 +36,11 @@
     jitter_ms: float = 0.0
     share: float = 1.0
 
-    def holds(self, way: str) -> bool:
+    def affects(self, way: str) -> bool:
         return self.effect != "heal" and self.way in ("both", way)
 
 
-class Cut(Exception):
+class LinkCut(Exception):
     """The link was cut under a connection: the stand-in stops serving it."""
 
 
@@ -50,27 +50,27 @@
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    door: "Door"
+    listener: "FaultListener"
     ran: bool = field(default=False)
 
     async def read(self, until: bytes = b"\r\n") -> bytes:
         """:raises asyncio.IncompleteReadError: the gatekeeper closed"""
         data = await self.reader.readuntil(until)
-        await self.door.passing("out", self)
+        await self.listener.apply_fault("out", self)
         return data
 
     async def read_exactly(self, size: int) -> bytes:
         data = await self.reader.readexactly(size)
-        await self.door.passing("out", self)
+        await self.listener.apply_fault("out", self)
         return data
 
     async def write(self, data: bytes) -> None:
         """:raises Cut: the answer is not to arrive"""
-        await self.door.passing("in", self)
-        link = self.door.link
-        if link.holds("in") and link.effect == "lose_answers" and self.door.rng.random() < link.share:
+        await self.listener.apply_fault("in", self)
+        link = self.listener.link
+        if link.affects("in") and link.effect == "lose_answers" and self.listener.rng.random() < link.share:
             self.reset()
-            raise Cut
+            raise LinkCut
         self.writer.write(data)
         await self.writer.drain()
 
@@ -80,18 +80,18 @@
         self.writer.close()
 
 
-class Door:
+class FaultListener:
     """A listener of one stand-in for one gatekeeper."""
 
-    def __init__(self, handler: Handler, rng: random.Random, who: int) -> None:
+    def __init__(self, handler: Handler, rng: random.Random, gatekeeper: int) -> None:
         self.handler = handler
         self.rng = rng
-        self.who = who  # the gatekeeper's place
+        self.gatekeeper = gatekeeper  # the gatekeeper's place
         self.link = Link()
         self.port = 0
         self._server: asyncio.Server | None = None
-        self._open: set[Conn] = set()
-        self._serving: set[asyncio.Task[None]] = set()
+        self._connections: set[Conn] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._healed = asyncio.Event()
 
     async def open(self) -> int:
@@ -106,17 +106,17 @@
             return
         self._healed = asyncio.Event()
         if link.effect == "reset":
-            for conn in list(self._open):
+            for conn in list(self._connections):
                 conn.reset()
 
-    async def passing(self, way: str, conn: Conn) -> None:
+    async def apply_fault(self, way: str, conn: Conn) -> None:
         """Bytes cross the door one way: held, cut or delayed by the link."""
         link = self.link
-        if not link.holds(way):
+        if not link.affects(way):
             return
         if link.effect == "reset":
             conn.reset()
-            raise Cut
+            raise LinkCut
         if link.effect == "blackhole":
             await self._healed.wait()
         elif link.effect == "delay":
@@ -126,26 +126,26 @@
         conn = Conn(reader, writer, self)
         task = asyncio.current_task()
         assert task is not None
-        self._open.add(conn)
-        self._serving.add(task)
+        self._connections.add(conn)
+        self._tasks.add(task)
         try:
             await self.handler(conn)
-        except (Cut, ConnectionError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError):
+        except (LinkCut, ConnectionError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError):
             pass  # the gatekeeper went, the link was cut, or it sent what a stand-in can't read
         except asyncio.CancelledError:
             pass  # close(): asyncio's stream server would log a cancelled handler as a failure
         finally:
-            self._open.discard(conn)
-            self._serving.discard(task)
+            self._connections.discard(conn)
+            self._tasks.discard(task)
             writer.close()
 
     async def close(self) -> None:
         if self._server is not None:
             self._server.close()
-        for conn in list(self._open):
+        for conn in list(self._connections):
             conn.reset()
         self._healed.set()
-        for task in list(self._serving):
+        for task in list(self._tasks):
             task.cancel()
-        if self._serving:
-            await asyncio.wait(list(self._serving))
+        if self._tasks:
+            await asyncio.wait(list(self._tasks))
--- a/millfront/rehearsal/load.py
+++ b/millfront/rehearsal/load.py
@@ -18,18 +18,18 @@
 KEYED_CLASSES = {"issue-buy"}
 
 
-class Unread(Exception):
+class StaleConnection(Exception):
     """A connection held idle was closed under a request before the gatekeeper read it."""
 
 
 @dataclass(slots=True)
-class Asked:
+class SentRequest:
     """A request as its client saw it."""
 
     request: str
-    kind: str
+    request_class: str
     customer: str
-    who: int  # the gatekeeper it was sent to
+    gatekeeper: int  # it was sent to
     sent: float
     timeout_s: float
     status: int = 0  # 0: no answer
@@ -40,12 +40,12 @@
 
 @dataclass(slots=True)
 class Load:
-    told: Clients
+    config: Clients
     gatekeepers: int
     address: Callable[[int], str]  # where a gatekeeper listens now; "" while it does not
     clock: Clock
     rng: random.Random
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[SentRequest] = field(default_factory=list)
     _idle: dict[int, list[tuple[asyncio.StreamReader, asyncio.StreamWriter, str]]] = field(
         default_factory=dict
     )
@@ -54,66 +54,70 @@
 
     async def run(self, until_s: float) -> None:
         """Arrivals until `until_s`, or until the most requests were sent."""
-        told, names, weights = self.told, list(self.told.classes), list(self.told.classes.values())
-        next_at = self.clock() + max(0.0, told.start_s - self.clock())
-        for _ in range(told.most):
-            if told.rate_per_s <= 0:
+        config, names, weights = self.config, list(self.config.classes), list(self.config.classes.values())
+        next_at = self.clock() + max(0.0, config.start_s - self.clock())
+        for _ in range(config.most):
+            if config.rate_per_s <= 0:
                 return
-            next_at += self.rng.expovariate(told.rate_per_s)
+            next_at += self.rng.expovariate(config.rate_per_s)
             if next_at >= until_s:
                 break
             await asyncio.sleep(max(0.0, next_at - self.clock()))
-            customer = self.rng.randrange(told.customers)
+            customer = self.rng.randrange(config.customers)
             first = customer % self.gatekeepers
-            who = (first + self.rng.randrange(told.spread)) % self.gatekeepers
-            kind = self.rng.choices(names, weights)[0]
-            task = asyncio.create_task(self._ask(who, kind, customer, first))
+            gatekeeper = (first + self.rng.randrange(config.spread)) % self.gatekeepers
+            request_class = self.rng.choices(names, weights)[0]
+            task = asyncio.create_task(self._send(gatekeeper, request_class, customer, first))
             self._open.add(task)
             task.add_done_callback(self._open.discard)
-        await self.settle()
+        await self.wait_for_answers()
 
-    async def settle(self) -> None:
+    async def wait_for_answers(self) -> None:
         if self._open:
             await asyncio.wait(list(self._open))
 
-    async def _ask(self, who: int, kind: str, customer: int, first: int) -> None:
-        told = self.told
+    async def _send(self, gatekeeper: int, request_class: str, customer: int, first: int) -> None:
+        config = self.config
         request = f"{next(self._ids):016x}"
-        asked = Asked(request, kind, f"{customer:016x}", who, self.clock(), told.timeout_ms / 1000)
-        self.asked.append(asked)
-        address = self.address(who)
+        record = SentRequest(
+            request, request_class, f"{customer:016x}", gatekeeper, self.clock(), config.timeout_ms / 1000
+        )
+        self.requests.append(record)
+        address = self.address(gatekeeper)
         if not address:
-            asked.ending = "unreachable"
+            record.ending = "unreachable"
             return
         lines = [
-            f"{'GET' if kind in SAFE_CLASSES else 'POST'} /{kind}/{customer:016x} HTTP/1.1",
+            f"{'GET' if request_class in SAFE_CLASSES else 'POST'} /{request_class}/{customer:016x} HTTP/1.1",
             "Host: origin.svc",
             f"Request-Id: {request}",
-            f"Plan: {told.plan}",
-            f"Request-Timeout: {told.timeout_ms}m",
-            f"Quota-Info: units=1,spread={told.spread},first={first}",
+            f"Plan: {config.plan}",
+            f"Request-Timeout: {config.timeout_ms}m",
+            f"Quota-Info: units=1,spread={config.spread},first={first}",
         ]
-        body = b"" if kind in SAFE_CLASSES else b"what is bought"
-        if kind in KEYED_CLASSES:
+        body = b"" if request_class in SAFE_CLASSES else b"what is bought"
+        if request_class in KEYED_CLASSES:
             lines.append(f"Idempotency-Key: {request:0>32}")
         if body:
             lines.append(f"Content-Length: {len(body)}")
         data = "\r\n".join(lines).encode() + b"\r\n\r\n" + body
         try:
-            async with asyncio.timeout(asked.timeout_s + 1.0):
+            async with asyncio.timeout(record.timeout_s + 1.0):
                 try:
-                    await self._exchange(who, address, data, asked, reuse=True)
-                except Unread:  # PROTOCOL: a close that crossed an unread request: once more, anew
-                    asked.resent = self.clock()
-                    await self._exchange(who, address, data, asked, reuse=False)
+                    await self._exchange(gatekeeper, address, data, record, reuse=True)
+                except StaleConnection:  # PROTOCOL: a close that crossed an unread request: once more, anew
+                    record.resent = self.clock()
+                    await self._exchange(gatekeeper, address, data, record, reuse=False)
         except TimeoutError:
-            asked.ending = "late"
+            record.ending = "late"
         except (OSError, asyncio.IncompleteReadError, ValueError):
-            asked.ending = "unreachable" if asked.ending == "connecting" else "closed"
+            record.ending = "unreachable" if record.ending == "connecting" else "closed"
 
-    async def _exchange(self, who: int, address: str, data: bytes, asked: Asked, reuse: bool) -> None:
+    async def _exchange(
+        self, gatekeeper: int, address: str, data: bytes, record: SentRequest, reuse: bool
+    ) -> None:
         """:raises Unread: a connection held idle ended before a byte of the answer came"""
-        idle = self._idle.setdefault(who, [])
+        idle = self._idle.setdefault(gatekeeper, [])
         while idle and idle[-1][2] != address:  # the gatekeeper was started anew at another port
             idle.pop()[1].close()
         if idle and reuse:
@@ -122,31 +126,31 @@
                 writer.write(data)
                 await writer.drain()
                 head = await reader.readuntil(b"\r\n\r\n")
-            except (ConnectionError, asyncio.IncompleteReadError) as wrong:
-                if isinstance(wrong, asyncio.IncompleteReadError) and wrong.partial:
+            except (ConnectionError, asyncio.IncompleteReadError) as error:
+                if isinstance(error, asyncio.IncompleteReadError) and error.partial:
                     raise
                 writer.close()
-                raise Unread from None
-            return await self._answered(reader, writer, head, address, asked)
+                raise StaleConnection from None
+            return await self._read_response(reader, writer, head, address, record)
         else:
             host, _, port = address.rpartition(":")
-            asked.ending = "connecting"
+            record.ending = "connecting"
             reader, writer = await asyncio.open_connection(host, int(port))
-        asked.ending = "open"
+        record.ending = "open"
         writer.write(data)
         await writer.drain()
         head = await reader.readuntil(b"\r\n\r\n")
-        await self._answered(reader, writer, head, address, asked)
+        await self._read_response(reader, writer, head, address, record)
 
-    async def _answered(
+    async def _read_response(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         head: bytes,
         address: str,
-        asked: Asked,
+        record: SentRequest,
     ) -> None:
-        idle = self._idle.setdefault(asked.who, [])
+        idle = self._idle.setdefault(record.gatekeeper, [])
         status = int(head.split(b" ", 2)[1])
         fields = {}
         for row in head.split(b"\r\n")[1:]:
@@ -158,7 +162,7 @@
             await reader.readuntil(b"\r\n")
         else:
             await reader.readexactly(int(fields.get(b"content-length", b"0")))
-        asked.status, asked.answered, asked.ending = status, self.clock(), "answered"
+        record.status, record.answered, record.ending = status, self.clock(), "answered"
         if b"connection: close" in head.lower():
             writer.close()
         else:
--- a/millfront/rehearsal/play.py
+++ b/millfront/rehearsal/play.py
@@ -14,10 +14,10 @@
 from typing import Any
 
 from millfront.rehearsal import audit
-from millfront.rehearsal.doors import Door, Link
 from millfront.rehearsal.fleet import Gatekeeper, configuration
+from millfront.rehearsal.listeners import FaultListener, Link
 from millfront.rehearsal.load import Load
-from millfront.rehearsal.scenario import Fault, Scenario, merged
+from millfront.rehearsal.scenario import Fault, Scenario, merge_patch
 from millfront.rehearsal.standins import Agent, Clock, Counter, Directory, PageServer
 
 SETTLE_S = 1.0  # after the last client's timeout, before the gatekeepers are ended
@@ -75,7 +75,7 @@
         "Weights": "none",
         "Zones": list(scenario.zones),
     }
-    return merged(base, scenario.settings)
+    return merge_patch(base, scenario.settings)
 
 
 class Rehearsal:
@@ -89,29 +89,29 @@
         self.counter = Counter(self.clock)
         self.directory = Directory(self.clock)
         self.pages: list[PageServer] = []
-        self.doors: dict[tuple[str, int, int], Door] = {}  # (link, gatekeeper, member or 0)
+        self.listeners: dict[tuple[str, int, int], FaultListener] = {}  # (link, gatekeeper, member or 0)
         self.gatekeepers: list[Gatekeeper] = []
         self.agents: list[Agent] = []
         self.starts: dict[int, list[float]] = {}
         self.killed: dict[int, list[float]] = {}  # by gatekeeper, the times of its SIGKILLs
-        self.zero_unix = 0.0
-        self._zero = 0.0
-        self.out_of_play: dict[int, list[tuple[float, float]]] = {}
-        self._later: set[asyncio.Task[None]] = set()
+        self.started_unix = 0.0
+        self._started_at = 0.0
+        self.unavailable: dict[int, list[tuple[float, float]]] = {}
+        self._delayed: set[asyncio.Task[None]] = set()
 
-    async def _door(self, link: str, who: int, member: int, handler: Any) -> Door:
-        door = Door(handler, self.rng, who)
-        await door.open()
-        self.doors[(link, who, member)] = door
-        return door
+    async def _add_listener(self, link: str, index: int, member: int, handler: Any) -> FaultListener:
+        listener = FaultListener(handler, self.rng, index)
+        await listener.open()
+        self.listeners[(link, index, member)] = listener
+        return listener
 
-    async def _set_up(self) -> None:
+    async def _create_stand_ins(self) -> None:
         scenario, n = self.scenario, self.scenario.gatekeepers
         member = 0
         for group in scenario.pages:
             for _ in range(group.count):
                 page = PageServer(member, group, self.clock, self.rng)
-                page.born = self.clock() if group.behaviour == "cold" else 0.0
+                page.started_at = self.clock() if group.behaviour == "cold" else 0.0
                 self.pages.append(page)
                 health = "Terminating" if group.behaviour == "draining" else "Ready"
                 born_ms = int(time.time() * 1000) if group.behaviour == "cold" else 0  # Unix time
@@ -124,78 +124,78 @@
                     "share": 1.0,
                     "born_ms": born_ms,
                 }
-                for who in range(n):
-                    await self._door("pages", who, member, page.serve)
+                for index in range(n):
+                    await self._add_listener("pages", index, member, page.serve)
                 member += 1
-        for who in range(n):
+        for index in range(n):
             if scenario.counter:
-                await self._door("counter", who, 0, self.counter.serve)
-            agent = Agent(self.directory, who, self._dial(who))
+                await self._add_listener("counter", index, 0, self.counter.serve)
+            agent = Agent(self.directory, index, self._address_for(index))
             self.agents.append(agent)
-            await self._door("discovery", who, 0, agent.serve)
-        operators = merged({"logs": {"format": "json", "level": "info"}}, scenario.operators)
-        for who in range(n):
-            counter = f"127.0.0.1:{self.doors[('counter', who, 0)].port}" if scenario.counter else None
-            discovery = f"127.0.0.1:{self.doors[('discovery', who, 0)].port}"
-            known = self.agents[who].listed(None) | {"seq": 0}
-            told = configuration(
-                who, self.settings | {"MyZone": who % len(scenario.zones)}, discovery, counter, known
+            await self._add_listener("discovery", index, 0, agent.serve)
+        operators = merge_patch({"logs": {"format": "json", "level": "info"}}, scenario.operators)
+        for index in range(n):
+            counter = f"127.0.0.1:{self.listeners[('counter', index, 0)].port}" if scenario.counter else None
+            discovery = f"127.0.0.1:{self.listeners[('discovery', index, 0)].port}"
+            known = self.agents[index].list_message(None) | {"seq": 0}
+            config = configuration(
+                index, self.settings | {"MyZone": index % len(scenario.zones)}, discovery, counter, known
             )
-            folder = self.out / f"g{who}"
+            folder = self.out / f"g{index}"
             folder.mkdir(parents=True, exist_ok=True)
-            self.gatekeepers.append(Gatekeeper(who, folder, told, operators))
+            self.gatekeepers.append(Gatekeeper(index, folder, config, operators))
 
-    def _dial(self, who: int) -> Callable[[int], str]:
+    def _address_for(self, index: int) -> Callable[[int], str]:
         """Where a gatekeeper reaches each member: its own door to it."""
-        return lambda member: f"127.0.0.1:{self.doors[('pages', who, member)].port}"
+        return lambda member: f"127.0.0.1:{self.listeners[('pages', index, member)].port}"
 
     async def run(self) -> dict[str, Any]:
-        await self._set_up()
+        await self._create_stand_ins()
         self.progress(f"{self.scenario.name}: starting {len(self.gatekeepers)} gatekeepers")
         try:
             await asyncio.gather(*(self._start(g) for g in self.gatekeepers))
-            return await self._play()
+            return await self._run_timeline()
         finally:
             for gatekeeper in self.gatekeepers:
-                await gatekeeper.end()
-            for door in self.doors.values():
-                await door.close()
+                await gatekeeper.stop()
+            for listener in self.listeners.values():
+                await listener.close()
 
     async def _start(self, gatekeeper: Gatekeeper) -> None:
         await gatekeeper.start()
-        self.starts.setdefault(gatekeeper.place, []).append(self.clock())
+        self.starts.setdefault(gatekeeper.index, []).append(self.clock())
 
-    async def _play(self) -> dict[str, Any]:
+    async def _run_timeline(self) -> dict[str, Any]:
         scenario = self.scenario
-        zero = self._zero = self.clock()
-        self.zero_unix = time.time()
+        started_at = self._started_at = self.clock()
+        self.started_unix = time.time()
         load = Load(scenario.clients, scenario.gatekeepers, self._address, self.clock, self.rng)
         longest = scenario.clients.timeout_ms / 1000
-        until = zero + (scenario.clients.until_s or max(0.0, scenario.duration_s - longest))
+        until = started_at + (scenario.clients.until_s or max(0.0, scenario.duration_s - longest))
         clients = asyncio.create_task(load.run(until))
         for fault in sorted(scenario.faults, key=lambda f: f.at_s):
-            await asyncio.sleep(max(0.0, zero + fault.at_s - self.clock()))
+            await asyncio.sleep(max(0.0, started_at + fault.at_s - self.clock()))
             self.progress(
-                f"{self.clock() - zero:6.2f} s  {fault.do} {fault.signal or fault.effect or ''} "
+                f"{self.clock() - started_at:6.2f} s  {fault.do} {fault.signal or fault.effect or ''} "
                 f"g{fault.gatekeepers or 'all'}"
             )
-            await self._fault(fault)
-        await asyncio.sleep(max(0.0, zero + scenario.duration_s - self.clock()))
+            await self._apply_fault(fault)
+        await asyncio.sleep(max(0.0, started_at + scenario.duration_s - self.clock()))
         await clients
         await asyncio.sleep(SETTLE_S)
-        if self._later:
-            await asyncio.gather(*self._later)
+        if self._delayed:
+            await asyncio.gather(*self._delayed)
         load.close()
-        return self._verdict(load, self.clock() - zero)
+        return self._verdict(load, self.clock() - started_at)
 
-    def _address(self, who: int) -> str:
-        gatekeeper = self.gatekeepers[who]
+    def _address(self, index: int) -> str:
+        gatekeeper = self.gatekeepers[index]
         return gatekeeper.address if gatekeeper.alive else ""
 
     def _targets(self, fault: Fault) -> list[Gatekeeper]:
         return [self.gatekeepers[p] for p in fault.gatekeepers] if fault.gatekeepers else self.gatekeepers
 
-    def _then(self, delay: float, job: Callable[[], Any]) -> None:
+    def _run_later(self, delay: float, job: Callable[[], Any]) -> None:
         async def later() -> None:
             await asyncio.sleep(delay)
             result = job()
@@ -203,10 +203,10 @@
                 await result
 
         task = asyncio.create_task(later())
-        self._later.add(task)
-        task.add_done_callback(self._later.discard)
+        self._delayed.add(task)
+        task.add_done_callback(self._delayed.discard)
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _apply_fault(self, fault: Fault) -> None:
         targets = self._targets(fault)
         if fault.do == "signal":
             number = getattr(signal, f"SIG{fault.signal}")
@@ -215,32 +215,32 @@
                 if not gatekeeper.signal(number):
                     continue
                 if fault.signal == "KILL":
-                    self.killed.setdefault(gatekeeper.place, []).append(now - self._zero)
+                    self.killed.setdefault(gatekeeper.index, []).append(now - self._started_at)
                 if fault.signal in ("KILL", "STOP"):
                     until = now + (fault.for_s or 3_600.0) if fault.signal == "STOP" else 3_600.0
-                    self.out_of_play.setdefault(gatekeeper.place, []).append((now, until))
+                    self.unavailable.setdefault(gatekeeper.index, []).append((now, until))
                     if fault.signal == "STOP" and fault.for_s is not None:
-                        self._then(fault.for_s, self._resume(gatekeeper))
+                        self._run_later(fault.for_s, self._resume(gatekeeper))
         elif fault.do == "restart":
             for gatekeeper in targets:
-                await gatekeeper.end()
-                self._back(gatekeeper)
+                await gatekeeper.stop()
+                self._mark_available(gatekeeper)
                 await gatekeeper.restart()
-                self.starts.setdefault(gatekeeper.place, []).append(self.clock())
+                self.starts.setdefault(gatekeeper.index, []).append(self.clock())
         elif fault.do == "wipe":
             for gatekeeper in targets:
                 for path in sorted(gatekeeper.state.rglob("*"), reverse=True):
                     path.rmdir() if path.is_dir() else path.unlink()
         elif fault.do == "config":
             for gatekeeper in targets:
-                self._write(gatekeeper, fault)
+                self._write_config(gatekeeper, fault)
         elif fault.do == "link":
-            self._link(fault, targets)
+            self._apply_link_fault(fault, targets)
         elif fault.do == "discovery":
             assert fault.member is not None
             for agent in self.agents:
                 agent.lag_s = (
-                    fault.lag_s if (not fault.gatekeepers or agent.who in fault.gatekeepers) else 0.0
+                    fault.lag_s if (not fault.gatekeepers or agent.gatekeeper in fault.gatekeepers) else 0.0
                 )
             self.directory.change(fault.member, fault.health)
             if fault.health != "Ready":
@@ -250,65 +250,69 @@
     def _resume(gatekeeper: Gatekeeper) -> Callable[[], bool]:
         return lambda: gatekeeper.signal(signal.SIGCONT)
 
-    def _back(self, gatekeeper: Gatekeeper) -> None:
+    def _mark_available(self, gatekeeper: Gatekeeper) -> None:
         """A killed gatekeeper is out of play until it is started again."""
-        windows = self.out_of_play.get(gatekeeper.place, [])
+        windows = self.unavailable.get(gatekeeper.index, [])
         if windows and windows[-1][1] > self.clock():
             windows[-1] = (windows[-1][0], self.clock())
 
-    def _write(self, gatekeeper: Gatekeeper, fault: Fault) -> None:
-        told = gatekeeper.config
+    def _write_config(self, gatekeeper: Gatekeeper, fault: Fault) -> None:
+        config = gatekeeper.config
         if fault.settings is not None:
-            told = told | {"settings": merged(told["settings"], fault.settings)}
-        text = json.dumps(told, indent=1).encode()
+            config = config | {"settings": merge_patch(config["settings"], fault.settings)}
+        text = json.dumps(config, indent=1).encode()
         if fault.write == "whole":
-            gatekeeper.write_config(told)
+            gatekeeper.write_config(config)
         elif fault.write == "in_place":
-            gatekeeper.config = told
+            gatekeeper.config = config
             gatekeeper.config_path.write_bytes(text)
         else:  # a file that can't be used: the gatekeeper must keep what it has
             gatekeeper.config_path.write_bytes(text[: len(text) // 2] if fault.write == "torn" else b"")
 
-    def _link(self, fault: Fault, targets: list[Gatekeeper]) -> None:
+    def _apply_link_fault(self, fault: Fault, targets: list[Gatekeeper]) -> None:
         assert fault.link is not None and fault.effect is not None
         link = Link(fault.effect, fault.way, fault.delay_ms, fault.jitter_ms, fault.share)
         members = fault.pages or range(len(self.pages))
-        doors = [
-            self.doors[(fault.link, g.place, m)]
+        listeners = [
+            self.listeners[(fault.link, g.index, m)]
             for g in targets
             for m in (members if fault.link == "pages" else [0])
-            if (fault.link, g.place, m) in self.doors
+            if (fault.link, g.index, m) in self.listeners
         ]
-        for door in doors:
-            door.set(link)
+        for listener in listeners:
+            listener.set(link)
         if fault.for_s is not None:
-            self._then(fault.for_s, lambda: self._heal(doors))
+            self._run_later(fault.for_s, lambda: self._heal(listeners))
 
     @staticmethod
-    def _heal(doors: list[Door]) -> None:
-        for door in doors:
-            door.set(Link())
+    def _heal(listeners: list[FaultListener]) -> None:
+        for listener in listeners:
+            listener.set(Link())
 
     def _verdict(self, load: Load, seconds: float) -> dict[str, Any]:
-        cold = {p.member: (p.born, p.kind.capacity_per_s) for p in self.pages if p.kind.behaviour == "cold"}
-        seen = audit.Seen(
+        cold = {
+            p.member: (p.started_at, p.group.capacity_per_s)
+            for p in self.pages
+            if p.group.behaviour == "cold"
+        }
+        observed = audit.Observations(
             settings=self.settings,
-            asked=load.asked,
+            requests=load.requests,
             arrivals=[a for page in self.pages for a in page.arrivals],
-            told=self.directory.told,
+            health_updates=self.directory.updates_sent,
             starts=self.starts,
-            out=self.out_of_play,
+            unavailable=self.unavailable,
             plan=self.scenario.clients.plan,
             cold=cold,
-            zones={p.member: p.kind.zone for p in self.pages},
+            zones={p.member: p.group.zone for p in self.pages},
         )
-        found = audit.rules(seen)
+        results = audit.check_rules(observed)
         return {
             "scenario": self.scenario.name,
             "seed": self.scenario.seed,
-            "passed": all(rule.held for rule in found.values()),
-            "rules": {name: rule.to_json() for name, rule in found.items()},
-            "figures": audit.figures(seen, seconds, self.counter.calls),
+            "passed": all(rule.held for rule in results.values()),
+            "rules": {name: rule.to_json() for name, rule in results.items()},
+            "figures": audit.figures(observed, seconds, self.counter.calls),
         }
 
     def gather_logs(self) -> list[dict[str, Any]]:
@@ -321,7 +325,7 @@
         return lines
 
 
-async def play(
+async def run_scenario(
     scenario: Scenario, out: Path, progress: Callable[[str], None] = lambda _: None
 ) -> dict[str, Any]:
     """:returns: the verdict, also written to `out/verdict.json`
@@ -333,6 +337,6 @@
     finally:
         lines = rehearsal.gather_logs()
     end = scenario.duration_s
-    verdict["figures"] |= audit.rules_in_force(lines, rehearsal.zero_unix, end, rehearsal.killed)
+    verdict["figures"] |= audit.rules_in_force(lines, rehearsal.started_unix, end, rehearsal.killed)
     (out / "verdict.json").write_text(json.dumps(verdict, indent=1) + "\n")
     return verdict
--- a/millfront/rehearsal/quotas.py
+++ b/millfront/rehearsal/quotas.py
@@ -15,7 +15,7 @@
 
 from millfront.rehearsal.system import System
 
-CONNECT_S = 0.5  # a process that stands still takes no more after a while
+CONNECT_TIMEOUT_S = 0.5  # a process that stands still takes no more after a while
 READ_BYTES = 65536
 
 
@@ -44,18 +44,18 @@
     arrived: float
 
 
-def most_in_window(runs: Iterable[Run], window_s: float) -> int:
+def max_requests_in_window(runs: Iterable[Run], window_s: float) -> int:
     """The most requests both sent and begun within any span of that length.
 
     >>> most_in_window([Run(0.0, 0.1), Run(0.0, 6.0), Run(4.0, 4.9), Run(5.2, 5.3)], 5.0)
     2
     """
-    most = 0
+    highest = 0
     arrivals: list[float] = []  # sorted, of the requests sent at `run.sent` or later
     for run in sorted(runs, key=lambda run: run.sent, reverse=True):
         bisect.insort(arrivals, run.arrived)
-        most = max(most, bisect.bisect_right(arrivals, run.sent + window_s))
-    return most
+        highest = max(highest, bisect.bisect_right(arrivals, run.sent + window_s))
+    return highest
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
     sent: dict[str, float] = field(default_factory=dict)  # by attempt id, when
     keys: dict[str, str] = field(default_factory=dict)  # by attempt id
 
-    def note(self, attempt: str, key: str, now: float) -> None:
+    def record(self, attempt: str, key: str, now: float) -> None:
         """A request is about to be sent."""
         self.sent[attempt], self.keys[attempt] = now, key
 
@@ -79,7 +79,7 @@
         ]
 
 
-class HeldConnections:
+class KeptConnections:
     """One open connection to each gatekeeper, which stays open until that process is gone."""
 
     def __init__(self, system: System, log: SentLog) -> None:
@@ -95,25 +95,25 @@
         return len(self.sockets)
 
     def _connect(self, number: int) -> socket.socket:
-        address = (self.system.links.front(number), self.system.plain)
-        sock = socket.create_connection(address, CONNECT_S)
+        address = (self.system.links.advertised_ip(number), self.system.plain)
+        sock = socket.create_connection(address, CONNECT_TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
-    def clump(self, key: str, each: int = 1) -> None:
+    def send_burst(self, key: str, per_process: int = 1) -> None:
         """Send `each` requests to every gatekeeper in one go; nobody waits for an answer."""
-        requests = {number: self._requests(number, key, each) for number in self.sockets}
+        requests = {number: self._requests(number, key, per_process) for number in self.sockets}
         now = time.monotonic()
         for number, (attempts, data) in requests.items():
             for attempt in attempts:
-                self.log.note(attempt, key, now)
+                self.log.record(attempt, key, now)
             try:
                 self.sockets[number].sendall(data)
             except OSError:
                 self.drop(number)
 
-    def _requests(self, number: int, key: str, each: int) -> tuple[list[str], bytes]:
-        attempts = [self.system.attempt(number) for _ in range(each)]
+    def _requests(self, number: int, key: str, per_process: int) -> tuple[list[str], bytes]:
+        attempts = [self.system.new_attempt_id(number) for _ in range(per_process)]
         heads = []
         for attempt in attempts:
             fields = self.system.client_fields(key, attempt)
@@ -123,21 +123,21 @@
 
     def read(self, seconds: float) -> None:
         """Take what comes for so long; a connection whose process is gone is dropped."""
-        ends = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         with selectors.DefaultSelector() as selector:
             for number, sock in self.sockets.items():
                 selector.register(sock, selectors.EVENT_READ, number)
-            while (left := ends - time.monotonic()) > 0.0:
+            while (left := deadline - time.monotonic()) > 0.0:
                 for ready, _ in selector.select(left):
                     sock = self.sockets[ready.data]
-                    if not self._take(sock):
+                    if not self._receive(sock):
                         selector.unregister(sock)
                         self.drop(ready.data)
                 if not selector.get_map():
                     return
 
     @staticmethod
-    def _take(sock: socket.socket) -> bool:
+    def _receive(sock: socket.socket) -> bool:
         """Whether the connection is still open."""
         try:
             return bool(sock.recv(READ_BYTES))
--- a/millfront/rehearsal/scenario.py
+++ b/millfront/rehearsal/scenario.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from millfront.operators.faults import Fault as Finding
+from millfront.operators.faults import Fault as DocumentFault
 from millfront.operators.faults import Unusable, faults_of
 
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3_600)]
@@ -27,11 +27,11 @@
 Write = Literal["whole", "torn", "empty", "in_place"]
 
 
-class Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
     """A part of a scenario: an unknown field is a fault."""
 
 
-class Pages(Strict, frozen=True):
+class Pages(StrictStruct, frozen=True):
     """A group of stand-in page servers alike."""
 
     count: Annotated[int, msgspec.Meta(ge=1, le=100)] = 4
@@ -42,7 +42,7 @@
     failing_share: Share = 0.8  # of the answers of a `failing` one that are 500
 
 
-class Clients(Strict, frozen=True):
+class Clients(StrictStruct, frozen=True):
     """Open-loop clients: arrivals by a Poisson process over all gatekeepers, bounded in count and time."""
 
     rate_per_s: Annotated[float, msgspec.Meta(ge=0, le=5_000)] = 50.0
@@ -58,7 +58,7 @@
     most: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 100_000  # requests in all
 
 
-class Fault(Strict, frozen=True):
+class Fault(StrictStruct, frozen=True):
     """One step of the timeline. `do` says what; the other fields are those that it wants."""
 
     at_s: Seconds
@@ -80,19 +80,19 @@
     lag_s: Seconds = 0.0  # discovery: the named gatekeepers are told this much later
 
     def __post_init__(self) -> None:
-        wants = {
+        required = {
             "signal": ("signal",),
             "link": ("link", "effect"),
             "discovery": ("member",),
         }.get(self.do, ())
-        for name in wants:
+        for name in required:
             if getattr(self, name) is None:
                 raise ValueError(f"do = {self.do!r} wants `{name}`")
         if self.do == "config" and self.settings is None and self.write == "whole":
             raise ValueError("do = 'config' wants `settings`, or a write that spoils the file")
 
 
-class Scenario(Strict, frozen=True):
+class Scenario(StrictStruct, frozen=True):
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=80)]
     duration_s: Annotated[float, msgspec.Meta(gt=0, le=600)]
     seed: int = 1
@@ -129,33 +129,33 @@
     """:raises Unusable: with every fault, each by its path"""
     try:
         raw: object = tomllib.loads(text.decode()) if toml else json.loads(text)
-    except (tomllib.TOMLDecodeError, ValueError, UnicodeDecodeError) as wrong:
-        raise Unusable("scenario", [Finding("$", f"can't be read: {wrong}")]) from None
+    except (tomllib.TOMLDecodeError, ValueError, UnicodeDecodeError) as error:
+        raise Unusable("scenario", [DocumentFault("$", f"can't be read: {error}")]) from None
     try:
         return msgspec.convert(raw, type=Scenario)
-    except msgspec.ValidationError as wrong:
-        found = faults_of(Scenario, raw) or [Finding("$", str(wrong))]
+    except msgspec.ValidationError as error:
+        found = faults_of(Scenario, raw) or [DocumentFault("$", str(error))]
     raise Unusable("scenario", found)
 
 
 def load(path: str | Path) -> Scenario:
     """:raises Unusable: also for a file that can't be read"""
-    where = Path(path)
+    file = Path(path)
     try:
-        text = where.read_bytes()
-    except OSError as wrong:
-        raise Unusable("scenario", [Finding("$", f"{where}: {wrong.strerror}")]) from None
-    return parse(text, toml=where.suffix == ".toml")
+        text = file.read_bytes()
+    except OSError as error:
+        raise Unusable("scenario", [DocumentFault("$", f"{file}: {error.strerror}")]) from None
+    return parse(text, toml=file.suffix == ".toml")
 
 
-def merged(base: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
+def merge_patch(base: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
     """A JSON merge patch (RFC 7396): objects merge, null removes, all else replaces."""
     out = dict(base)
     for key, value in patch.items():
         if value is None:
             out.pop(key, None)
         elif isinstance(value, dict) and isinstance(out.get(key), dict):
-            out[key] = merged(out[key], value)
+            out[key] = merge_patch(out[key], value)
         else:
             out[key] = value
     return out
--- a/millfront/rehearsal/servers.py
+++ b/millfront/rehearsal/servers.py
@@ -47,12 +47,12 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class ObservedRequests:
     """What the servers saw."""
 
     orders: dict[str, list[str]] = field(default_factory=dict)  # by operation key, the seal of each run
     attempts: dict[str, float] = field(default_factory=dict)  # pages that ran, by attempt id, and when
-    to_draining: list[LateArrival] = field(default_factory=list)
+    draining_arrivals: list[LateArrival] = field(default_factory=list)
 
 
 class PeerServer(ThreadingHTTPServer):
@@ -63,12 +63,12 @@
 
     def __init__(self, zones: list[str] | None = None) -> None:
         """:param zones: of a server each that there are from the start"""
-        super().__init__(("127.0.0.1", 0), Peer)
-        self.seen = Seen()
-        self.lost_share = 0.0  # of the orders that run, whose answer is lost
+        super().__init__(("127.0.0.1", 0), PeerHandler)
+        self.observed = ObservedRequests()
+        self.lost_answer_share = 0.0  # of the orders that run, whose answer is lost
         self.random = random.Random(0)
         self._lock = threading.Lock()
-        self._numbers = itertools.count()
+        self._next_number = itertools.count()
         self.instances: dict[str, Instance] = {}
         for zone in zones or ["north"]:
             self._add(zone)
@@ -79,13 +79,13 @@
     @property
     def orders(self) -> dict[str, list[str]]:
         """By operation key, the seal of each run."""
-        return self.seen.orders
+        return self.observed.orders
 
     def _add(self, zone: str) -> None:
-        instance = Instance(f"i-{next(self._numbers)}", zone)
+        instance = Instance(f"i-{next(self._next_number)}", zone)
         self.instances[instance.ident] = instance
 
-    def listed(self) -> dict[str, Any]:
+    def instance_list(self) -> dict[str, Any]:
         """The platform's list, by ident."""
         here = f"127.0.0.1:{self.server_port}"
         with self._lock:
@@ -104,7 +104,7 @@
         with self._lock:
             self.instances[ident].gone = True
 
-    def arrives(self, ident: str, attempt: str) -> bool:
+    def record_arrival(self, ident: str, attempt: str) -> bool:
         """A request for that server; whether it is there."""
         now = time.monotonic()
         with self._lock:
@@ -113,19 +113,19 @@
                 return False
             if instance.draining_since is not None:
                 late = LateArrival(attempt, ident, now - instance.draining_since, now)
-                self.seen.to_draining.append(late)
-            self.seen.attempts.setdefault(attempt, now)  # a copy, or a further try, is the same request
+                self.observed.draining_arrivals.append(late)
+            self.observed.attempts.setdefault(attempt, now)  # a copy, or a further try, is the same request
             return True
 
     def run_order(self, key: str) -> tuple[str, bool]:
         """An order runs: its seal, and whether its answer is lost."""
         with self._lock:
-            runs = self.seen.orders.setdefault(key, [])
+            runs = self.observed.orders.setdefault(key, [])
             runs.append(f"{key}.{len(runs)}")
-            return runs[-1], self.random.random() < self.lost_share
+            return runs[-1], self.random.random() < self.lost_answer_share
 
 
-class Peer(BaseHTTPRequestHandler):
+class PeerHandler(BaseHTTPRequestHandler):
     """One connection to the platform or to a server."""
 
     protocol_version = "HTTP/1.1"
@@ -139,38 +139,38 @@
         """The list, or a page."""
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
         if self.path.startswith("/instances"):
-            listed = json.dumps({"instances": self.server.listed(), "next_token": None})
-            self._answer(200, {}, listed.encode())
-        elif self._is_here():
-            self._answer(200, self._stamps(f"{self._ident()}.1"), b"a page\n")
+            instance_list = json.dumps({"instances": self.server.instance_list(), "next_token": None})
+            self._respond(200, {}, instance_list.encode())
+        elif self._check_target():
+            self._respond(200, self._response_fields(f"{self._target()}.1"), b"a page\n")
 
     def do_POST(self) -> None:
         """An order, which runs, whatever becomes of its answer."""
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
-        if not self._is_here():
+        if not self._check_target():
             return
         seal, lost = self.server.run_order(self.headers.get("Millfront-Operation-Key", ""))
         if lost:
             self.close_connection = True
             return
-        self._answer(200, self._stamps(seal), f"order {seal}\n".encode())
+        self._respond(200, self._response_fields(seal), f"order {seal}\n".encode())
 
-    def _ident(self) -> str:
+    def _target(self) -> str:
         return str(self.headers.get("Millfront-Target-Instance", ""))
 
-    def _stamps(self, seal: str) -> dict[str, str]:
+    def _response_fields(self, seal: str) -> dict[str, str]:
         attempt = self.headers.get("Millfront-Attempt-Id", "")
         return {"Millfront-Attempt-Id": attempt, "Millfront-Server-Seal": seal}
 
-    def _is_here(self) -> bool:
+    def _check_target(self) -> bool:
         """Whether the server that is meant is there; if not, the answer is given."""
         attempt = self.headers.get("Millfront-Attempt-Id", "")
-        if self.server.arrives(self._ident(), attempt):
+        if self.server.record_arrival(self._target(), attempt):
             return True
-        self._answer(MISDIRECTED, {"Millfront-Attempt-Id": attempt}, b"")
+        self._respond(MISDIRECTED, {"Millfront-Attempt-Id": attempt}, b"")
         return False
 
-    def _answer(self, status: int, fields: dict[str, str], body: bytes) -> None:
+    def _respond(self, status: int, fields: dict[str, str], body: bytes) -> None:
         self.send_response(status)
         for name, value in fields.items():
             self.send_header(name, value)
--- a/millfront/rehearsal/standins.py
+++ b/millfront/rehearsal/standins.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from millfront.rehearsal.doors import Conn
+from millfront.rehearsal.listeners import Conn
 from millfront.rehearsal.scenario import Pages
 
 NOT_STARTED = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-WATCH_BEAT_S = 2.0  # discovery: an empty line while nothing changes
-MOST_HEAD = 64 * 1024
+KEEPALIVE_INTERVAL_S = 2.0  # discovery: an empty line while nothing changes
+MAX_HEAD_BYTES = 64 * 1024
 
 
 class Clock:
@@ -31,7 +31,7 @@
 async def read_head(conn: Conn) -> tuple[bytes, dict[bytes, bytes]]:
     """The request line and the fields of an HTTP/1.1 head, names in lower case."""
     head = await conn.read(b"\r\n\r\n")
-    if len(head) > MOST_HEAD:
+    if len(head) > MAX_HEAD_BYTES:
         raise ConnectionError("a head without end")
     line, *rest = head[:-4].split(b"\r\n")
     fields = {}
@@ -55,9 +55,9 @@
 
 
 @dataclass(slots=True)
-class Named:
+class CounterEntry:
     total: float
-    until: float
+    expires_at: float
 
 
 class Counter:
@@ -65,29 +65,33 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.names: dict[str, Named] = {}
+        self.entries: dict[str, CounterEntry] = {}
         self.calls: dict[int, int] = {}  # by gatekeeper
-        self.added: list[tuple[float, int, str, float]] = []  # when, who, name, amount
+        self.additions: list[tuple[float, int, str, float]] = []  # when, who, name, amount
 
-    def add(self, name: str, amount: float, life_ms: int, who: int) -> float:
+    def add(self, name: str, amount: float, lifetime_ms: int, gatekeeper: int) -> float:
         now = self.clock()
-        named = self.names.get(name)
-        if named is None or named.until <= now:
-            named = self.names[name] = Named(0.0, now + min(max(life_ms, 1), 60_000) / 1000)
-        named.total += amount
-        self.added.append((now, who, name, amount))
-        return named.total
+        entry = self.entries.get(name)
+        if entry is None or entry.expires_at <= now:
+            entry = self.entries[name] = CounterEntry(0.0, now + min(max(lifetime_ms, 1), 60_000) / 1000)
+        entry.total += amount
+        self.additions.append((now, gatekeeper, name, amount))
+        return entry.total
 
     async def serve(self, conn: Conn) -> None:
         while True:
             line = (await conn.read()).decode(errors="replace").split()
-            self.calls[conn.door.who] = self.calls.get(conn.door.who, 0) + 1
+            self.calls[conn.listener.gatekeeper] = self.calls.get(conn.listener.gatekeeper, 0) + 1
             if line == ["ping"]:
                 await conn.write(b"pong\r\n")
                 continue
             try:
-                verb, name, amount, life = line
-                total = self.add(name, float(amount), int(life), conn.door.who) if verb == "add" else None
+                verb, name, amount, lifetime = line
+                total = (
+                    self.add(name, float(amount), int(lifetime), conn.listener.gatekeeper)
+                    if verb == "add"
+                    else None
+                )
             except ValueError:
                 total = None
             await conn.write(b"error\r\n" if total is None else f"ok {total:.10g}\r\n".encode())
@@ -97,11 +101,11 @@
 
 
 @dataclass(slots=True)
-class Told:
+class HealthUpdate:
     """A change of a member's health as one gatekeeper's agent wrote it to that gatekeeper."""
 
     at: float
-    who: int
+    gatekeeper: int
     member: int
     health: str
     seq: int
@@ -115,21 +119,21 @@
         self.seq = 1
         self.rows: dict[int, dict[str, object]] = {}  # by member, as first listed
         self.history: list[tuple[int, int, str]] = []  # seq, member, health: each change
-        self.told: list[Told] = []
+        self.updates_sent: list[HealthUpdate] = []
         self.agents: list[Agent] = []
 
     def change(self, member: int, health: str) -> None:
         self.seq += 1
         self.history.append((self.seq, member, health))
         for agent in self.agents:
-            agent.changed(self.seq)
+            agent.on_change(self.seq)
 
     def health(self, member: int, seq: int) -> str:
         """A member's health in the list of that version."""
         health = str(self.rows[member]["health"])
-        for changed, which, told in self.history:
+        for changed, which, new_health in self.history:
             if which == member and changed <= seq:
-                health = told
+                health = new_health
         return health
 
 
@@ -139,16 +143,16 @@
     `lag_s` holds what changed back from this gatekeeper; `dial` writes each member's address as this
     gatekeeper reaches it (its own door)."""
 
-    def __init__(self, directory: Directory, who: int, dial: Callable[[int], str]) -> None:
+    def __init__(self, directory: Directory, gatekeeper: int, address_of: Callable[[int], str]) -> None:
         self.directory = directory
-        self.who = who
-        self.dial = dial
+        self.gatekeeper = gatekeeper
+        self.address_of = address_of
         self.lag_s = 0.0
         self.seq = directory.seq  # what this agent has been sent
-        self._news = asyncio.Event()
+        self._update_ready = asyncio.Event()
         directory.agents.append(self)
 
-    def changed(self, seq: int) -> None:
+    def on_change(self, seq: int) -> None:
         if self.lag_s <= 0:
             self._catch_up(seq)
         else:
@@ -156,29 +160,31 @@
 
     def _catch_up(self, seq: int) -> None:
         self.seq = max(self.seq, seq)
-        self._news.set()
+        self._update_ready.set()
 
-    def listed(self, after: int | None) -> dict[str, object]:
+    def list_message(self, after: int | None) -> dict[str, object]:
         """What changed after `after` up to what this agent has, or the whole list; each row counts as
         told."""
         directory = self.directory
         changed = sorted(
             {m for seq, m, _ in directory.history if after is not None and after < seq <= self.seq}
         )
-        whole = after is None or after < 1
+        full = after is None or after < 1
         rows = []
-        for member in sorted(directory.rows) if whole else changed:
+        for member in sorted(directory.rows) if full else changed:
             health = directory.health(member, self.seq)
-            rows.append(directory.rows[member] | {"dial": self.dial(member), "health": health})
-            directory.told.append(Told(directory.clock(), self.who, member, health, self.seq))
-        return {"seq": self.seq, "whole": whole, "hosts": rows}
+            rows.append(directory.rows[member] | {"dial": self.address_of(member), "health": health})
+            directory.updates_sent.append(
+                HealthUpdate(directory.clock(), self.gatekeeper, member, health, self.seq)
+            )
+        return {"seq": self.seq, "whole": full, "hosts": rows}
 
     async def serve(self, conn: Conn) -> None:
         while True:
             line, _ = await read_head(conn)
             target = line.split(b" ")[1].decode()
             if "watch=1" not in target:
-                body = json.dumps(self.listed(None)).encode()
+                body = json.dumps(self.list_message(None)).encode()
                 head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
                 await conn.write(head.encode() + body)
                 continue
@@ -191,13 +197,13 @@
         sent = after
         while True:
             if self.seq != sent:
-                listed = self.listed(sent)
+                message = self.list_message(sent)
                 sent = self.seq
-                line = json.dumps(listed).encode() + b"\n"
+                line = json.dumps(message).encode() + b"\n"
             else:
-                self._news.clear()
+                self._update_ready.clear()
                 try:
-                    await asyncio.wait_for(self._news.wait(), WATCH_BEAT_S)
+                    await asyncio.wait_for(self._update_ready.wait(), KEEPALIVE_INTERVAL_S)
                     continue
                 except TimeoutError:
                     line = b"\n"
@@ -212,17 +218,17 @@
     """A request that reached a page server whole, and what became of it there."""
 
     at: float
-    who: int  # the gatekeeper
+    gatekeeper: int
     member: int
     request: str
-    kind: str  # the class, from the path
+    request_class: str  # the class, from the path
     customer: str
     units: float
     outcome: str = "open"  # ok, error, not_started, lost (ran, answer cut), cut (never ran)
     ended: float = 0.0
 
     @property
-    def ran(self) -> bool:
+    def may_have_run(self) -> bool:
         """Whether its work may have been done."""
         return self.outcome in ("ok", "error", "lost", "open")
 
@@ -230,15 +236,15 @@
 @dataclass(slots=True)
 class PageServer:
     member: int
-    kind: Pages
+    group: Pages
     clock: Clock
     rng: random.Random
-    born: float = 0.0
+    started_at: float = 0.0
     arrivals: list[Arrival] = field(default_factory=list)
     draining: bool = False
 
     def __post_init__(self) -> None:
-        self.draining = self.kind.behaviour == "draining"
+        self.draining = self.group.behaviour == "draining"
 
     async def serve(self, conn: Conn) -> None:
         while True:
@@ -248,7 +254,7 @@
             parts = line.split(b" ")[1].decode().split("?")[0].strip("/").split("/")
             arrival = Arrival(
                 self.clock(),
-                conn.door.who,
+                conn.listener.gatekeeper,
                 self.member,
                 fields.get(b"request-id", b"").decode(),
                 parts[0],
@@ -256,23 +262,23 @@
                 _units(fields.get(b"quota-info", b"")),
             )
             self.arrivals.append(arrival)
-            await self._answer(conn, arrival)
+            await self._respond(conn, arrival)
 
-    async def _answer(self, conn: Conn, arrival: Arrival) -> None:
-        behaviour = self.kind.behaviour
+    async def _respond(self, conn: Conn, arrival: Arrival) -> None:
+        behaviour = self.group.behaviour
         if self.draining:
             arrival.outcome = "not_started"
-            return await self._say(conn, arrival, NOT_STARTED)
-        delay = self.kind.service_ms / 1000 * (4 if behaviour == "slow" else 1)
+            return await self._send(conn, arrival, NOT_STARTED)
+        delay = self.group.service_ms / 1000 * (4 if behaviour == "slow" else 1)
         await asyncio.sleep(delay)
-        failed = behaviour == "failing" and self.rng.random() < self.kind.failing_share
+        failed = behaviour == "failing" and self.rng.random() < self.group.failing_share
         status, body = (500, b"failed") if failed else (200, f"page {arrival.request}".encode())
         arrival.outcome = "error" if failed else "ok"
         reason = "OK" if status == 200 else "Internal Server Error"
         head = f"HTTP/1.1 {status} {reason}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-        await self._say(conn, arrival, head + body)
+        await self._send(conn, arrival, head + body)
 
-    async def _say(self, conn: Conn, arrival: Arrival, data: bytes) -> None:
+    async def _send(self, conn: Conn, arrival: Arrival, data: bytes) -> None:
         try:
             await conn.write(data)
         except BaseException:
@@ -282,8 +288,8 @@
             arrival.ended = self.clock()
 
 
-def _units(info: bytes) -> float:
-    for part in info.decode(errors="replace").split(","):
+def _units(quota_info: bytes) -> float:
+    for part in quota_info.decode(errors="replace").split(","):
         name, _, value = part.partition("=")
         if name.strip() == "units":
             try:
--- a/millfront/rehearsal/system.py
+++ b/millfront/rehearsal/system.py
@@ -32,15 +32,15 @@
 ROOT = Path(__file__).parents[2]
 REGIONS = {"north": "a", "south": "a", "east": "b", "west": "b", "far": "b"}  # zone, which is the name, too
 HOST = "shop.example"
-START_S = 20.0
-MOST_PROCESSES = 1000
-ENDS_S = 10.0  # a process that was killed
-LOOK_S = 0.05
-CALL_S = 8.0  # a PUT is answered 4 s after it came, at the latest
-PAUSE_S = 0.3  # as Retry-After says
+START_TIMEOUT_S = 20.0
+MAX_PROCESSES = 1000
+EXIT_TIMEOUT_S = 10.0  # a process that was killed
+POLL_INTERVAL_S = 0.05
+CALL_TIMEOUT_S = 8.0  # a PUT is answered 4 s after it came, at the latest
+RETRY_DELAY_S = 0.3  # as Retry-After says
 
 
-class Late(Exception):
+class ConditionTimeout(Exception):
     """A condition did not hold by its deadline."""
 
 
@@ -56,17 +56,17 @@
         return json.loads(self.text)
 
 
-def until(what: str, condition: Callable[[], Any], within: float = START_S) -> float:
+def wait_until(name: str, condition: Callable[[], Any], timeout_s: float = START_TIMEOUT_S) -> float:
     """Seconds until the condition held.
 
     :raises Late: it did not by then
     """
-    began, pause = time.monotonic(), threading.Event()
+    started, pause = time.monotonic(), threading.Event()
     while not condition():
-        if time.monotonic() - began > within:
-            raise Late(f"{what}: not within {within:g} s")
-        pause.wait(LOOK_S)
-    return time.monotonic() - began
+        if time.monotonic() - started > timeout_s:
+            raise ConditionTimeout(f"{name}: not within {timeout_s:g} s")
+        pause.wait(POLL_INTERVAL_S)
+    return time.monotonic() - started
 
 
 @dataclass(frozen=True, slots=True)
@@ -182,7 +182,7 @@
         for process in self.running.values():
             process.kill()
         for process in self.running.values():
-            process.wait(ENDS_S)
+            process.wait(EXIT_TIMEOUT_S)
         self.running.clear()
         self.links.close()
         self.peer.shutdown()
@@ -195,8 +195,8 @@
 
     def settings(self, number: int, fresh: bool) -> Path:
         """The settings file of one gatekeeper."""
-        ip, zone, name = self.links.front(number), self.zone(number), self.names[number]
-        seeds = [f"{self.links.front(other)}:{self.ctl}" for other in range(min(3, self.count))]
+        ip, zone, name = self.links.advertised_ip(number), self.zone(number), self.names[number]
+        seeds = [f"{self.links.advertised_ip(other)}:{self.ctl}" for other in range(min(3, self.count))]
         bound = dict.fromkeys(("ctl", "lookup", "readiness"), f"{ip}:{self.ctl}")
         bound["plain"] = f"{ip}:{self.plain}"
         lines = [
@@ -206,9 +206,9 @@
             *([f'state_dir = "{self.disk(number)}"', "counts_loss = true"] if self.has_disk(number) else []),
             "[self.limits]", "fd_limit = 1000",
             "[network]", f"port_range = [{self.links.port}, {self.links.port}]",
-            *([f'listen_ip = "{self.links.behind(number)}"'] if self.relays else []),
+            *([f'listen_ip = "{self.links.listen_ip(number)}"'] if self.relays else []),
             f"seed_nodes = {json.dumps(seeds)}",
-            "[network.bindings]", *(f'{what} = "{address}"' for what, address in bound.items()),
+            "[network.bindings]", *(f'{binding} = "{address}"' for binding, address in bound.items()),
             "[network.zones]", *(f'{one} = "{REGIONS[one]}"' for one in self.zones),
             "[platform.cloud_api]", f'address = "127.0.0.1:{self.peer.server_port}"',
             "[terms.bounds]", *(f'{one} = "{value}"' for one, value in self.bounds.items()),
@@ -218,10 +218,12 @@
         return path
 
     def start(self, number: int, fresh: bool = False) -> None:
-        given = os.environ | {"MILLFRONT_CONFIG": str(self.settings(number, fresh))}
+        environment = os.environ | {"MILLFRONT_CONFIG": str(self.settings(number, fresh))}
         command = [sys.executable, "-B", "-m", "millfront", "gatekeeper"]
         with (self.folder / f"{self.names[number]}.log").open("ab") as log:
-            self.running[number] = subprocess.Popen(command, cwd=ROOT, env=given, stdout=log, stderr=log)
+            self.running[number] = subprocess.Popen(
+                command, cwd=ROOT, env=environment, stdout=log, stderr=log
+            )
 
     def pid(self, number: int) -> int | None:
         """Of the process that runs; None where none does."""
@@ -252,7 +254,7 @@
         for number in numbers:
             self.running[number].send_signal(signal.SIGKILL)
         for number in numbers:
-            self.running.pop(number).wait(ENDS_S)
+            self.running.pop(number).wait(EXIT_TIMEOUT_S)
         for number in wipe:
             shutil.rmtree(self.disk(number), ignore_errors=True)
 
@@ -277,10 +279,12 @@
         *,
         fields: Mapping[str, str] = {},
         port: int = 0,
-        within: float = CALL_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> Answer:
         """One call on a connection of its own; of `ctl`, where no other port is named."""
-        connection = http.client.HTTPConnection(self.links.front(number), port or self.ctl, timeout=within)
+        connection = http.client.HTTPConnection(
+            self.links.advertised_ip(number), port or self.ctl, timeout=timeout_s
+        )
         try:
             connection.request(method, path, body.encode() or None, dict(fields))
             answer = connection.getresponse()
@@ -296,68 +300,70 @@
     def get(self, number: int) -> Answer:
         return self.call(number, "GET", "/v1/config")
 
-    def lose(self, number: int, text: str) -> None:
+    def put_and_disconnect(self, number: int, text: str) -> None:
         """A PUT whose answer is lost: the connection is closed right after it was sent."""
         body = text.encode()
         head = f"PUT /v1/config HTTP/1.1\r\nHost: ctl\r\nContent-Length: {len(body)}\r\n\r\n"
-        with socket.create_connection((self.links.front(number), self.ctl), CALL_S) as sock:
+        with socket.create_connection((self.links.advertised_ip(number), self.ctl), CALL_TIMEOUT_S) as sock:
             sock.sendall(head.encode() + body)
 
-    def settled(self, number: int, call: Callable[[int], Answer], within: float = START_S) -> Answer:
+    def retry_call(
+        self, number: int, call: Callable[[int], Answer], timeout_s: float = START_TIMEOUT_S
+    ) -> Answer:
         """Called again while it is answered with 503 or not at all, as an operator does.
 
         :raises Late: it has no other answer by then
         """
         last = Answer(0)
-        ends, pause = time.monotonic() + within, threading.Event()
-        while time.monotonic() < ends:
+        deadline, pause = time.monotonic() + timeout_s, threading.Event()
+        while time.monotonic() < deadline:
             last = call(number)
             if last.status not in (0, 503):
                 return last
-            pause.wait(PAUSE_S)
-        raise Late(f"office {number}: {last.status} {last.text} for {within:g} s")
+            pause.wait(RETRY_DELAY_S)
+        raise ConditionTimeout(f"office {number}: {last.status} {last.text} for {timeout_s:g} s")
 
-    def statement(self, number: int) -> dict[str, Any]:
+    def status_report(self, number: int) -> dict[str, Any]:
         """What the gatekeeper says of itself; empty where it does not answer."""
-        answer = self.call(number, "GET", "/v1/gatekeeper", within=2.0)
-        told = answer.json() if answer.status == 200 else {}
-        assert isinstance(told, dict)
-        return told
+        answer = self.call(number, "GET", "/v1/gatekeeper", timeout_s=2.0)
+        report = answer.json() if answer.status == 200 else {}
+        assert isinstance(report, dict)
+        return report
 
     def version(self, number: int) -> int:
         """In force there; 0: none, or no answer."""
-        return int(self.statement(number).get("version", "0"), 16)
+        return int(self.status_report(number).get("version", "0"), 16)
 
-    def held(self, number: int) -> int:
+    def synced(self, number: int) -> int:
         """The configuration's version that its replica has synced, if it votes."""
-        replica = self.statement(number).get("replica") or {"state": "", "held": {}}
+        replica = self.status_report(number).get("replica") or {"state": "", "held": {}}
         return int(replica["held"].get("config", 0)) if replica["state"] == "voting" else 0
 
-    def votes(self, number: int) -> bool:
-        return (self.statement(number).get("replica") or {}).get("state") == "voting"
+    def is_voting(self, number: int) -> bool:
+        return (self.status_report(number).get("replica") or {}).get("state") == "voting"
 
     def ready(self, number: int) -> int:
         """The status of readiness."""
-        return self.call(number, "GET", "/v1/readiness", within=2.0).status
+        return self.call(number, "GET", "/v1/readiness", timeout_s=2.0).status
 
     def metrics(self, number: int) -> dict[str, float]:
         """Its figures by name; empty where it does not answer."""
-        answer = self.call(number, "GET", "/v1/metrics", within=2.0)
+        answer = self.call(number, "GET", "/v1/metrics", timeout_s=2.0)
         lines = answer.text.splitlines() if answer.status == 200 else []
         return {name: float(value) for name, _, value in (line.rpartition(" ") for line in lines)}
 
-    def named(self, number: int, region: str) -> list[str]:
+    def resolve_addresses(self, number: int, region: str) -> list[str]:
         """The addresses that clients of a region are told to go to; none where it does not answer."""
-        answer = self.call(number, "GET", f"/v1/resolve?region={region}", within=1.0)
+        answer = self.call(number, "GET", f"/v1/resolve?region={region}", timeout_s=1.0)
         return list(answer.json()["addresses"]) if answer.status == 200 else []
 
-    def attempt(self, number: int) -> str:
+    def new_attempt_id(self, number: int) -> str:
         """The id of a new try at that gatekeeper."""
-        return str(next(self._attempt) * MOST_PROCESSES + number)
+        return str(next(self._attempt) * MAX_PROCESSES + number)
 
     def process_of(self, attempt: str) -> int | None:
         """At which gatekeeper a try was made; None where the id is none of ours."""
-        return int(attempt) % MOST_PROCESSES if attempt.isdecimal() else None
+        return int(attempt) % MAX_PROCESSES if attempt.isdecimal() else None
 
     def client_fields(self, key: str, attempt: str) -> dict[str, str]:
         """The header of a client's request."""
@@ -366,12 +372,12 @@
 
     def order(self, number: int, key: str, operation: str) -> Answer:
         """A client's request with an operation key."""
-        fields = self.client_fields(key, self.attempt(number)) | {"Millfront-Operation-Key": operation}
-        return self.call(number, "POST", "/orders/1", "one", fields=fields, port=self.plain, within=4.0)
+        fields = self.client_fields(key, self.new_attempt_id(number)) | {"Millfront-Operation-Key": operation}
+        return self.call(number, "POST", "/orders/1", "one", fields=fields, port=self.plain, timeout_s=4.0)
 
     def page(self, number: int, key: str) -> int:
         """The status of a client's request with that key."""
-        fields = self.client_fields(key, self.attempt(number))
+        fields = self.client_fields(key, self.new_attempt_id(number))
         return self.call(number, "GET", "/pages/1", fields=fields, port=self.plain).status
 
     def evacuate(self, number: int, zone: str, on: bool) -> Answer:
--- a/tests/test_quota_processes.py
+++ b/tests/test_quota_processes.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from millfront.rehearsal.quotas import HeldConnections, QuotaRule, SentLog, most_in_window
-from millfront.rehearsal.system import Limit, System, document, until
+from millfront.rehearsal.quotas import KeptConnections, QuotaRule, SentLog, max_requests_in_window
+from millfront.rehearsal.system import Limit, System, document, wait_until
 
 PROCESSES, DISKS = 69, 8
 START_TIMEOUT_S = 60.0
@@ -22,14 +22,14 @@
     folder: Path = tmp_path_factory.mktemp("processes")
     with System(folder, PROCESSES, disks=DISKS, relays=False, servers=6) as running:
         text = document(1, LIMITS, limits=LIMITS)
-        running.settled(0, lambda number: running.put(number, text), START_TIMEOUT_S)
+        running.retry_call(0, lambda number: running.put(number, text), START_TIMEOUT_S)
         ready = range(PROCESSES)
-        until(
+        wait_until(
             "all processes are ready",
             lambda: all(running.ready(number) == 200 for number in ready),
             START_TIMEOUT_S,
         )
-        until(
+        wait_until(
             "the core holds a full burst of tokens of each tenant",
             lambda: all(has_burst_tokens(running, key) for key in LIMITS),
             START_TIMEOUT_S,
@@ -47,12 +47,12 @@
 @pytest.mark.parametrize("key", LIMITS)
 def test_one_request_at_each_of_69_processes_at_once_keeps_to_the_limit(system: System, key: str) -> None:
     log = SentLog()
-    connections = HeldConnections(system, log)
+    connections = KeptConnections(system, log)
     assert connections.open() == PROCESSES
-    connections.clump(key)
+    connections.send_burst(key)
     connections.read(ANSWER_TIMEOUT_S)
     connections.close()
-    ran = most_in_window(log.runs(key, system.peer.seen.attempts), RULE.window_s)
+    ran = max_requests_in_window(log.runs(key, system.peer.observed.attempts), RULE.window_s)
     limit = LIMITS[key]
     assert limit.burst <= ran <= RULE.allowed(limit.rate, limit.burst)
 
@@ -60,14 +60,14 @@
 def test_bursts_through_a_restart_of_all_69_processes_keep_to_the_limit(system: System) -> None:
     """All processes are killed at once and started again, while clients send to each as soon as it is up."""
     log = SentLog()
-    connections = HeldConnections(system, log)
+    connections = KeptConnections(system, log)
 
     def clumps(seconds: float) -> None:
         ends = time.monotonic() + seconds
         while time.monotonic() < ends:
             connections.open()
             for key in LIMITS:
-                connections.clump(key)
+                connections.send_burst(key)
             connections.read(BURST_INTERVAL_S)
 
     clumps(2.0)
@@ -76,9 +76,9 @@
         system.start(number)
     clumps(10.0)
     connections.close()
-    attempts = system.peer.seen.attempts.copy()
+    attempts = system.peer.observed.attempts.copy()
     for key, limit in LIMITS.items():
         runs = log.runs(key, attempts)
         last = max(run.sent for run in runs)
-        assert most_in_window(runs, RULE.window_s) <= RULE.allowed(limit.rate, limit.burst)
+        assert max_requests_in_window(runs, RULE.window_s) <= RULE.allowed(limit.rate, limit.burst)
         assert sum(run.sent > last - 3.0 for run in runs) >= limit.rate, "the tenant's rate is admitted again"
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -8,9 +8,9 @@
 
 from millfront.operators.faults import Unusable
 from millfront.rehearsal import audit, scenario
-from millfront.rehearsal.load import Asked
-from millfront.rehearsal.play import play, settings
-from millfront.rehearsal.standins import Arrival, Told
+from millfront.rehearsal.load import SentRequest
+from millfront.rehearsal.play import run_scenario, settings
+from millfront.rehearsal.standins import Arrival, HealthUpdate
 
 EXAMPLES = Path(__file__).parent.parent / "examples" / "rehearsals"
 
@@ -34,45 +34,51 @@
     assert [scenario.load(path).name for path in sorted(EXAMPLES.glob("*.toml"))]
 
 
-def seen(*arrivals: Arrival, asked: list[Asked] | None = None, told: list[Told] | None = None) -> audit.Seen:
+def observed(
+    *arrivals: Arrival, requests: list[SentRequest] | None = None, told: list[HealthUpdate] | None = None
+) -> audit.Observations:
     rules = settings(scenario.Scenario(name="t", duration_s=1))
-    return audit.Seen(rules, asked or [], list(arrivals), told or [], {0: [0.0]}, {}, plan="regular")
+    return audit.Observations(
+        rules, requests or [], list(arrivals), told or [], {0: [0.0]}, {}, plan="regular"
+    )
 
 
 def test_the_auditors_see_what_they_are_for() -> None:
     """Each guard against a broken rule, fed records that break it, and records that do not."""
-    twice = seen(
+    twice = observed(
         Arrival(1.0, 0, 0, "r1", "code-redeem", "c", 1, "error"),
         Arrival(1.2, 1, 1, "r1", "code-redeem", "c", 1),
     )
-    assert not audit.rules(twice)["unsafe_never_twice"].held
-    unseen = seen(
+    assert not audit.check_rules(twice)["unsafe_never_twice"].held
+    unseen = observed(
         Arrival(1.0, 0, 0, "r1", "code-redeem", "c", 1, "not_started"),
         Arrival(1.2, 1, 1, "r1", "code-redeem", "c", 1),
     )
-    assert audit.rules(unseen)["unsafe_never_twice"].held
-    keyed = seen(
+    assert audit.check_rules(unseen)["unsafe_never_twice"].held
+    keyed = observed(
         Arrival(1.0, 0, 0, "r2", "issue-buy", "c", 1, "lost"), Arrival(9.5, 0, 1, "r2", "issue-buy", "c", 1)
     )
-    assert not audit.rules(keyed)["keyed_within_group"].held
-    late = seen(
-        Arrival(3.0, 0, 2, "r3", "page-fetch", "c", 1, "ok"), told=[Told(2.0, 0, 2, "Terminating", 2)]
+    assert not audit.check_rules(keyed)["keyed_within_group"].held
+    late = observed(
+        Arrival(3.0, 0, 2, "r3", "page-fetch", "c", 1, "ok"), told=[HealthUpdate(2.0, 0, 2, "Terminating", 2)]
     )
-    assert not audit.rules(late)["drain"].held
-    in_time = seen(
-        Arrival(2.3, 0, 2, "r3", "page-fetch", "c", 1, "ok"), told=[Told(2.0, 0, 2, "Terminating", 2)]
+    assert not audit.check_rules(late)["drain"].held
+    in_time = observed(
+        Arrival(2.3, 0, 2, "r3", "page-fetch", "c", 1, "ok"), told=[HealthUpdate(2.0, 0, 2, "Terminating", 2)]
     )
-    assert audit.rules(in_time)["drain"].held
+    assert audit.check_rules(in_time)["drain"].held
     burst = [Arrival(1.0 + i / 1000, 0, 0, f"b{i}", "page-fetch", "c", 1, "ok") for i in range(60)]
-    assert not audit.rules(seen(*burst))["ceiling"].held  # 40 deep, slack 4 and 2.4: 60 at once is over
-    assert audit.rules(seen(*burst[:40]))["ceiling"].held
-    lost = [Asked("r4", "page-fetch", "c", 0, 1.0, 2.0, ending="closed")]
-    assert not audit.rules(seen(asked=lost))["one_final_answer"].held
-    again = [Asked("r5", "page-fetch", "c", 0, 1.0, 2.0, 200, 1.5, "answered", resent=1.2)]
-    unread = seen(Arrival(1.3, 0, 0, "r5", "page-fetch", "c", 1, "ok"), asked=again)
-    assert audit.rules(unread)["one_final_answer"].held
-    taken = seen(Arrival(1.1, 0, 0, "r5", "page-fetch", "c", 1, "ok"), asked=again)
-    assert not audit.rules(taken)["one_final_answer"].held
+    assert not audit.check_rules(observed(*burst))[
+        "ceiling"
+    ].held  # 40 deep, slack 4 and 2.4: 60 at once is over
+    assert audit.check_rules(observed(*burst[:40]))["ceiling"].held
+    lost = [SentRequest("r4", "page-fetch", "c", 0, 1.0, 2.0, ending="closed")]
+    assert not audit.check_rules(observed(requests=lost))["one_final_answer"].held
+    again = [SentRequest("r5", "page-fetch", "c", 0, 1.0, 2.0, 200, 1.5, "answered", resent=1.2)]
+    unread = observed(Arrival(1.3, 0, 0, "r5", "page-fetch", "c", 1, "ok"), requests=again)
+    assert audit.check_rules(unread)["one_final_answer"].held
+    taken = observed(Arrival(1.1, 0, 0, "r5", "page-fetch", "c", 1, "ok"), requests=again)
+    assert not audit.check_rules(taken)["one_final_answer"].held
 
 
 FAULTS = """
@@ -130,7 +136,7 @@
 
 def test_three_processes_keep_every_rule_through_faults(tmp_path: Path) -> None:
     told = scenario.parse(FAULTS.encode(), toml=True)
-    verdict = asyncio.run(play(told, tmp_path))
+    verdict = asyncio.run(run_scenario(told, tmp_path))
     assert verdict["passed"], verdict["rules"]
     assert verdict["figures"]["requests"] > 200
     assert (tmp_path / "verdict.json").exists()
@@ -184,7 +190,7 @@
 
 def test_without_agreement_a_lost_sighup_leaves_two_versions_to_the_end(tmp_path: Path) -> None:
     told = scenario.parse(AGREED.replace("operators = ", "# ").encode(), toml=True)
-    verdict = asyncio.run(play(told, tmp_path))
+    verdict = asyncio.run(run_scenario(told, tmp_path))
     assert verdict["passed"], verdict["rules"]
     assert verdict["figures"]["versions_at_end"] == 2
 
@@ -192,7 +198,7 @@
 def test_gatekeepers_that_missed_a_sighup_come_over_by_the_counter_or_its_silence(tmp_path: Path) -> None:
     """Against two versions in force until somebody notices: g2 sees the others at the counter, g3 cannot
     reach it and reads its file again."""
-    verdict = asyncio.run(play(scenario.parse(AGREED.encode(), toml=True), tmp_path))
+    verdict = asyncio.run(run_scenario(scenario.parse(AGREED.encode(), toml=True), tmp_path))
     assert verdict["passed"], verdict["rules"]
     figures = verdict["figures"]
     assert figures["versions_at_end"] == 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,16 +4,24 @@
 
 import pytest
 
-from benchmarks.soak.__main__ import DISKS, LONG_S, PROCESSES, SMALL_S, told
-from benchmarks.soak.play import Plan, play
+from benchmarks.soak.__main__ import DISKS, LONG_S, PROCESSES, SMALL_S, seed_line
+from benchmarks.soak.faults import (
+    ALL_PROCESSES,
+    DOWN,
+    MAX_CONCURRENT,
+    NEEDS_RELAY,
+    FaultKind,
+    Fleet,
+    plan_faults,
+)
+from benchmarks.soak.play import SoakSettings, run_soak
 from benchmarks.soak.record import Record
-from benchmarks.soak.troubles import DOWN, EVERYWHERE, MOST_AT_ONCE, NEEDS_RELAY, Fleet, Trouble, plan
 
 FLEET = Fleet(PROCESSES, DISKS)
 
 
 def test_everything_holds_through_a_short_soak() -> None:
-    record = play(Plan(seed=1, seconds=SMALL_S, fleet=FLEET))
+    record = run_soak(SoakSettings(seed=1, seconds=SMALL_S, fleet=FLEET))
     assert record.broken == []
     counts = record.counts
     assert counts["orders"] > 20 and counts["lookups"] > 10 and counts["pages"] > 20
@@ -22,27 +30,27 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_troubles_overlap_and_no_disk_is_lost_beside_one_that_is_down(seed: int) -> None:
-    strikes = plan(random.Random(seed), FLEET, 4 * LONG_S)
-    assert {strike.trouble for strike in strikes} == set(Trouble)
+    faults = plan_faults(random.Random(seed), FLEET, 4 * LONG_S)
+    assert {fault.kind for fault in faults} == set(FaultKind)
     most = 0
-    for strike in strikes:
-        beside = [other for other in strikes if other is not strike and other.at <= strike.at < other.until]
+    for fault in faults:
+        beside = [other for other in faults if other is not fault and other.at <= fault.at < other.ends_by]
         most = max(most, len(beside) + 1)
-        assert all(not other.hits(strike.process) for other in beside)
-        if strike.trouble is Trouble.WIPED:
+        assert all(not other.affects(fault.process) for other in beside)
+        if fault.kind is FaultKind.WIPED:
             earlier = [
                 other
-                for other in strikes
-                if other.at < strike.at and other.trouble in DOWN and 0 <= other.process < DISKS
+                for other in faults
+                if other.at < fault.at and other.kind in DOWN and 0 <= other.process < DISKS
             ]
-            assert all(other.back <= strike.at for other in earlier)
-            assert strike.process < DISKS
-    assert 2 <= most <= MOST_AT_ONCE <= PROCESSES
+            assert all(other.recovered_by <= fault.at for other in earlier)
+            assert fault.process < DISKS
+    assert 2 <= most <= MAX_CONCURRENT <= PROCESSES
 
 
 def test_a_fleet_without_relays_is_not_cut() -> None:
-    strikes = plan(random.Random(1), Fleet(100, 6, relays=False), 2 * LONG_S)
-    assert strikes and not {strike.trouble for strike in strikes} & NEEDS_RELAY
+    faults = plan_faults(random.Random(1), Fleet(100, 6, relays=False), 2 * LONG_S)
+    assert faults and not {fault.kind for fault in faults} & NEEDS_RELAY
 
 
 def test_what_does_not_hold_is_noted_and_told() -> None:
@@ -50,20 +58,20 @@
     record.check(True, "holds")
     record.check(False, "does not")
     assert record.broken == ["does not"]
-    assert told(7, record).startswith("seed=7: BROKEN (1): does not")
+    assert seed_line(7, record).startswith("seed=7: BROKEN (1): does not")
 
 
 def test_a_machine_is_in_touch_while_neither_it_nor_the_core_has_trouble() -> None:
     record = Record(disks=DISKS)
-    spell = record.begins(Trouble.RELOADED, DISKS)  # a machine without a disk
-    spell.over = spell.begun
-    assert not record.in_touch(DISKS, spell.begun, spell.begun + 1.0)
-    assert record.only_ends_in_order(DISKS, spell.begun, spell.begun + 1.0)
-    assert record.in_touch(DISKS + 1, spell.begun, spell.begun + 1.0)
-    assert record.in_touch(DISKS, spell.begun + 10.0, spell.begun + 11.0)
-    core = record.begins(Trouble.KILLED, 0)
-    assert not record.in_touch(DISKS + 1, core.begun, core.begun + 1.0)
-    assert not record.only_ends_in_order(DISKS, core.begun, core.begun + 1.0)
-    everywhere = record.begins(Trouble.POWER, EVERYWHERE)
-    everywhere.over = core.over = core.begun
-    assert record.in_touch(DISKS + 1, core.begun + 10.0, core.begun + 11.0)
+    period = record.begin_fault(FaultKind.RELOADED, DISKS)  # a machine without a disk
+    period.ended = period.started
+    assert not record.was_undisturbed(DISKS, period.started, period.started + 1.0)
+    assert record.only_planned_faults(DISKS, period.started, period.started + 1.0)
+    assert record.was_undisturbed(DISKS + 1, period.started, period.started + 1.0)
+    assert record.was_undisturbed(DISKS, period.started + 10.0, period.started + 11.0)
+    core = record.begin_fault(FaultKind.KILLED, 0)
+    assert not record.was_undisturbed(DISKS + 1, core.started, core.started + 1.0)
+    assert not record.only_planned_faults(DISKS, core.started, core.started + 1.0)
+    everywhere = record.begin_fault(FaultKind.POWER, ALL_PROCESSES)
+    everywhere.ended = core.ended = core.started
+    assert record.was_undisturbed(DISKS + 1, core.started + 10.0, core.started + 11.0)
--- a/tests/test_system_links.py
+++ b/tests/test_system_links.py
@@ -48,19 +48,19 @@
 
 
 def test_a_link_cuts_resets_and_delays_one_pair_of_processes(links: Links) -> None:
-    at, front = (links.behind(1), links.port), (links.front(1), links.port)
+    at, front = (links.listen_ip(1), links.port), (links.advertised_ip(1), links.port)
     with ExitStack() as held:
         server = held.enter_context(socket.create_server(at))
         held.callback(server.shutdown, socket.SHUT_RDWR)
         threading.Thread(target=echoing, args=[server], daemon=True).start()
         sockets = [held.enter_context(socket.socket(type=socket.SOCK_DGRAM)) for _ in range(2)]
         for number, sock in enumerate(sockets):
-            sock.bind((links.behind(number), links.port))
+            sock.bind((links.listen_ip(number), links.port))
             sock.settimeout(SOON)
 
         def connect() -> socket.socket:
             sock = held.enter_context(
-                socket.create_connection(front, 5.0, source_address=(links.behind(0), 0))
+                socket.create_connection(front, 5.0, source_address=(links.listen_ip(0), 0))
             )
             sock.settimeout(SOON)
             return sock
@@ -82,11 +82,11 @@
             return data, back[0]
 
         line = connect()
-        assert answered(line) and datagram_received() == (b"letter", links.front(0))
-        sockets[1].sendto(b"back", (links.front(0), links.port))
+        assert answered(line) and datagram_received() == (b"letter", links.advertised_ip(0))
+        sockets[1].sendto(b"back", (links.advertised_ip(0), links.port))
         assert sockets[0].recv(100) == b"back"
 
-        links.cut(0, keeps=True)
+        links.cut(0, keep_open=True)
         assert not answered(line) and datagram_received() is None
         links.heal()
         assert line.recv(1) == b"a" and answered(line)  # held during the cut and delivered late
