--- a/millfront/rehearsal/__init__.py
+++ b/millfront/rehearsal/__init__.py
@@ -1,3 +1,3 @@
-"""The rehearsal kit: real gatekeeper processes between stand-in peers, faults between them, verdicts from the
-wire. It stands above the daemon and starts it as a process; the daemon never imports it.
+"""The rehearsal kit: starts real gatekeeper processes between stand-in peers, injects faults on the links and
+judges the run by what the stand-ins received. It runs the daemon as a process; the daemon never imports it.
 """
--- a/millfront/rehearsal/audit.py
+++ b/millfront/rehearsal/audit.py
@@ -1,9 +1,9 @@
-"""The must-never rules, judged from what the stand-ins saw on the wire, and the figures of a rehearsal.
+"""Checks the safety rules against what the stand-ins saw on the wire, and computes the figures of a rehearsal.
 
-No auditor reads a gatekeeper's log or status: a gatekeeper that believes it kept a rule proves nothing. Times
-are seconds of the rehearsal's clock, taken where the stand-in saw the bytes, which is later than the
-gatekeeper sent them: a send late by the rule is seen late, one in time may be seen late by the loop's delay,
-which SEEN_S allows for.
+No rule is checked against a gatekeeper's log or status: that a gatekeeper believes it kept a rule proves
+nothing. Times are seconds of the rehearsal's clock, taken when the stand-in received the bytes, which is later
+than the gatekeeper sent them: a late send is always seen as late, and a timely one may look late by the delay
+of the event loop, which OBSERVATION_DELAY_S allows for.
 """
 
 from collections import defaultdict
@@ -14,10 +14,10 @@
 from millfront.rehearsal.load import SentRequest
 from millfront.rehearsal.standins import Arrival, HealthUpdate
 
-OBSERVATION_DELAY_S = 0.1  # between a gatekeeper's write and the stand-in's stamp, on a loaded loop
-ANSWER_SLACK_S = 0.25  # beyond a client's timeout: the platform's slack and the loop's delay
-SOCKET_SLACK_S = 0.05  # PROTOCOL: every time limit on sockets is longer by this
-CEILING_SLACK_S = 0.15  # PROTOCOL: the ceiling's slack grows by what its rate gives in this
+OBSERVATION_DELAY_S = 0.1  # from a gatekeeper's write to the stand-in's timestamp, on a loaded event loop
+ANSWER_SLACK_S = 0.25  # beyond a client's timeout: the platform's slack and the event loop's delay
+SOCKET_SLACK_S = 0.05  # PROTOCOL: added to every time limit on sockets
+CEILING_SLACK_S = 0.15  # PROTOCOL: the ceiling's slack grows by its rate times this
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,16 +31,16 @@
 
 @dataclass(slots=True)
 class Observations:
-    """Everything a rehearsal's stand-ins saw, and when each gatekeeper was unable to act."""
+    """All that the stand-ins of a rehearsal saw, and when each gatekeeper was unable to act."""
 
     settings: dict[str, Any]
     requests: list[SentRequest]
     arrivals: list[Arrival]
     health_updates: list[HealthUpdate]
-    starts: dict[int, list[float]]  # by gatekeeper, the times its lives began
-    unavailable: dict[int, list[tuple[float, float]]]  # by gatekeeper: killed or paused, from and to
-    plan: str = ""  # that the clients name
-    cold: dict[int, tuple[float, float]] = field(default_factory=dict)  # member: (born, warm capacity per s)
+    starts: dict[int, list[float]]  # by gatekeeper, when each of its processes started
+    unavailable: dict[int, list[tuple[float, float]]]  # by gatekeeper: (start, end) while killed or paused
+    plan: str = ""  # named by the clients' requests
+    cold: dict[int, tuple[float, float]] = field(default_factory=dict)  # member: (start, warm capacity per s)
     zones: dict[int, int] = field(default_factory=dict)  # member: zone
 
 
@@ -54,15 +54,16 @@
 
 
 def one_final_answer(observed: Observations) -> Rule:
-    """Each request taken by a live gatekeeper is answered once, while its client waits."""
+    """Each request accepted by a running gatekeeper is answered once, before its client gives up."""
     broken = []
     # By request id, the time of its first arrival
     forwarded_at = {a.request: a.at for a in sorted(observed.arrivals, key=lambda a: -a.at)}
     for record in observed.requests:
         if record.resent and forwarded_at.get(record.request, record.resent) < record.resent:
-            # The client took a close for one that crossed an unread request; a page server had it already.
+            # The client took the close for one that crossed an unread request, but a page server had already
+            # received the request.
             broken.append(
-                f"{record.request} at g{record.gatekeeper}: taken, sent on, and its connection closed"
+                f"{record.request} at g{record.gatekeeper}: accepted and forwarded, but its connection was closed"
             )
             continue
         if record.ending == "unreachable":
@@ -72,7 +73,7 @@
             start <= record.sent + record.timeout_s + ANSWER_SLACK_S and end >= record.sent
             for start, end in outages
         ):
-            continue  # killed or paused while it held the request: the client's to try again
+            continue  # killed or paused while it held the request: a retry is up to the client
         late = (
             record.ending == "answered" and record.answered - record.sent > record.timeout_s + ANSWER_SLACK_S
         )
@@ -94,8 +95,8 @@
 
 
 def no_forbidden_resend(observed: Observations) -> tuple[Rule, Rule]:
-    """`unsafe`: nothing after an attempt that may have run. `keyed`: further attempts only within the window
-    of the first that may have run, and inside its group."""
+    """`unsafe` requests: no attempt after one that may have run. `keyed` requests: further attempts only
+    within the window of the first that may have run, and inside its group."""
     classes = _classes(observed.settings)
     repeated, keyed = [], []
     for request, arrivals in _by_request(observed).items():
@@ -139,8 +140,8 @@
 
 
 def drain(observed: Observations) -> Rule:
-    """Nothing new to a member later than DrainGraceUs after this gatekeeper's present life was told that it
-    drains or is gone."""
+    """A gatekeeper sends nothing to a member later than DrainGraceUs after its running process was told that
+    the member is draining or gone."""
     grace = (
         observed.settings.get("Rules", {}).get("DrainGraceUs", 500_000) / 1e6
         + SOCKET_SLACK_S
@@ -173,15 +174,15 @@
             )
     return Rule(
         not broken,
-        f"sent to a member that drains: {_shorten(broken, len(broken))}"
+        f"sent to a draining member: {_shorten(broken, len(broken))}"
         if broken
-        else "no send to a member told draining or gone",
+        else "no request sent to a member reported as draining or gone",
     )
 
 
 def ceilings(observed: Observations) -> Rule:
-    """Per customer on a plan with a ceiling: the store of all gatekeepers' first sends never falls below
-    its slack."""
+    """For each customer of a plan with a ceiling: the token bucket charged with the first attempts from all
+    gatekeepers never falls below the negative slack."""
     plan = {plan["Name"]: plan for plan in observed.settings.get("Packages", [])}.get(observed.plan, {})
     if not plan.get("CeilingRate"):
         return Rule(True, f"no ceiling on plan {observed.plan!r}")
@@ -207,12 +208,12 @@
         not broken,
         f"over its ceiling: {_shorten(broken, len(broken))}"
         if broken
-        else f"ceilings held; the lowest store {worst:.1f} units",
+        else f"ceilings held; the lowest bucket level was {worst:.1f} units",
     )
 
 
 def cold_members(observed: Observations) -> Rule:
-    """A member that started cold gets no more than FallMultiple times its present capacity for FallUs."""
+    """A member that started cold gets at most FallMultiple times its current capacity over FallUs."""
     rules = observed.settings.get("Rules", {})
     multiple, window = float(rules.get("FallMultiple", 3)), rules.get("FallUs", 3_000_000) / 1e6
     cold_from, ramp = float(rules.get("ColdFrom", 0.2)), rules.get("RampTimeUs", 18_000_000) / 1e6
@@ -230,9 +231,9 @@
                 break
     return Rule(
         not broken,
-        f"pushed over: {_shorten(broken, len(broken))}"
+        f"overloaded: {_shorten(broken, len(broken))}"
         if broken
-        else f"{len(observed.cold)} cold members kept under their fall",
+        else f"{len(observed.cold)} cold members kept under their limit",
     )
 
 
@@ -251,12 +252,14 @@
 def rules_in_force(
     lines: list[dict[str, Any]], zero: float, end: float, killed: dict[int, list[float]]
 ) -> dict[str, float]:
-    """How long gatekeepers in play acted on contradicting settings, from their logs (a figure, not a rule):
-    each life begins with the version it serves on, a change of settings moves it, an agreement line says
-    which versions' rules all hold while it is unsure, a SIGKILL ends it. Two gatekeepers contradict where no
-    version's rules hold at both; `versions_at_end` counts the versions in force at the end.
+    """How long running gatekeepers acted on contradicting settings, from their logs (a figure, not a rule).
 
-    :param zero: the rehearsal's start, as Unix time, to which the logs' timestamps are taken
+    Each process starts with the version it logs on serving; a settings change replaces it; an agreement line
+    names the versions whose rules all apply while agreement is open; a SIGKILL ends it. Two gatekeepers
+    contradict each other if no version's rules apply at both. `versions_at_end` counts the versions in force
+    at the end.
+
+    :param zero: the rehearsal's start as Unix time; the logs' timestamps are taken relative to it
     """
     steps: list[tuple[float, int, tuple[str, ...] | None]] = []
     for line in lines:
--- a/millfront/rehearsal/fleet.py
+++ b/millfront/rehearsal/fleet.py
@@ -1,5 +1,5 @@
-"""Real gatekeeper processes: started as the deploy file's `run` starts one, signalled, killed and started
-again, each with its own configuration, name, zone and state directory. Every process is ended by its own id.
+"""Real gatekeeper processes: started as the deploy file's `run` starts one, signalled, killed and restarted.
+Each has its own configuration, name, zone and state directory, and is signalled only by its own process id.
 """
 
 import asyncio
@@ -12,12 +12,12 @@
 from pathlib import Path
 from typing import Any
 
-START_TIMEOUT_S = 20.0  # a gatekeeper that does not serve by then has failed to start
-STOP_TIMEOUT_S = 10.0  # after SIGTERM, before SIGKILL
+START_TIMEOUT_S = 20.0  # a gatekeeper that does not serve within it has failed to start
+STOP_TIMEOUT_S = 10.0  # from SIGTERM to SIGKILL
 
 
 class StartFailed(Exception):
-    """A gatekeeper did not come to serve; the text has the end of its log."""
+    """A gatekeeper did not start to serve; the message holds the end of its log."""
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     address: str = ""
     admin: str = ""
     starts: int = 0
-    log_offset: int = 0  # of the log, where the present life's lines begin
+    log_offset: int = 0  # in bytes, where the log of the running process begins
 
     @property
     def name(self) -> str:
@@ -42,7 +42,7 @@
 
     @property
     def state(self) -> Path:
-        """$TMPDIR of the gatekeeper: kept over its restarts, as the platform keeps it over an upgrade."""
+        """$TMPDIR of the gatekeeper: kept across restarts, as the platform keeps it across an upgrade."""
         return self.folder / "state"
 
     @property
@@ -50,7 +50,7 @@
         return self.folder / "log.jsonl"
 
     def write_config(self, config: dict[str, Any] | None = None) -> None:
-        """Whole, by a rename: a reader sees the old file or the new one."""
+        """Write atomically, by a rename: a reader sees either the old file or the new one."""
         if config is not None:
             self.config = config
         temporary = self.config_path.with_suffix(".new")
@@ -58,7 +58,7 @@
         temporary.replace(self.config_path)
 
     async def start(self) -> None:
-        """:raises StartFailed: it exited, or did not serve within START_S"""
+        """:raises StartFailed: it exited, or did not serve within START_TIMEOUT_S"""
         self.state.mkdir(parents=True, exist_ok=True)
         (self.folder / "operators.json").write_text(json.dumps(self.operators))
         if not self.config_path.exists():
@@ -116,7 +116,7 @@
         await self.start()
 
     def signal(self, number: signal.Signals) -> bool:
-        """By the process's own id; False where it has ended."""
+        """Send a signal to the process's own id; False if it has exited."""
         process = self.process
         if process is None or process.returncode is not None:
             return False
@@ -130,7 +130,7 @@
         return self.process is not None and self.process.returncode is None
 
     async def stop(self) -> int | None:
-        """SIGTERM, then SIGKILL after END_S; the exit code, None where it was not running."""
+        """SIGTERM, then SIGKILL after STOP_TIMEOUT_S; the exit code, or None if it was never started."""
         process = self.process
         if process is None:
             return None
@@ -154,7 +154,7 @@
 def configuration(
     index: int, listen_settings: dict[str, Any], discovery: str, counter: str | None, known: dict[str, Any]
 ) -> dict[str, Any]:
-    """What the platform tells a gatekeeper (DEPLOY: NODE_CONFIG), on loopback, port 0."""
+    """The platform's configuration file for a gatekeeper (DEPLOY: NODE_CONFIG), on loopback, port 0."""
     config: dict[str, Any] = {
         "name": f"g{index}",
         "listen": "127.0.0.1:0",
--- a/millfront/rehearsal/listeners.py
+++ b/millfront/rehearsal/listeners.py
@@ -1,14 +1,14 @@
-"""The faults between processes: every link that a rehearsal names is a door of its own on loopback.
+"""Faults on the links between gatekeepers and stand-ins: each link has a listener of its own on loopback.
 
-A stand-in listens at one door for each gatekeeper, so that a fault can cut one gatekeeper from one peer and
-leave the others be. The door does to the bytes what the link's fault says; the stand-in behind it never
-knows.
+A stand-in has one listener for each gatekeeper, so that a fault can cut one gatekeeper off from one peer and
+leave the other links alone. The listener applies the link's fault to the bytes; the stand-in's handler does
+not notice.
 
 | effect | out (gatekeeper to peer) | in (peer to gatekeeper) |
 | --- | --- | --- |
-| delay | what arrives waits `delay_ms` plus up to `jitter_ms` | what is answered waits as long |
+| delay | requests are delayed by `delay_ms` plus up to `jitter_ms` | answers likewise |
 | blackhole | nothing arrives; connections stay open and silent | nothing is answered |
-| reset | connections are cut at once, new ones on their first byte | the same |
+| reset | connections are reset at once, new ones on their first byte | the same |
 | lose_answers | | a share of the answers is dropped and its connection closed, after the peer did its work |
 """
 
@@ -23,12 +23,12 @@
 from millfront.rehearsal.scenario import Effect
 
 Handler = Callable[["Conn"], Awaitable[None]]
-LINGER_RESET = struct.pack("ii", 1, 0)  # close with RST, as a process that dies does
+LINGER_RESET = struct.pack("ii", 1, 0)  # close with RST, as a killed process does
 
 
 @dataclass(slots=True)
 class Link:
-    """What a link does now; a heal puts it back to `heal`."""
+    """The fault on a link; `heal` is none."""
 
     effect: Effect = "heal"
     way: str = "both"
@@ -41,12 +41,12 @@
 
 
 class LinkCut(Exception):
-    """The link was cut under a connection: the stand-in stops serving it."""
+    """The link was cut: the stand-in stops serving the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class Conn:
-    """One connection through a door, as its stand-in sees it."""
+    """One accepted connection, as the stand-in's handler uses it."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -54,7 +54,7 @@
     ran: bool = field(default=False)
 
     async def read(self, until: bytes = b"\r\n") -> bytes:
-        """:raises asyncio.IncompleteReadError: the gatekeeper closed"""
+        """:raises asyncio.IncompleteReadError: the gatekeeper closed the connection"""
         data = await self.reader.readuntil(until)
         await self.listener.apply_fault("out", self)
         return data
@@ -65,7 +65,7 @@
         return data
 
     async def write(self, data: bytes) -> None:
-        """:raises Cut: the answer is not to arrive"""
+        """:raises LinkCut: the link is reset, or loses this answer"""
         await self.listener.apply_fault("in", self)
         link = self.listener.link
         if link.affects("in") and link.effect == "lose_answers" and self.listener.rng.random() < link.share:
@@ -81,12 +81,12 @@
 
 
 class FaultListener:
-    """A listener of one stand-in for one gatekeeper."""
+    """Accepts one gatekeeper's connections to one stand-in and applies the link's fault to them."""
 
     def __init__(self, handler: Handler, rng: random.Random, gatekeeper: int) -> None:
         self.handler = handler
         self.rng = rng
-        self.gatekeeper = gatekeeper  # the gatekeeper's place
+        self.gatekeeper = gatekeeper  # its number, from 0
         self.link = Link()
         self.port = 0
         self._server: asyncio.Server | None = None
@@ -110,7 +110,7 @@
                 conn.reset()
 
     async def apply_fault(self, way: str, conn: Conn) -> None:
-        """Bytes cross the door one way: held, cut or delayed by the link."""
+        """Hold, cut or delay bytes that pass in one direction, as the link's fault says."""
         link = self.link
         if not link.affects(way):
             return
@@ -131,9 +131,9 @@
         try:
             await self.handler(conn)
         except (LinkCut, ConnectionError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError):
-            pass  # the gatekeeper went, the link was cut, or it sent what a stand-in can't read
+            pass  # the gatekeeper disconnected, the link was cut, or the input was malformed
         except asyncio.CancelledError:
-            pass  # close(): asyncio's stream server would log a cancelled handler as a failure
+            pass  # from close(): asyncio's stream server would log a cancelled handler as an error
         finally:
             self._connections.discard(conn)
             self._tasks.discard(task)
