--- a/millfront/rehearsal/audit.py
+++ b/millfront/rehearsal/audit.py
@@ -1,9 +1,9 @@
-"""Checks the safety rules against what the stand-ins saw on the wire, and computes the figures of a rehearsal.
+"""Checks the safety rules against what the stand-ins saw on the wire; computes the figures of a rehearsal.
 
 No rule is checked against a gatekeeper's log or status: that a gatekeeper believes it kept a rule proves
-nothing. Times are seconds of the rehearsal's clock, taken when the stand-in received the bytes, which is later
-than the gatekeeper sent them: a late send is always seen as late, and a timely one may look late by the delay
-of the event loop, which OBSERVATION_DELAY_S allows for.
+nothing. Times are seconds of the rehearsal's clock, taken when the stand-in received the bytes, which is
+later than the gatekeeper sent them: a late send is always seen as late, and a timely one may look late by
+the delay of the event loop, which OBSERVATION_DELAY_S allows for.
 """
 
 from collections import defaultdict
@@ -63,7 +63,7 @@
             # The client took the close for one that crossed an unread request, but a page server had already
             # received the request.
             broken.append(
-                f"{record.request} at g{record.gatekeeper}: accepted and forwarded, but its connection was closed"
+                f"{record.request} at g{record.gatekeeper}: forwarded, but its connection was closed"
             )
             continue
         if record.ending == "unreachable":
--- a/millfront/rehearsal/links.py
+++ b/millfront/rehearsal/links.py
@@ -1,20 +1,20 @@
-"""Doors on the links between the system's own processes: a relay before each, in a thread of its own.
+"""Faults on the links between the system's own processes: a relay before each process, all in one thread.
 
-Others reach process N at its *front*, 127.P.0.N+1, where the relay listens (TCP and UDP, the system's port);
-N itself listens and dials *behind* it, at 127.P.1.N+1 (`listen_ip` of its settings). So the relay knows by
-the source who sends, and hands a datagram on from the sender's front, where the answer comes back to it.
-Each ordered pair of processes is a link of its own:
+Others reach process N at its advertised address 127.P.0.N+1, where its relay listens (TCP and UDP, the
+system's port); N itself listens at, and connects from, 127.P.1.N+1 (`listen_ip` of its settings). The relay
+so knows the sender by its source address, and forwards a datagram from the sender's advertised address, to
+which the answer then goes. Each ordered pair of processes is a link of its own:
 
 | effect | connections | datagrams |
 | --- | --- | --- |
-| blackhole | what is sent is held, nothing is said; the sender's end is cut after GIVEN_UP_S | lost |
-| blackhole, `keeps` | the same, and never cut: all of it arrives late, at the heal | lost |
-| reset | cut at once, new ones as they come | lost |
-| delay | in order, `delay_ms` and up to `jitter_ms` later | the same, in any order |
-| heal | pass, after what the link takes at rest (`lengthen`) | the same |
-
-GIVEN_UP_S is what TCP_USER_TIMEOUT does at the sender where the network is really gone.
-A new connection wants both directions. The end of a connection travels as its bytes do.
+| blackhole | data is held silently; the sender's end is reset after SEND_TIMEOUT_S | lost |
+| blackhole, `keep_open` | data is held, never reset, and delivered at the heal | lost |
+| reset | reset at once, new ones when accepted | lost |
+| delay | delayed by `delay_ms` plus up to `jitter_ms`, in order | the same, in any order |
+| heal | forwarded, after the link's base delay (`set_base_delay`) | the same |
+
+SEND_TIMEOUT_S stands for the sender's TCP_USER_TIMEOUT, which a real network failure would trigger.
+A new connection needs both directions. The end of a connection is delayed or held like its bytes.
 """
 
 import asyncio
@@ -30,15 +30,15 @@
 
 from millfront.rehearsal.scenario import Effect
 
-SEND_TIMEOUT_S = 2.0  # as millfront/transport/connections.py has it
-MAX_QUEUED_CHUNKS = 1024  # pieces of a connection that wait in the relay, one way
+SEND_TIMEOUT_S = 2.0  # as in millfront/transport/connections.py
+MAX_QUEUED_CHUNKS = 1024  # chunks of a connection that wait in the relay, per direction
 CHUNK_BYTES = 65536
 LINGER_RESET = struct.pack("ii", 1, 0)  # close with RST
 T = TypeVar("T")
 
 
 class LinkCut(Exception):
-    """A link ends the connection."""
+    """The link ends the connection."""
 
 
 @dataclass(eq=False)
@@ -49,13 +49,13 @@
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
     keep_open: bool = False
-    base_delay_ms: tuple[float, float] = (0.0, 0.0)  # delay and jitter where nothing is wrong
+    base_delay_ms: tuple[float, float] = (0.0, 0.0)  # delay and jitter without a fault
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    forwarded: int = 0  # pieces and datagrams
-    lost: int = 0  # datagrams, and connections cut
+    forwarded: int = 0  # chunks and datagrams
+    lost: int = 0  # datagrams, and connections reset
 
     def set_effect(self, effect: Effect, delay_ms: float, jitter_ms: float, keep_open: bool) -> None:
-        """The one change of what a link does."""
+        """Change the link's effect, and wake whoever waits for a change."""
         if effect == "heal" and any(self.base_delay_ms):
             effect, (delay_ms, jitter_ms) = "delay", self.base_delay_ms
         self.effect, self.delay_ms, self.jitter_ms, self.keep_open = effect, delay_ms, jitter_ms, keep_open
@@ -64,7 +64,7 @@
 
 
 class Endpoint:
-    """One end of a connection, as the relay holds it."""
+    """The relay's socket of one end of a relayed connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -77,7 +77,7 @@
 
 
 class Relay(asyncio.DatagramProtocol):
-    """Before one process: where others reach it, and where what it sends to them comes from."""
+    """The relay before one process: others reach the process here, and see its datagrams come from here."""
 
     def __init__(self, links: "Links", number: int) -> None:
         self.links, self.number = links, number
@@ -111,7 +111,7 @@
             source.sendto(data, (self.links.listen_ip(self.number), self.links.port))
 
     def error_received(self, exc: Exception) -> None:
-        pass  # nobody listens behind it
+        pass  # the process does not listen
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
@@ -123,7 +123,7 @@
             if sender is not None:
                 await self._serve(sender, near)
         except (LinkCut, OSError, asyncio.CancelledError):
-            pass  # the link was cut, nobody listens behind it, or the relay closes
+            pass  # the link was cut, the process does not listen, or the relay closes
         finally:
             self.links.tasks.discard(task)
             near.cut()
@@ -146,7 +146,7 @@
             await asyncio.gather(*ways, return_exceptions=True)
 
     async def _relay(self, link: Link, source: Endpoint, sink: Endpoint) -> None:
-        """One direction of one connection, until it ends."""
+        """Forward one direction of one connection until it ends."""
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
         reading = asyncio.create_task(self._read(link, source, queue))
         try:
@@ -162,7 +162,7 @@
             reading.cancel()
 
     async def _read(self, link: Link, source: Endpoint, queue: "asyncio.Queue[tuple[float, bytes]]") -> None:
-        """Empty: it has ended."""
+        """Queue what is read from `source`, each chunk with the time it is due; an empty chunk is the end."""
         data = b"more"
         while data:
             try:
@@ -174,9 +174,9 @@
 
 
 async def _next_chunk(queue: "asyncio.Queue[tuple[float, bytes]]", link: Link) -> tuple[float, bytes]:
-    """What is next; also a reset of a link on which nothing is sent.
+    """The next chunk and the time it is due. Notices a reset also while nothing is sent.
 
-    :raises Cut: the link is reset
+    :raises LinkCut: the link is reset
     """
     next_item = asyncio.create_task(queue.get())
     try:
@@ -195,9 +195,9 @@
 
 
 async def _wait_to_forward(link: Link, source: Endpoint, due: float) -> None:
-    """Wait until what came from `source` may go on.
+    """Wait until a chunk from `source` may be forwarded.
 
-    :raises Cut: it may not any more
+    :raises LinkCut: the link was reset, or held it for longer than SEND_TIMEOUT_S
     """
     loop = asyncio.get_running_loop()
     since = loop.time()
@@ -217,9 +217,7 @@
         try:
             await asyncio.wait_for(changed, left)
         except TimeoutError:
-            if (
-                link.effect == "blackhole"
-            ):  # the other end is not told: it finds out by itself, or at the heal
+            if link.effect == "blackhole":  # the other end must notice by itself, or at the heal
                 link.lost += 1
                 source.cut()
                 while link.effect == "blackhole":
@@ -228,10 +226,10 @@
 
 
 class Links:
-    """All links of one system. Its methods may be called from any thread but its own."""
+    """All links of one system. Its methods may be called from any thread but its own event loop's."""
 
     def __init__(self, count: int, port: int, rng: random.Random, subnet: int = 0) -> None:
-        """:param part: P of the addresses, 2 to 254; 0: by this process's id, so that two runs don't meet"""
+        """:param subnet: P of the addresses, 2 to 254; 0: from this process's id, so that two runs don't share them"""
         self.count, self.port, self.rng = count, port, rng
         self.subnet = subnet or 2 + os.getpid() % 250
         self.relays: list[Relay] = []
@@ -241,11 +239,11 @@
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
 
     def advertised_ip(self, number: int) -> str:
-        """Where others reach it."""
+        """The address at which others reach the process."""
         return f"127.{self.subnet}.0.{number + 1}"
 
     def listen_ip(self, number: int) -> str:
-        """Where it listens and dials from."""
+        """The address at which the process listens and from which it connects."""
         return f"127.{self.subnet}.1.{number + 1}"
 
     def sender(self, address: str) -> int | None:
@@ -281,7 +279,10 @@
         jitter_ms: float = 0.0,
         keep_open: bool = False,
     ) -> None:
-        """What the links from `senders` to `others` do from now on (`way`: out, in or both)."""
+        """Set the effect of the links from `senders` to `others`.
+
+        :param way: out: from `senders`; in: towards them; both
+        """
         pairs = [(one, other) for one in senders for other in others if one != other]
         chosen = [pair for pair in pairs if way in ("out", "both")]
         chosen += [(other, one) for one, other in pairs if way in ("in", "both")]
@@ -295,7 +296,7 @@
     def set_base_delay(
         self, numbers: Iterable[int], others: Iterable[int], delay_ms: float, jitter_ms: float
     ) -> None:
-        """What the links between them take at rest, each way, from now on."""
+        """Set the delay without a fault of the links between the two groups, each way."""
 
         async def apply() -> None:
             for one, other in [(one, other) for one in numbers for other in others]:
@@ -306,11 +307,11 @@
         self._run(apply())
 
     def cut(self, one: int, way: str = "both", keep_open: bool = False) -> None:
-        """One process from all others, silently."""
+        """Cut one process off from all others, without resetting connections at once."""
         self.set([one], range(self.count), "blackhole", way=way, keep_open=keep_open)
 
     def heal(self) -> None:
-        """All links."""
+        """Heal all links."""
         self.set(range(self.count), range(self.count), "heal", way="out")
 
     def close(self) -> None:
--- a/millfront/rehearsal/load.py
+++ b/millfront/rehearsal/load.py
@@ -1,8 +1,8 @@
-"""Open-loop clients: requests arrive when the seed says, whether earlier ones were answered or not, so that a
-gatekeeper that stalls is still offered what it would have been offered (no coordinated omission).
+"""Open-loop clients: requests are sent at times drawn from the seed, whether earlier ones were answered or
+not, so that a stalled gatekeeper gets the same load as a fast one (no coordinated omission).
 
-Clients send one request at a time on a connection, keep their connections, and open more when all are busy
-(PROTOCOL). They never retry: every request id is a try of its own, and the auditors see each once.
+Clients send one request at a time on a connection, keep connections open, and open more when all are busy
+(PROTOCOL). They never retry: every request id is one request, which the checks see once.
 """
 
 import asyncio
@@ -19,30 +19,30 @@
 
 
 class StaleConnection(Exception):
-    """A connection held idle was closed under a request before the gatekeeper read it."""
+    """An idle connection was closed while a request was sent, before the gatekeeper read it."""
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """A request as its client saw it."""
+    """A request as its client saw it. Times are seconds of the rehearsal's clock."""
 
     request: str
     request_class: str
     customer: str
-    gatekeeper: int  # it was sent to
+    gatekeeper: int  # the number of the one it was sent to
     sent: float
     timeout_s: float
     status: int = 0  # 0: no answer
     answered: float = 0.0
-    ending: str = "open"  # answered, closed (connection ended without an answer), unreachable, late
-    resent: float = 0.0  # when it went once more, on a new connection, after a close crossed it
+    ending: str = "open"  # connecting, answered, closed (without an answer), unreachable, late
+    resent: float = 0.0  # when it was sent again, on a new connection, after a close crossed it
 
 
 @dataclass(slots=True)
 class Load:
     config: Clients
     gatekeepers: int
-    address: Callable[[int], str]  # where a gatekeeper listens now; "" while it does not
+    address: Callable[[int], str]  # where a gatekeeper listens; "" if it does not run
     clock: Clock
     rng: random.Random
     requests: list[SentRequest] = field(default_factory=list)
@@ -53,7 +53,7 @@
     _open: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def run(self, until_s: float) -> None:
-        """Arrivals until `until_s`, or until the most requests were sent."""
+        """Send requests until `until_s`, or until the maximum number was sent."""
         config, names, weights = self.config, list(self.config.classes), list(self.config.classes.values())
         next_at = self.clock() + max(0.0, config.start_s - self.clock())
         for _ in range(config.most):
@@ -105,7 +105,7 @@
             async with asyncio.timeout(record.timeout_s + 1.0):
                 try:
                     await self._exchange(gatekeeper, address, data, record, reuse=True)
-                except StaleConnection:  # PROTOCOL: a close that crossed an unread request: once more, anew
+                except StaleConnection:  # PROTOCOL: the close crossed an unread request: send it again
                     record.resent = self.clock()
                     await self._exchange(gatekeeper, address, data, record, reuse=False)
         except TimeoutError:
@@ -116,9 +116,9 @@
     async def _exchange(
         self, gatekeeper: int, address: str, data: bytes, record: SentRequest, reuse: bool
     ) -> None:
-        """:raises Unread: a connection held idle ended before a byte of the answer came"""
+        """:raises StaleConnection: a reused connection ended before the first byte of the answer"""
         idle = self._idle.setdefault(gatekeeper, [])
-        while idle and idle[-1][2] != address:  # the gatekeeper was started anew at another port
+        while idle and idle[-1][2] != address:  # the gatekeeper was restarted on another port
             idle.pop()[1].close()
         if idle and reuse:
             reader, writer, _ = idle.pop()
