--- a/millfront/rehearsal/links.py
+++ b/millfront/rehearsal/links.py
@@ -229,7 +229,7 @@
     """All links of one system. Its methods may be called from any thread but its own event loop's."""
 
     def __init__(self, count: int, port: int, rng: random.Random, subnet: int = 0) -> None:
-        """:param subnet: P of the addresses, 2 to 254; 0: from this process's id, so that two runs don't share them"""
+        """:param subnet: P of the addresses, 2 to 254; 0: from the process id, so that runs differ"""
         self.count, self.port, self.rng = count, port, rng
         self.subnet = subnet or 2 + os.getpid() % 250
         self.relays: list[Relay] = []
--- a/millfront/rehearsal/play.py
+++ b/millfront/rehearsal/play.py
@@ -1,7 +1,7 @@
-"""A rehearsal played: stand-ins up, gatekeepers started and serving, clients and the timeline of faults, then
-every process ended by its id, the logs gathered in time order and the verdict written.
+"""Runs a scenario: opens the stand-ins, starts the gatekeepers, sends requests, injects faults on schedule,
+stops every process by its id, merges the logs in time order and writes the verdict.
 
-    verdict = asyncio.run(play(scenario, Path("out")))   # out/verdict.json, out/logs.jsonl, out/g*/
+    verdict = asyncio.run(run_scenario(scenario, Path("out")))   # out/verdict.json, out/logs.jsonl, out/g*/
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 from millfront.rehearsal.scenario import Fault, Scenario, merge_patch
 from millfront.rehearsal.standins import Agent, Clock, Counter, Directory, PageServer
 
-SETTLE_S = 1.0  # after the last client's timeout, before the gatekeepers are ended
+SETTLE_S = 1.0  # from the last client's timeout to the stop of the gatekeepers
 
 
 def settings(scenario: Scenario) -> dict[str, Any]:
-    """The kit's own settings for a gatekeeper (the simulator's first message), with the scenario's patch."""
+    """Default settings of a gatekeeper (the simulator's first message) with the scenario's patch applied."""
     plan: dict[str, object] = {"CapDepth": 0, "CeilingRate": 0, "CeilingSlack": 0, "Concurrency": 0}
     plan |= {"ExtraWorth": 0}
     plan |= {"MostAtOnce": 400.0, "OverrunCost": 0.6, "Refill": 200.0, "WorthFactor": 1}
@@ -93,7 +93,7 @@
         self.gatekeepers: list[Gatekeeper] = []
         self.agents: list[Agent] = []
         self.starts: dict[int, list[float]] = {}
-        self.killed: dict[int, list[float]] = {}  # by gatekeeper, the times of its SIGKILLs
+        self.killed: dict[int, list[float]] = {}  # by gatekeeper, the times of its SIGKILLs, from the start
         self.started_unix = 0.0
         self._started_at = 0.0
         self.unavailable: dict[int, list[tuple[float, float]]] = {}
@@ -146,7 +146,7 @@
             self.gatekeepers.append(Gatekeeper(index, folder, config, operators))
 
     def _address_for(self, index: int) -> Callable[[int], str]:
-        """Where a gatekeeper reaches each member: its own door to it."""
+        """Return a function from a member to the address of this gatekeeper's listener for it."""
         return lambda member: f"127.0.0.1:{self.listeners[('pages', index, member)].port}"
 
     async def run(self) -> dict[str, Any]:
@@ -251,7 +251,7 @@
         return lambda: gatekeeper.signal(signal.SIGCONT)
 
     def _mark_available(self, gatekeeper: Gatekeeper) -> None:
-        """A killed gatekeeper is out of play until it is started again."""
+        """End the outage of a gatekeeper that is being restarted."""
         windows = self.unavailable.get(gatekeeper.index, [])
         if windows and windows[-1][1] > self.clock():
             windows[-1] = (windows[-1][0], self.clock())
@@ -266,7 +266,7 @@
         elif fault.write == "in_place":
             gatekeeper.config = config
             gatekeeper.config_path.write_bytes(text)
-        else:  # a file that can't be used: the gatekeeper must keep what it has
+        else:  # an unusable file: the gatekeeper must keep its settings
             gatekeeper.config_path.write_bytes(text[: len(text) // 2] if fault.write == "torn" else b"")
 
     def _apply_link_fault(self, fault: Fault, targets: list[Gatekeeper]) -> None:
@@ -316,7 +316,7 @@
         }
 
     def gather_logs(self) -> list[dict[str, Any]]:
-        """Every gatekeeper's log in one file, in time order."""
+        """Merge the logs of all gatekeepers into one file in time order, and return the lines."""
         lines = [line for gatekeeper in self.gatekeepers for line in gatekeeper.log()]
         lines.sort(key=lambda line: str(line.get("timestamp", "")))
         with (self.out / "logs.jsonl").open("w") as file:
@@ -328,8 +328,10 @@
 async def run_scenario(
     scenario: Scenario, out: Path, progress: Callable[[str], None] = lambda _: None
 ) -> dict[str, Any]:
-    """:returns: the verdict, also written to `out/verdict.json`
-    :raises StartFailed: a gatekeeper did not come to serve"""
+    """Run a scenario.
+
+    :returns: the verdict, also written to `out/verdict.json`
+    :raises StartFailed: a gatekeeper did not start to serve"""
     out.mkdir(parents=True, exist_ok=True)
     rehearsal = Rehearsal(scenario, out, progress)
     try:
--- a/millfront/rehearsal/quotas.py
+++ b/millfront/rehearsal/quotas.py
@@ -1,8 +1,8 @@
-"""Tenants' limits in a rehearsal: clumps of requests over held connections, and the windows that servers saw.
+"""Tenants' limits in a rehearsal: bursts of requests over kept connections, and the requests that then ran.
 
-A window is judged by the rule alone: of the requests that a client sent and a server ran within any
-`window_s`, at most (rate x window + burst) x (1 + excess) + extra. What processes say of themselves counts
-for nothing here. Times are seconds on the machine's steady clock, which clients and servers share.
+The rule for any window: of the requests that clients sent and servers began within `window_s`, there are at
+most (rate x window + burst) x (1 + excess) + extra. Reports of the processes about themselves are not used.
+Times are seconds of the machine's monotonic clock, which clients and servers share.
 """
 
 import bisect
@@ -15,20 +15,20 @@
 
 from millfront.rehearsal.system import System
 
-CONNECT_TIMEOUT_S = 0.5  # a process that stands still takes no more after a while
+CONNECT_TIMEOUT_S = 0.5  # a frozen process accepts no more connections once its backlog is full
 READ_BYTES = 65536
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaRule:
-    """What the rule allows beyond a tenant's limit."""
+    """The window of the rule, and what it allows beyond a tenant's limit."""
 
     window_s: float = 5.0
     excess: float = 0.1
     extra: float = 20.0
 
     def allowed(self, rate: float, burst: float) -> float:
-        """Requests that may run in any window.
+        """The most requests that may run in any window.
 
         >>> QuotaRule().allowed(5.0, 5.0)
         53.0
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request that ran: when its client sent it, and when a server began it."""
+    """A request that ran: when its client sent it, and when a server began to run it."""
 
     sent: float
     arrived: float
 
 
 def max_requests_in_window(runs: Iterable[Run], window_s: float) -> int:
-    """The most requests both sent and begun within any span of that length.
+    """The highest number of requests both sent and begun within any window of that length.
 
     >>> most_in_window([Run(0.0, 0.1), Run(0.0, 6.0), Run(4.0, 4.9), Run(5.2, 5.3)], 5.0)
     2
@@ -60,19 +60,19 @@
 
 @dataclass(slots=True)
 class SentLog:
-    """What clients have sent with which key."""
+    """Requests that clients sent: their times and API keys."""
 
     sent: dict[str, float] = field(default_factory=dict)  # by attempt id, when
     keys: dict[str, str] = field(default_factory=dict)  # by attempt id
 
     def record(self, attempt: str, key: str, now: float) -> None:
-        """A request is about to be sent."""
+        """Record a request that is about to be sent."""
         self.sent[attempt], self.keys[attempt] = now, key
 
     def runs(self, key: str, arrived: Mapping[str, float]) -> list[Run]:
         """The requests with that key that ran.
 
-        :param arrived: by attempt id, when a server began it
+        :param arrived: by attempt id, when a server began to run it
         """
         return [
             Run(self.sent[attempt], at) for attempt, at in arrived.items() if self.keys.get(attempt) == key
@@ -80,14 +80,14 @@
 
 
 class KeptConnections:
-    """One open connection to each gatekeeper, which stays open until that process is gone."""
+    """One connection to each gatekeeper, kept open until the process has exited."""
 
     def __init__(self, system: System, log: SentLog) -> None:
         self.system, self.log = system, log
         self.sockets: dict[int, socket.socket] = {}
 
     def open(self) -> int:
-        """Connect to whomever there is no connection to; returns how many are open."""
+        """Connect to each gatekeeper without a connection; returns how many are open."""
         for number in range(self.system.count):
             if number not in self.sockets:
                 with contextlib.suppress(OSError):
@@ -101,7 +101,7 @@
         return sock
 
     def send_burst(self, key: str, per_process: int = 1) -> None:
-        """Send `each` requests to every gatekeeper in one go; nobody waits for an answer."""
+        """Send `per_process` requests to every gatekeeper at once, without waiting for answers."""
         requests = {number: self._requests(number, key, per_process) for number in self.sockets}
         now = time.monotonic()
         for number, (attempts, data) in requests.items():
@@ -122,7 +122,7 @@
         return attempts, "".join(heads).encode()
 
     def read(self, seconds: float) -> None:
-        """Take what comes for so long; a connection whose process is gone is dropped."""
+        """Read and discard answers for that long; drop connections that were closed."""
         deadline = time.monotonic() + seconds
         with selectors.DefaultSelector() as selector:
             for number, sock in self.sockets.items():
@@ -138,17 +138,17 @@
 
     @staticmethod
     def _receive(sock: socket.socket) -> bool:
-        """Whether the connection is still open."""
+        """Read once; returns whether the connection is still open."""
         try:
             return bool(sock.recv(READ_BYTES))
         except OSError:
             return False
 
     def drop(self, number: int) -> None:
-        """Forget a connection."""
+        """Close a connection and forget it."""
         self.sockets.pop(number).close()
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for number in list(self.sockets):
             self.drop(number)
