--- a/millfront/rehearsal/servers.py
+++ b/millfront/rehearsal/servers.py
@@ -1,8 +1,8 @@
-"""The platform's list of servers and those servers, all behind one address on loopback.
+"""Stand-ins for the platform's list of servers and for the servers, all at one address on loopback.
 
-A request says by `Millfront-Target-Instance` which server it is for; one that is gone answers 421. Servers
-can be replaced while requests come: the old one stands on the list as draining, then is gone. What ran, and
-what reached a server that had been draining for long, is kept for whoever checks it.
+A request names its server in `Millfront-Target-Instance`; one that is gone answers 421. Servers can be
+replaced while requests come in: the old one is listed as draining, then removed. Requests that ran, and
+requests that reached a draining server, are recorded for the checks.
 """
 
 import contextlib
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Instance:
-    """One life of a server. Times are of the steady clock."""
+    """One server, from its start to its end. Times are of the monotonic clock."""
 
     ident: str
     zone: str
@@ -30,7 +30,7 @@
     gone: bool = False
 
     def entry(self, address: str) -> dict[str, Any]:
-        """As the platform lists it."""
+        """The server's entry in the platform's list."""
         phase = "ready" if self.draining_since is None else "draining"
         return {"target": SERVICE, "address": address, "zone": self.zone, "revision": "v1",
                 "capacity": CAPACITY, "phase": phase, "warm_left": "0ms"}  # fmt: skip
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LateArrival:
-    """A request that reached a server which the list had shown as draining for so long."""
+    """A request that reached a server `after_s` seconds after the list first showed it as draining."""
 
     attempt: str
     ident: str
@@ -48,24 +48,26 @@
 
 @dataclass(slots=True)
 class ObservedRequests:
-    """What the servers saw."""
+    """The requests that the servers received."""
 
-    orders: dict[str, list[str]] = field(default_factory=dict)  # by operation key, the seal of each run
-    attempts: dict[str, float] = field(default_factory=dict)  # pages that ran, by attempt id, and when
+    orders: dict[str, list[str]] = field(
+        default_factory=dict
+    )  # by operation key, the server seal of each run
+    attempts: dict[str, float] = field(default_factory=dict)  # by attempt id, when a request ran first
     draining_arrivals: list[LateArrival] = field(default_factory=list)
 
 
 class PeerServer(ThreadingHTTPServer):
-    """Listens for `Peer`, and keeps what it saw."""
+    """The HTTP server behind `PeerHandler`; records what it receives."""
 
     daemon_threads = True
     request_queue_size = 256
 
     def __init__(self, zones: list[str] | None = None) -> None:
-        """:param zones: of a server each that there are from the start"""
+        """:param zones: the zone of each server that exists from the start"""
         super().__init__(("127.0.0.1", 0), PeerHandler)
         self.observed = ObservedRequests()
-        self.lost_answer_share = 0.0  # of the orders that run, whose answer is lost
+        self.lost_answer_share = 0.0  # share of the orders that run but whose answer is lost
         self.random = random.Random(0)
         self._lock = threading.Lock()
         self._next_number = itertools.count()
@@ -74,11 +76,11 @@
             self._add(zone)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Who asked was killed."""
+        """Ignore errors: the client of the request was killed."""
 
     @property
     def orders(self) -> dict[str, list[str]]:
-        """By operation key, the seal of each run."""
+        """By operation key, the server seal of each run."""
         return self.observed.orders
 
     def _add(self, zone: str) -> None:
@@ -86,13 +88,13 @@
         self.instances[instance.ident] = instance
 
     def instance_list(self) -> dict[str, Any]:
-        """The platform's list, by ident."""
+        """The platform's list, by instance id."""
         here = f"127.0.0.1:{self.server_port}"
         with self._lock:
             return {ident: one.entry(here) for ident, one in self.instances.items() if not one.gone}
 
     def replace(self) -> str:
-        """A new server comes, and the oldest ready one begins to drain; returns that one's ident."""
+        """Add a server and drain the oldest ready one; returns the id of the latter."""
         with self._lock:
             ready = [one for one in self.instances.values() if one.draining_since is None]
             self._add(ready[0].zone)
@@ -100,12 +102,12 @@
             return ready[0].ident
 
     def remove(self, ident: str) -> None:
-        """That one is gone."""
+        """Remove a server from the list; requests for it are answered 421."""
         with self._lock:
             self.instances[ident].gone = True
 
     def record_arrival(self, ident: str, attempt: str) -> bool:
-        """A request for that server; whether it is there."""
+        """Record a request for a server; returns whether the server exists."""
         now = time.monotonic()
         with self._lock:
             instance = self.instances.get(ident)
@@ -114,11 +116,11 @@
             if instance.draining_since is not None:
                 late = LateArrival(attempt, ident, now - instance.draining_since, now)
                 self.observed.draining_arrivals.append(late)
-            self.observed.attempts.setdefault(attempt, now)  # a copy, or a further try, is the same request
+            self.observed.attempts.setdefault(attempt, now)  # a hedge or a retry is the same request
             return True
 
     def run_order(self, key: str) -> tuple[str, bool]:
-        """An order runs: its seal, and whether its answer is lost."""
+        """Run an order; returns its server seal, and whether its answer is lost."""
         with self._lock:
             runs = self.observed.orders.setdefault(key, [])
             runs.append(f"{key}.{len(runs)}")
@@ -126,17 +128,17 @@
 
 
 class PeerHandler(BaseHTTPRequestHandler):
-    """One connection to the platform or to a server."""
+    """One connection to the platform's list or to a server."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
     server: PeerServer
 
     def log_message(self, format: str, *args: object) -> None:
-        """Nothing is logged."""
+        """Log nothing."""
 
     def do_GET(self) -> None:
-        """The list, or a page."""
+        """Answer with the list, or with a page."""
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
         if self.path.startswith("/instances"):
             instance_list = json.dumps({"instances": self.server.instance_list(), "next_token": None})
@@ -145,7 +147,7 @@
             self._respond(200, self._response_fields(f"{self._target()}.1"), b"a page\n")
 
     def do_POST(self) -> None:
-        """An order, which runs, whatever becomes of its answer."""
+        """Run an order, even if its answer is lost."""
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
         if not self._check_target():
             return
@@ -163,7 +165,7 @@
         return {"Millfront-Attempt-Id": attempt, "Millfront-Server-Seal": seal}
 
     def _check_target(self) -> bool:
-        """Whether the server that is meant is there; if not, the answer is given."""
+        """Whether the target server exists; if not, answers 421."""
         attempt = self.headers.get("Millfront-Attempt-Id", "")
         if self.server.record_arrival(self._target(), attempt):
             return True
@@ -175,6 +177,6 @@
         for name, value in fields.items():
             self.send_header(name, value)
         self.send_header("Content-Length", str(len(body)))
-        with contextlib.suppress(OSError):  # who asked was killed
+        with contextlib.suppress(OSError):  # the client was killed
             self.end_headers()
             self.wfile.write(body)
--- a/millfront/rehearsal/standins.py
+++ b/millfront/rehearsal/standins.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the gatekeepers' peers, from the platform's protocol: the counter, discovery's agents, page
-servers. Each keeps what it saw on the wire, with the time (seconds of the rehearsal's clock) and the
-gatekeeper it came from, for the auditors; none of them believes what a gatekeeper says of itself.
+"""Stand-ins for the gatekeepers' peers, after the platform's protocol: the counter, discovery's agents, page
+servers. Each records what it receives with the time (seconds of the rehearsal's clock) and the gatekeeper
+that sent it, for the checks, and relies on nothing that a gatekeeper reports about itself.
 """
 
 import asyncio
@@ -14,12 +14,12 @@
 from millfront.rehearsal.scenario import Pages
 
 NOT_STARTED = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-KEEPALIVE_INTERVAL_S = 2.0  # discovery: an empty line while nothing changes
+KEEPALIVE_INTERVAL_S = 2.0  # discovery: period of empty lines while nothing changes
 MAX_HEAD_BYTES = 64 * 1024
 
 
 class Clock:
-    """Seconds since the rehearsal began, on the monotonic clock that every stand-in reads."""
+    """Seconds of the monotonic clock since the rehearsal began; shared by all stand-ins."""
 
     def __init__(self) -> None:
         self.zero = time.monotonic()
@@ -29,10 +29,10 @@
 
 
 async def read_head(conn: Conn) -> tuple[bytes, dict[bytes, bytes]]:
-    """The request line and the fields of an HTTP/1.1 head, names in lower case."""
+    """Read the request line and the fields of an HTTP/1.1 head; names are in lower case."""
     head = await conn.read(b"\r\n\r\n")
     if len(head) > MAX_HEAD_BYTES:
-        raise ConnectionError("a head without end")
+        raise ConnectionError(f"request head of {len(head)} bytes is longer than {MAX_HEAD_BYTES}")
     line, *rest = head[:-4].split(b"\r\n")
     fields = {}
     for row in rest:
@@ -61,13 +61,13 @@
 
 
 class Counter:
-    """The tally desk: `add NAME AMOUNT LIFE_MS` and `ping`, one line each, answered in order."""
+    """The counter: `add NAME AMOUNT LIFETIME_MS` and `ping`, one line each, answered in order."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.entries: dict[str, CounterEntry] = {}
         self.calls: dict[int, int] = {}  # by gatekeeper
-        self.additions: list[tuple[float, int, str, float]] = []  # when, who, name, amount
+        self.additions: list[tuple[float, int, str, float]] = []  # (time, gatekeeper, name, amount)
 
     def add(self, name: str, amount: float, lifetime_ms: int, gatekeeper: int) -> float:
         now = self.clock()
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class HealthUpdate:
-    """A change of a member's health as one gatekeeper's agent wrote it to that gatekeeper."""
+    """A member's health as an agent sent it to its gatekeeper."""
 
     at: float
     gatekeeper: int
@@ -112,13 +112,13 @@
 
 
 class Directory:
-    """Discovery's list, by version; every gatekeeper has an agent that tells it the list, maybe late."""
+    """Discovery's versioned list; each gatekeeper has an agent that sends it the list, possibly late."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.seq = 1
         self.rows: dict[int, dict[str, object]] = {}  # by member, as first listed
-        self.history: list[tuple[int, int, str]] = []  # seq, member, health: each change
+        self.history: list[tuple[int, int, str]] = []  # each change: (seq, member, health)
         self.updates_sent: list[HealthUpdate] = []
         self.agents: list[Agent] = []
 
@@ -129,7 +129,7 @@
             agent.on_change(self.seq)
 
     def health(self, member: int, seq: int) -> str:
-        """A member's health in the list of that version."""
+        """A member's health in version `seq` of the list."""
         health = str(self.rows[member]["health"])
         for changed, which, new_health in self.history:
             if which == member and changed <= seq:
@@ -138,17 +138,17 @@
 
 
 class Agent:
-    """Discovery's agent on one gatekeeper's machine: the whole list on request, and a watch that stays open.
+    """Discovery's agent on one gatekeeper's machine: serves the full list on request, and a watch.
 
-    `lag_s` holds what changed back from this gatekeeper; `dial` writes each member's address as this
-    gatekeeper reaches it (its own door)."""
+    `lag_s` delays changes for this gatekeeper; `address_of` gives each member's address for this gatekeeper
+    (its own listener)."""
 
     def __init__(self, directory: Directory, gatekeeper: int, address_of: Callable[[int], str]) -> None:
         self.directory = directory
         self.gatekeeper = gatekeeper
         self.address_of = address_of
         self.lag_s = 0.0
-        self.seq = directory.seq  # what this agent has been sent
+        self.seq = directory.seq  # the version that this agent has
         self._update_ready = asyncio.Event()
         directory.agents.append(self)
 
@@ -163,8 +163,8 @@
         self._update_ready.set()
 
     def list_message(self, after: int | None) -> dict[str, object]:
-        """What changed after `after` up to what this agent has, or the whole list; each row counts as
-        told."""
+        """The changes from version `after` to this agent's version, or the full list. Each row is recorded as
+        sent."""
         directory = self.directory
         changed = sorted(
             {m for seq, m, _ in directory.history if after is not None and after < seq <= self.seq}
@@ -215,7 +215,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A request that reached a page server whole, and what became of it there."""
+    """A request that a page server received completely, and its outcome there."""
 
     at: float
     gatekeeper: int
@@ -224,12 +224,12 @@
     request_class: str  # the class, from the path
     customer: str
     units: float
-    outcome: str = "open"  # ok, error, not_started, lost (ran, answer cut), cut (never ran)
+    outcome: str = "open"  # ok, error, not_started, lost (ran, answer cut off), cut (did not run)
     ended: float = 0.0
 
     @property
     def may_have_run(self) -> bool:
-        """Whether its work may have been done."""
+        """Whether the server may have run it."""
         return self.outcome in ("ok", "error", "lost", "open")
 
 
--- a/millfront/rehearsal/system.py
+++ b/millfront/rehearsal/system.py
@@ -1,9 +1,8 @@
-"""A whole system of real processes on loopback, with doors on every link between them (`links.py`).
+"""A whole system of real processes on loopback, with a relay on every link between them (`links.py`).
 
-Each process is `python -m millfront gatekeeper` with a disk in the run's folder. Its `ctl` and `plain`
-addresses
-are called directly, so that a process that is cut off from the others can still be asked. Waiting is until a
-condition holds, with a deadline.
+Each process is `python -m millfront gatekeeper` with its disk in the run's folder. Its `ctl` and `plain`
+addresses are called directly, so that a process that is cut off from the others can still be reached. Waiting
+is for a condition, with a deadline.
 """
 
 import contextlib
@@ -30,14 +29,20 @@
 from millfront.rehearsal.servers import PeerServer
 
 ROOT = Path(__file__).parents[2]
-REGIONS = {"north": "a", "south": "a", "east": "b", "west": "b", "far": "b"}  # zone, which is the name, too
+REGIONS = {
+    "north": "a",
+    "south": "a",
+    "east": "b",
+    "west": "b",
+    "far": "b",
+}  # by zone; a zone's first gatekeeper has the zone's name
 HOST = "shop.example"
 START_TIMEOUT_S = 20.0
 MAX_PROCESSES = 1000
-EXIT_TIMEOUT_S = 10.0  # a process that was killed
+EXIT_TIMEOUT_S = 10.0  # of a killed process
 POLL_INTERVAL_S = 0.05
-CALL_TIMEOUT_S = 8.0  # a PUT is answered 4 s after it came, at the latest
-RETRY_DELAY_S = 0.3  # as Retry-After says
+CALL_TIMEOUT_S = 8.0  # a PUT is answered within 4 s
+RETRY_DELAY_S = 0.3  # as in Retry-After
 
 
 class ConditionTimeout(Exception):
@@ -46,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Of one call; status 0: there was none."""
+    """The answer to a call; status 0: no answer."""
 
     status: int
     text: str = ""
@@ -57,21 +62,21 @@
 
 
 def wait_until(name: str, condition: Callable[[], Any], timeout_s: float = START_TIMEOUT_S) -> float:
-    """Seconds until the condition held.
+    """Wait for a condition; returns how many seconds it took.
 
-    :raises Late: it did not by then
+    :raises ConditionTimeout: the condition did not hold in time
     """
     started, pause = time.monotonic(), threading.Event()
     while not condition():
         if time.monotonic() - started > timeout_s:
-            raise ConditionTimeout(f"{name}: not within {timeout_s:g} s")
+            raise ConditionTimeout(f"{name}: did not hold within {timeout_s:g} s")
         pause.wait(POLL_INTERVAL_S)
     return time.monotonic() - started
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """What a tenant may use: requests a second, and requests at once."""
+    """A tenant's limit: requests per second, and the burst."""
 
     rate: float = 1000.0
     burst: float = 1000.0
@@ -85,11 +90,11 @@
     orders: bool = False,
     limits: Mapping[str, Limit] = {},
 ) -> str:
-    """A configuration: one service, `routes` routes, a tenant for each key.
+    """A configuration document: one service, `routes` routes, and a tenant for each API key.
 
-    :param note: makes documents of one version differ
-    :param orders: there is a route /orders/ whose requests carry an operation key
-    :param limits: by key, of tenants that are not to have the usual large one
+    :param note: the key of an additional tenant, by which documents of one version differ
+    :param orders: add a route /orders/ whose requests carry an operation key
+    :param limits: by key, limits of tenants other than the large default
     """
     paths = ["/pages/", *(f"/more{number}/" for number in range(1, routes))]
     route = {"host": HOST, "variant_tag": "idempotent", "deadline": "3s", "target_time": "800ms",
@@ -114,7 +119,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """On 127.0.0.1; the system's addresses are others, which nobody else uses."""
+    """Ports free on 127.0.0.1; the system uses them at other addresses, which nothing else uses."""
     with contextlib.ExitStack() as held:
         socks = [held.enter_context(socket.socket()) for _ in range(count)]
         for sock in socks:
@@ -123,8 +128,8 @@
 
 
 class System:
-    """Gatekeepers 0 to `count` - 1, the first `disks` of the core, zones in two regions; `with` ends what it
-    started."""
+    """Gatekeepers 0 to `count` - 1, of which the first `disks` have a disk and count for the core, in zones of
+    two regions. A context manager that starts the processes and kills them at the end."""
 
     def __init__(
         self,
@@ -137,10 +142,10 @@
         relays: bool = True,
         servers: int = 1,
     ) -> None:
-        """:param bounds: times of the rules, in the settings' form (``{"revoke_within": "5s"}``)
-        :param disks: machines that have one; None: all
-        :param relays: with a door on each link; without, for many processes, none can be cut off
-        :param servers: there are at the start, over all zones
+        """:param bounds: times of the rules, as in the settings file (``{"revoke_within": "5s"}``)
+        :param disks: number of gatekeepers with a disk; None: all
+        :param relays: put a relay on each link; without them, for many processes, no link can be cut
+        :param servers: number of servers at the start, over all zones
         """
         self.folder, self.count, self.bounds = folder, count, dict(bounds)
         self.disks, self.relays = count if disks is None else disks, relays
@@ -154,11 +159,11 @@
         self._attempt = itertools.count(1)
 
     def zone(self, number: int) -> str:
-        """Of a gatekeeper."""
+        """The zone of a gatekeeper."""
         return self.zones[number % len(self.zones)]
 
     def has_disk(self, number: int) -> bool:
-        """Whether a gatekeeper keeps control state, and so counts for the core."""
+        """Whether a gatekeeper stores control state, and so counts for the core."""
         return number < self.disks
 
     def __enter__(self) -> Self:
@@ -194,7 +199,7 @@
         return self.folder / self.names[number]
 
     def settings(self, number: int, fresh: bool) -> Path:
-        """The settings file of one gatekeeper."""
+        """Write the settings file of a gatekeeper; returns its path."""
         ip, zone, name = self.links.advertised_ip(number), self.zone(number), self.names[number]
         seeds = [f"{self.links.advertised_ip(other)}:{self.ctl}" for other in range(min(3, self.count))]
         bound = dict.fromkeys(("ctl", "lookup", "readiness"), f"{ip}:{self.ctl}")
@@ -226,31 +231,34 @@
             )
 
     def pid(self, number: int) -> int | None:
-        """Of the process that runs; None where none does."""
+        """The id of the gatekeeper's running process, or None."""
         process = self.running.get(number)
         return process.pid if process is not None else None
 
     def kill(self, number: int, wipe: bool = False) -> None:
-        """:param wipe: its disk is lost, too"""
+        """Kill a process (SIGKILL).
+
+        :param wipe: delete its disk, too
+        """
         self.lose_power([number], [number] if wipe else [])
 
     def terminate(self, number: int) -> subprocess.Popen[bytes]:
-        """Ask it to end in order (SIGTERM); who waits for the process returned takes it off `running`."""
+        """Send SIGTERM; the caller waits for the returned process and removes it from `running`."""
         process = self.running[number]
         process.terminate()
         return process
 
     def reload(self, number: int) -> None:
-        """Its settings file is to be read anew (SIGHUP)."""
+        """Make a process reload its settings file (SIGHUP)."""
         self.running[number].send_signal(signal.SIGHUP)
 
     def fill_disk(self, number: int, full: bool) -> None:
-        """Whether each write to a file is refused, as on a full disk; its log is silent meanwhile."""
+        """Make each write to a file fail, as on a full disk, or end that; the log stays silent, too."""
         limit = 0 if full else resource.RLIM_INFINITY
         resource.prlimit(self.running[number].pid, resource.RLIMIT_FSIZE, (limit, resource.RLIM_INFINITY))
 
     def lose_power(self, numbers: Iterable[int], wipe: Iterable[int] = ()) -> None:
-        """All of these at the same moment; of some the disk is lost, too."""
+        """Kill processes at the same moment; delete the disks of some."""
         for number in numbers:
             self.running[number].send_signal(signal.SIGKILL)
         for number in numbers:
@@ -265,7 +273,7 @@
         self.running[number].send_signal(signal.SIGCONT)
 
     def disk_kb(self, number: int) -> float:
-        """What its files take."""
+        """The disk space of a gatekeeper's files, in kB."""
         return sum(path.stat().st_blocks * 512 for path in self.disk(number).rglob("*")) / 1000
 
     # ---- calls -------------------------------------------------------------------------------------
@@ -281,7 +289,7 @@
         port: int = 0,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> Answer:
-        """One call on a connection of its own; of `ctl`, where no other port is named."""
+        """Make one call on a new connection; to `ctl` unless another port is given."""
         connection = http.client.HTTPConnection(
             self.links.advertised_ip(number), port or self.ctl, timeout=timeout_s
         )
@@ -301,7 +309,7 @@
         return self.call(number, "GET", "/v1/config")
 
     def put_and_disconnect(self, number: int, text: str) -> None:
-        """A PUT whose answer is lost: the connection is closed right after it was sent."""
+        """Send a PUT and close the connection at once, so that its answer is lost."""
         body = text.encode()
         head = f"PUT /v1/config HTTP/1.1\r\nHost: ctl\r\nContent-Length: {len(body)}\r\n\r\n"
         with socket.create_connection((self.links.advertised_ip(number), self.ctl), CALL_TIMEOUT_S) as sock:
@@ -310,9 +318,9 @@
     def retry_call(
         self, number: int, call: Callable[[int], Answer], timeout_s: float = START_TIMEOUT_S
     ) -> Answer:
-        """Called again while it is answered with 503 or not at all, as an operator does.
+        """Repeat a call while it is answered with 503 or not at all, as an operator does.
 
-        :raises Late: it has no other answer by then
+        :raises ConditionTimeout: there was no other answer in time
         """
         last = Answer(0)
         deadline, pause = time.monotonic() + timeout_s, threading.Event()
@@ -321,21 +329,21 @@
             if last.status not in (0, 503):
                 return last
             pause.wait(RETRY_DELAY_S)
-        raise ConditionTimeout(f"office {number}: {last.status} {last.text} for {timeout_s:g} s")
+        raise ConditionTimeout(f"gatekeeper {number}: still {last.status} {last.text} after {timeout_s:g} s")
 
     def status_report(self, number: int) -> dict[str, Any]:
-        """What the gatekeeper says of itself; empty where it does not answer."""
+        """The gatekeeper's report about itself; empty if it does not answer."""
         answer = self.call(number, "GET", "/v1/gatekeeper", timeout_s=2.0)
         report = answer.json() if answer.status == 200 else {}
         assert isinstance(report, dict)
         return report
 
     def version(self, number: int) -> int:
-        """In force there; 0: none, or no answer."""
+        """The configuration version in force at a gatekeeper; 0: none, or no answer."""
         return int(self.status_report(number).get("version", "0"), 16)
 
     def synced(self, number: int) -> int:
-        """The configuration's version that its replica has synced, if it votes."""
+        """The configuration version that its replica has synced, if the replica votes, else 0."""
         replica = self.status_report(number).get("replica") or {"state": "", "held": {}}
         return int(replica["held"].get("config", 0)) if replica["state"] == "voting" else 0
 
@@ -343,43 +351,43 @@
         return (self.status_report(number).get("replica") or {}).get("state") == "voting"
 
     def ready(self, number: int) -> int:
-        """The status of readiness."""
+        """The HTTP status of its readiness."""
         return self.call(number, "GET", "/v1/readiness", timeout_s=2.0).status
 
     def metrics(self, number: int) -> dict[str, float]:
-        """Its figures by name; empty where it does not answer."""
+        """Its metrics by name; empty if it does not answer."""
         answer = self.call(number, "GET", "/v1/metrics", timeout_s=2.0)
         lines = answer.text.splitlines() if answer.status == 200 else []
         return {name: float(value) for name, _, value in (line.rpartition(" ") for line in lines)}
 
     def resolve_addresses(self, number: int, region: str) -> list[str]:
-        """The addresses that clients of a region are told to go to; none where it does not answer."""
+        """The addresses that the directory gives to clients of a region; none if it does not answer."""
         answer = self.call(number, "GET", f"/v1/resolve?region={region}", timeout_s=1.0)
         return list(answer.json()["addresses"]) if answer.status == 200 else []
 
     def new_attempt_id(self, number: int) -> str:
-        """The id of a new try at that gatekeeper."""
+        """The id of a new attempt, which encodes the gatekeeper."""
         return str(next(self._attempt) * MAX_PROCESSES + number)
 
     def process_of(self, attempt: str) -> int | None:
-        """At which gatekeeper a try was made; None where the id is none of ours."""
+        """The gatekeeper at which an attempt was made; None for an id from elsewhere."""
         return int(attempt) % MAX_PROCESSES if attempt.isdecimal() else None
 
     def client_fields(self, key: str, attempt: str) -> dict[str, str]:
-        """The header of a client's request."""
+        """The header fields of a client's request."""
         return {"Host": HOST, "Authorization": f"Token {key}", "Millfront-Deadline-Ms": "3000",
                 "Millfront-Attempt-Id": attempt}  # fmt: skip
 
     def order(self, number: int, key: str, operation: str) -> Answer:
-        """A client's request with an operation key."""
+        """Send a client's request with an operation key."""
         fields = self.client_fields(key, self.new_attempt_id(number)) | {"Millfront-Operation-Key": operation}
         return self.call(number, "POST", "/orders/1", "one", fields=fields, port=self.plain, timeout_s=4.0)
 
     def page(self, number: int, key: str) -> int:
-        """The status of a client's request with that key."""
+        """Send a client's request with an API key; returns its status."""
         fields = self.client_fields(key, self.new_attempt_id(number))
         return self.call(number, "GET", "/pages/1", fields=fields, port=self.plain).status
 
     def evacuate(self, number: int, zone: str, on: bool) -> Answer:
-        """An operator's call: a zone's servers are to get nothing, or again something."""
+        """Evacuate a zone, so that its servers get no requests, or end that."""
         return self.call(number, "POST" if on else "DELETE", f"/v1/evacuation/{zone}")
