--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -11,18 +11,18 @@
 
 PROCESSES, DISKS = 8, 4
 MANY_DISKS, MAX_MANY = 6, 200
-MEMORY_MB = 40  # of a process, with its sockets
+MEMORY_MB = 40  # per process, including its sockets
 SMALL_S, LONG_S = 60.0, 90.0
 
 
 def max_processes() -> int:
-    """Processes that half of the machine's memory bears, a few hundred at the most."""
+    """The number of processes that fit in half of the machine's memory, at most MAX_MANY."""
     memory_mb = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") // 2**20
     return min(MAX_MANY, memory_mb // 2 // MEMORY_MB)
 
 
 def seed_line(seed: int, record: Record) -> str:
-    """One line of a seed."""
+    """The result line of a seed."""
     shown = "; ".join(record.broken[:3])
     verdict = f"BROKEN ({len(record.broken)}): {shown}" if record.broken else "held"
     counts = " ".join(f"{name}={count}" for name, count in sorted(record.counts.items()))
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -1,25 +1,23 @@
-"""What befalls the processes of a soak, and when: drawn from a seed, no I/O."""
+"""The faults of a soak and their schedule, drawn from a seed; no I/O."""
 
 import random
 from dataclasses import dataclass
 from enum import Enum, unique
 
 MAX_CONCURRENT = 3
-RECOVERY_S = (
-    12.0  # from the start of a process with an empty disk, with the others still or cut off meanwhile
-)
-CONTACT_TIMEOUT_S = 4.0  # without trouble for so long a machine is in touch
-SERIES_INTERVAL_S = (0.3, 1.5)  # between the strikes of a series
+RECOVERY_S = 12.0  # from the start with an empty disk, while others may be frozen or cut off
+CONTACT_TIMEOUT_S = 4.0  # a machine without faults for that long is in contact with the others
+SERIES_INTERVAL_S = (0.3, 1.5)  # between the faults of a series
 MAX_SERIES = 4
 EXTRA_WIPED = 3
-SERIES_SHARE = 0.5  # of the troubles that come in series
-FIRST_FAULT_S = 1.0  # from the start to the first strike
-FAULT_INTERVAL_S = (0.2, 2.5)  # between strikes or series
+SERIES_SHARE = 0.5  # of the faults that may come in series
+FIRST_FAULT_S = 1.0  # from the start to the first fault
+FAULT_INTERVAL_S = (0.2, 2.5)  # between faults or series
 
 
 @unique
 class FaultKind(Enum):
-    """What can happen; the value is (shortest, longest) in seconds."""
+    """Kinds of faults; the value is (shortest, longest) duration in seconds."""
 
     KILLED = (0.3, 3.0)
     WIPED = (0.3, 2.0)
@@ -27,10 +25,10 @@
     STILL = (0.3, 4.0)
     CUT = (0.5, 4.0)
     ANSWERS_LOST = (1.0, 4.0)
-    TERMINATED = (0.0, 2.0)  # SIGTERM; off for so long after its end
+    TERMINATED = (0.0, 2.0)  # SIGTERM; the duration counts from the exit
     RELOADED = (0.0, 0.0)  # SIGHUP
     DISK_FULL = (1.0, 6.0)
-    POWER = (0.4, 2.0)  # of all at once
+    POWER = (0.4, 2.0)  # all processes at once
 
 
 PLANNED = frozenset((FaultKind.TERMINATED, FaultKind.RELOADED))
@@ -38,13 +36,13 @@
 NEEDS_DISK = frozenset((FaultKind.WIPED, FaultKind.DISK_FULL))
 NEEDS_RELAY = frozenset((FaultKind.CUT,))
 IN_SERIES = frozenset((FaultKind.KILLED, FaultKind.STILL, FaultKind.TERMINATED, FaultKind.RELOADED))
-GRACE_S = 6.0  # that a process may take to end in order
-ALL_PROCESSES = -1  # in place of a process
+GRACE_S = 6.0  # for an orderly exit
+ALL_PROCESSES = -1  # instead of a process number
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """A trouble that begins at a time, strikes a process, or all, and lasts."""
+    """A fault of one process, or of all, that starts at `at` seconds and lasts `duration_s`."""
 
     at: float
     kind: FaultKind
@@ -53,42 +51,42 @@
 
     @property
     def ends_by(self) -> float:
-        """When it is over at the latest."""
+        """The latest time of its end."""
         return self.at + self.duration_s + (GRACE_S if self.kind is FaultKind.TERMINATED else 0.0)
 
     @property
     def recovered_by(self) -> float:
-        """When its process counts again: one whose disk was lost has to recover."""
+        """When its process counts as up again: one that lost its disk must recover first."""
         return self.ends_by + (RECOVERY_S if self.kind is FaultKind.WIPED else 0.0)
 
     def affects(self, process: int) -> bool:
-        """Whether that process is struck."""
+        """Whether the fault affects that process."""
         return self.process in (process, ALL_PROCESSES)
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """What a plan is for."""
+    """The processes that faults are planned for."""
 
     processes: int
     disks: int
     relays: bool = True
 
     def kinds(self) -> list[FaultKind]:
-        """The troubles to draw from; a lost disk is drawn more often, since it seldom can be played."""
+        """The kinds to draw from; a lost disk is there more often, since it is seldom possible when drawn."""
         kinds = [kind for kind in FaultKind if self.relays or kind not in NEEDS_RELAY]
         return kinds + [FaultKind.WIPED] * EXTRA_WIPED
 
 
 class Planner:
-    """Draws strikes of which up to `MOST_AT_ONCE` overlap, no two at one process."""
+    """Draws faults, of which at most `MAX_CONCURRENT` overlap, never two at one process."""
 
     def __init__(self, rng: random.Random, fleet: Fleet, seconds: float) -> None:
         self.rng, self.fleet, self.seconds = rng, fleet, seconds
         self.faults: list[ScheduledFault] = []
 
     def plan(self) -> list[ScheduledFault]:
-        """All strikes by time."""
+        """Draw all faults, ordered by time."""
         at = FIRST_FAULT_S
         while at < self.seconds - 1.0:
             kind = self.rng.choice(self.fleet.kinds())
@@ -120,7 +118,7 @@
         busy = {fault.process for fault in active}
         last = self.fleet.disks if kind in NEEDS_DISK else self.fleet.processes
         free = [process for process in range(last) if process not in busy]
-        # As many disks as are borne may be lost at once: beside one that is down no other loses its disk
+        # At most as many disks are lost as the core tolerates: beside a machine with a disk that is down, none is
         if kind in (FaultKind.WIPED, FaultKind.OFF) and self._disks_down(at):
             return [] if kind is FaultKind.WIPED else [one for one in free if one >= self.fleet.disks]
         return free
@@ -134,5 +132,5 @@
 
 
 def plan_faults(rng: random.Random, fleet: Fleet, seconds: float) -> list[ScheduledFault]:
-    """The strikes of one seed."""
+    """Draw the faults of one seed."""
     return Planner(rng, fleet, seconds).plan()
--- a/benchmarks/soak/record.py
+++ b/benchmarks/soak/record.py
@@ -1,4 +1,4 @@
-"""What a soak saw, by several threads, and which machines were in touch when."""
+"""Records what a soak observed, from several threads, and which machines had faults when."""
 
 import threading
 import time
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class FaultPeriod:
-    """A trouble as it was played: from when to when, on the steady clock."""
+    """A fault as it happened: its start and end on the monotonic clock."""
 
     kind: FaultKind
     process: int
@@ -19,44 +19,46 @@
     ended: float = FOREVER
 
     def overlaps(self, since: float, until: float) -> bool:
-        """Whether any of it lies between the two."""
+        """Whether any part of it lies between the two times."""
         return self.started <= until and self.ended >= since
 
 
 @dataclass
 class Record:
-    """What was seen during one seed."""
+    """The observations during one seed."""
 
     disks: int = 0
     broken: list[str] = field(default_factory=list)
-    seals: dict[str, set[str]] = field(default_factory=dict)  # by operation key, of the successes
-    counts: dict[str, int] = field(default_factory=dict)  # by what was done
-    acknowledged: int = 0  # the highest version
-    evacuated: dict[str, bool] = field(default_factory=dict)  # by zone, as acknowledged last
+    seals: dict[str, set[str]] = field(
+        default_factory=dict
+    )  # by operation key, the server seals of successful answers
+    counts: dict[str, int] = field(default_factory=dict)  # by name of the event
+    acknowledged: int = 0  # the highest acknowledged version
+    evacuated: dict[str, bool] = field(default_factory=dict)  # by zone, as last acknowledged
     off_since: dict[int, float] = field(default_factory=dict)
     faults: list[FaultPeriod] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def check(self, holds: bool, text: str) -> None:
-        """Note what does not hold."""
+        """Record a check that failed."""
         if not holds:
             with self.lock:
                 self.broken.append(text)
 
     def count(self, what: str) -> None:
-        """One more of that."""
+        """Count an event."""
         with self.lock:
             self.counts[what] = self.counts.get(what, 0) + 1
 
     def begin_fault(self, kind: FaultKind, process: int) -> FaultPeriod:
-        """A trouble begins now."""
+        """Record a fault that begins now."""
         period = FaultPeriod(kind, process, time.monotonic())
         with self.lock:
             self.faults.append(period)
         return period
 
     def was_undisturbed(self, process: int, since: float, until: float) -> bool:
-        """Whether neither that machine nor the core had trouble, since the contact time before."""
+        """Whether that machine and the core had no fault from CONTACT_TIMEOUT_S before `since` to `until`."""
         with self.lock:
             near = [period for period in self.faults if period.overlaps(since - CONTACT_TIMEOUT_S, until)]
         return not any(
@@ -64,7 +66,7 @@
         )
 
     def only_planned_faults(self, process: int, since: float, until: float) -> bool:
-        """Whether planned work alone befell that machine, and nothing the core."""
+        """Whether that machine and the core had only planned faults then, and no loss of all power."""
         with self.lock:
             near = [period for period in self.faults if period.overlaps(since - CONTACT_TIMEOUT_S, until)]
         return all(
--- a/millfront/rehearsal/system.py
+++ b/millfront/rehearsal/system.py
@@ -128,8 +128,8 @@
 
 
 class System:
-    """Gatekeepers 0 to `count` - 1, of which the first `disks` have a disk and count for the core, in zones of
-    two regions. A context manager that starts the processes and kills them at the end."""
+    """Gatekeepers 0 to `count` - 1, of which the first `disks` have a disk and count for the core, in zones
+    of two regions. A context manager that starts the processes and kills them at the end."""
 
     def __init__(
         self,
