--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,6 +1,6 @@
-"""Who calls the processes of a soak: clients, whoever asks the directory, operators, the platform, scrapes.
+"""Callers of the processes of a soak: clients, users of the directory, an operator, the platform, a scraper.
 
-Each works on in a thread of its own until the soak ends, and notes what does not hold."""
+Each runs in a thread of its own until the soak stops, and records the checks that fail."""
 
 import http.client
 import random
@@ -19,30 +19,30 @@
 CONTACT_TIMEOUT_S, DIRECTORY_RETENTION_S = 4.0, 3.0
 REQUEST_INTERVAL_S = 0.02
 REPLACEMENT_INTERVAL_S = (1.0, 3.0)  # between replacements of servers
-REMOVAL_DELAY_S = 4.0  # beyond `drain_within` a server that drains serves on
+REMOVAL_DELAY_S = 4.0  # how long a draining server still serves after `drain_within`
 ANSWER_TIMEOUT_S = 4.0
-LOAD_SLACK_S = 1.5  # that a loaded machine may take longer than the bounds of the rules
-MAX_STALE_LOOKUPS = 3  # answers that may name a machine that is gone, by the rules
+LOAD_SLACK_S = 1.5  # that a loaded machine may exceed the bounds of the rules by
+MAX_STALE_LOOKUPS = 3  # answers that the rules allow to name a machine that is gone
 
 
 @dataclass(frozen=True, slots=True)
 class SoakContext:
-    """What all of them work on."""
+    """What all callers share."""
 
     system: System
     record: Record
     stopping: threading.Event
     drain_within: float
-    operation_count: int  # operation keys there are
+    operation_count: int  # number of operation keys
     sent: SentLog = field(default_factory=SentLog)  # requests of tenants with limits
 
     def random_process(self, rng: random.Random) -> int:
-        """A process, whatever state it is in."""
+        """A random process, in whatever state it is."""
         return rng.randrange(self.system.count)
 
 
 def orders(context: SoakContext, rng: random.Random) -> None:
-    """Repeat orders with operation keys at any gatekeeper: each runs once, all successes are alike."""
+    """Repeat orders with operation keys at any gatekeeper: all its successes are equal."""
     while not context.stopping.wait(REQUEST_INTERVAL_S):
         operation = f"o{rng.randrange(context.operation_count)}"
         answer = context.system.order(context.random_process(rng), API_KEY, operation)
@@ -59,7 +59,7 @@
 
 
 def kept_connections(context: SoakContext, rng: random.Random) -> None:
-    """Ask for pages on one connection until the process that it leads to is gone, then at another one."""
+    """Request pages on one connection until its process is gone, then connect to another process."""
     while not context.stopping.is_set():
         process = context.random_process(rng)
         address = context.system.links.advertised_ip(process)
@@ -70,7 +70,7 @@
 
 
 def _page(context: SoakContext, process: int, connection: http.client.HTTPConnection) -> bool:
-    """One request; whether the connection can take another."""
+    """Send one request; returns whether the connection can take another."""
     attempt, sent = context.system.new_attempt_id(process), time.monotonic()
     try:
         connection.request("GET", "/pages/1", headers=context.system.client_fields(API_KEY, attempt))
@@ -86,7 +86,7 @@
 def _check_unanswered(
     context: SoakContext, process: int, attempt: str, sent: float, fault: Exception
 ) -> None:
-    """Where planned work alone befell the process, what has run at a server is answered."""
+    """Unless an unplanned fault affected the process, a request that ran at a server must be answered."""
     context.record.count("unanswered")
     if attempt not in context.system.peer.observed.attempts:
         return
@@ -95,7 +95,7 @@
 
 
 def directory_lookups(context: SoakContext, rng: random.Random) -> None:
-    """Ask the directory: it names nobody who has been off for long, but for a few answers."""
+    """Query the directory: only a few answers may name a process that has been down for long."""
     late: list[str] = []
     regions = sorted(set(REGIONS.values()))
     while not context.stopping.wait(5.0 * REQUEST_INTERVAL_S):
@@ -109,12 +109,14 @@
         if named:
             context.record.count("lookups")
         if off.intersection(named) and context.record.was_undisturbed(process, asked, asked):
-            late.append(f"process {process} names one that is off")
-    context.record.check(len(late) <= MAX_STALE_LOOKUPS, f"{len(late)} answers: {late[:1]}")
+            late.append(f"process {process} names a process that is down")
+    context.record.check(
+        len(late) <= MAX_STALE_LOOKUPS, f"{len(late)} stale answers of the directory: {late[:1]}"
+    )
 
 
 def operator(context: SoakContext, rng: random.Random) -> None:
-    """Change the configuration at any gatekeeper, one version after another, and evacuate zones."""
+    """Put one configuration version after another at random gatekeepers, and evacuate zones."""
     version = 1
     while not context.stopping.wait(rng.uniform(0.2, 1.0)):
         version += 1
@@ -126,15 +128,15 @@
 
 
 def _evacuate(context: SoakContext, rng: random.Random) -> None:
-    """Of one zone, so that the servers of the others take the traffic whatever becomes of the call."""
+    """Evacuate or restore one fixed zone, so that the servers of other zones can always take the traffic."""
     zone, on = context.system.zones[-1], rng.random() < 0.5
-    context.record.evacuated.pop(zone, None)  # a call without an answer may be in force or not
+    context.record.evacuated.pop(zone, None)  # a call without an answer may or may not take effect
     if context.system.evacuate(context.random_process(rng), zone, on).status == 200:
         context.record.evacuated[zone] = on
 
 
 def replacements(context: SoakContext, rng: random.Random) -> None:
-    """Servers are replaced one after another; the old one drains, serves on for a while, and is gone."""
+    """Replace servers one after another; the old one drains, still serves for a while, and is removed."""
     draining: list[tuple[float, str]] = []
     while not context.stopping.wait(rng.uniform(*REPLACEMENT_INTERVAL_S)):
         draining.append((time.monotonic(), context.system.peer.replace()))
@@ -144,8 +146,8 @@
 
 
 def scrapes(context: SoakContext, rng: random.Random) -> None:
-    """Read the metrics: no invariant is violated, and no process goes back to an older version."""
-    seen: dict[int, tuple[int, float]] = {}  # by process: the life that was asked, and its version
+    """Read the metrics: no invariant may be violated, and no process may return to an older version."""
+    seen: dict[int, tuple[int, float]] = {}  # by process: its process id and its version at the last read
     while not context.stopping.wait(10.0 * REQUEST_INTERVAL_S):
         process = context.random_process(rng)
         pid = context.system.pid(process)
@@ -156,12 +158,14 @@
         version = figures["millfront_configuration_version"]
         previous_pid, previous = seen.get(process, (pid, 0.0))
         went_back = pid == previous_pid and version < previous
-        context.record.check(not went_back, f"process {process} went back from {previous:g} to {version:g}")
+        context.record.check(
+            not went_back, f"process {process} returned from version {previous:g} to {version:g}"
+        )
         seen[process] = (pid, version)
 
 
 def check_violations(record: Record, process: int, figures: dict[str, float]) -> None:
-    """Note each invariant that a process has counted as violated."""
+    """Record each invariant whose violations a process has counted."""
     for name, count in figures.items():
         if name.startswith("millfront_invariant_violations_total"):
             record.check(count == 0.0, f"process {process}: {name} {count:g}")
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -118,7 +118,7 @@
         busy = {fault.process for fault in active}
         last = self.fleet.disks if kind in NEEDS_DISK else self.fleet.processes
         free = [process for process in range(last) if process not in busy]
-        # At most as many disks are lost as the core tolerates: beside a machine with a disk that is down, none is
+        # The core tolerates a bounded loss: while a machine with a disk is down, no other loses its disk
         if kind in (FaultKind.WIPED, FaultKind.OFF) and self._disks_down(at):
             return [] if kind is FaultKind.WIPED else [one for one in free if one >= self.fleet.disks]
         return free
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -1,4 +1,4 @@
-"""One seed of a soak: strikes and clients at once, then the end, after which all must work again."""
+"""One seed of a soak: faults and clients at the same time, then a check that everything works again."""
 
 import random
 import tempfile
@@ -13,10 +13,10 @@
 from benchmarks.soak.record import Record
 from millfront.rehearsal.system import ConditionTimeout, System, wait_until
 
-RECOVERY_TIMEOUT_S = 30.0  # after all troubles have ended everything works again
+RECOVERY_TIMEOUT_S = 30.0  # after the last fault, until everything works again
 START_TIMEOUT_S = 60.0
-NOT_READY_AFTER_S = 4.0  # after SIGTERM a machine does not count as ready any more
-EXIT_TIMEOUT_S = GRACE_S + 3.0  # after SIGTERM, on a machine that does other work, too
+NOT_READY_AFTER_S = 4.0  # after SIGTERM, until a machine must not report ready any more
+EXIT_TIMEOUT_S = GRACE_S + 3.0  # after SIGTERM, with slack for a loaded machine
 DEDUPE_WINDOW_S = 60.0
 DRAIN_WITHIN_S = 3.0
 LOST_ANSWER_SHARE = 0.3
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakSettings:
-    """What is played."""
+    """The settings of one run."""
 
     seed: int
     seconds: float
     fleet: Fleet
 
     def bounds(self) -> dict[str, str]:
-        """Of the settings; no key's window ends meanwhile: each runs once, whenever it comes again."""
+        """Bounds for the settings; no key's window ends during the run, so each key runs only once."""
         return {
             "dedupe_window": f"{DEDUPE_WINDOW_S + 3.0 * self.seconds:g}s",
             "drain_within": f"{DRAIN_WITHIN_S:g}s",
@@ -41,7 +41,7 @@
 
 
 class Soak:
-    """One seed."""
+    """One run."""
 
     def __init__(self, system: System, settings: SoakSettings) -> None:
         self.system, self.settings = system, settings
@@ -53,7 +53,7 @@
         self.context = clients.SoakContext(system, self.record, self._stopping, DRAIN_WITHIN_S, operations)
 
     def run(self) -> Record:
-        """Everything at once until the time is over; then all must work again."""
+        """Run faults and clients until the time is over, then check that everything works again."""
         self._first_configuration()
         started = time.monotonic()
         threads = [
@@ -84,7 +84,7 @@
     def _all_ready(self) -> bool:
         return all(self.system.ready(number) == 200 for number in range(self.system.count))
 
-    # ---- troubles ------------------------------------------------------------------------------------
+    # ---- faults --------------------------------------------------------------------------------------
 
     def _schedule_fault(self, started: float, fault: ScheduledFault) -> None:
         try:
@@ -92,10 +92,10 @@
             if fault.process == ALL_PROCESSES:
                 self._lose_power(fault)
                 return
-            with self._fault_locks[fault.process]:  # on a busy machine the one before may end late
+            with self._fault_locks[fault.process]:  # on a busy machine the previous fault may end late
                 self._run_fault(fault)
         except Exception as error:
-            self.record.check(False, f"{fault} could not be played: {error!r}")
+            self.record.check(False, f"{fault} could not be injected: {error!r}")
 
     def _run_fault(self, fault: ScheduledFault) -> None:
         self.record.count(fault.kind.name.lower())
@@ -150,15 +150,20 @@
         self.system.start(process)
 
     def _terminate(self, process: int) -> None:
-        """SIGTERM: it does not count as ready for long, ends in time, and in order."""
+        """Send SIGTERM: the process must soon report not ready, and exit in time with code 0."""
         sent, record = time.monotonic(), self.record
         ending = self.system.terminate(process)
         while ending.poll() is None and time.monotonic() - sent < EXIT_TIMEOUT_S:
             threading.Event().wait(0.1)
             if ending.poll() is None and time.monotonic() - sent > NOT_READY_AFTER_S:
-                record.check(self.system.ready(process) != 200, f"process {process} is ready after SIGTERM")
+                record.check(
+                    self.system.ready(process) != 200,
+                    f"process {process} is still ready {NOT_READY_AFTER_S:g} s after SIGTERM",
+                )
         if record.only_planned_faults(process, sent, time.monotonic()):
-            record.check(ending.poll() == 0, f"process {process} ended with {ending.poll()} after SIGTERM")
+            record.check(
+                ending.poll() == 0, f"process {process} ended with exit code {ending.poll()} after SIGTERM"
+            )
         if ending.poll() is None:
             ending.kill()
         ending.wait(EXIT_TIMEOUT_S)
@@ -166,7 +171,7 @@
         record.off_since[process] = time.monotonic()
 
     def _lose_power(self, fault: ScheduledFault) -> None:
-        """All processes that run go at once; those that are in another trouble by then are left to it."""
+        """Kill all processes at once, except those that have another fault at that time."""
         self.record.count("power")
         killed = [number for number, lock in enumerate(self._fault_locks) if lock.acquire(blocking=False)]
         period = self.record.begin_fault(fault.kind, ALL_PROCESSES)
@@ -183,7 +188,7 @@
     # ---- the end ---------------------------------------------------------------------------------------
 
     def _closing_fault(self) -> None:
-        """Right after a change was acknowledged a disk is lost, and all other machines lose power."""
+        """Right after a change was acknowledged, lose power on all machines, and one disk."""
         version = self.record.acknowledged + 1000
         text = quotas.configuration(version, clients.API_KEY)
         at = self.random.randrange(self.system.count)
@@ -200,7 +205,7 @@
             self.system.start(number)
 
     def _check_recovery(self, phase: str) -> None:
-        """Nothing that was acknowledged is lost, and all serve again."""
+        """Check that nothing acknowledged was lost, and that all processes serve again."""
         record, system = self.record, self.system
         if self.settings.fleet.relays:
             system.links.heal()
@@ -210,7 +215,7 @@
             self._reads_back(phase)
             for key in quotas.PERMANENT_TENANTS:
                 is_served = partial(self._is_served, key)
-                wait_until(f"{phase} a request of {key} is let in", is_served, RECOVERY_TIMEOUT_S)
+                wait_until(f"{phase} a request of {key} is served", is_served, RECOVERY_TIMEOUT_S)
             wait_until(f"{phase} all members of the core hold all keys", self._keys_held, RECOVERY_TIMEOUT_S)
             wait_until(
                 "an order is served",
@@ -225,22 +230,23 @@
             record.check(len(runs) == 1, f"{operation} ran {len(runs)} times")
 
     def _keys_held(self) -> bool:
-        """Whether each member of the core has all records of operation keys: until then its copy does not
-        count as one of those that may be lost."""
+        """Whether each member of the core has all records of operation keys: until then its copy is not one
+        of those of which some may be lost."""
         members = (self.system.status_report(0).get("core") or {}).get("members", ())
         numbers = [number for number, name in enumerate(self.system.names) if name in members]
         complete = [self.system.metrics(n).get("millfront_operations_complete") for n in numbers]
         return bool(numbers) and all(one == 1.0 for one in complete)
 
     def _is_served(self, key: str) -> bool:
-        """Whether a request of that tenant is served, at any process."""
+        """Whether a random process serves a request of that tenant."""
         return self.system.page(self.random.randrange(self.system.count), key) == 200
 
     def _reads_back(self, phase: str) -> None:
         record, system = self.record, self.system
         found = int(system.retry_call(0, system.get, RECOVERY_TIMEOUT_S).json()["revision"], 16)
         record.check(
-            found >= record.acknowledged, f"{phase} {found} is read, {record.acknowledged} was acknowledged"
+            found >= record.acknowledged,
+            f"{phase} version {found} is read, but {record.acknowledged} was acknowledged",
         )
         for zone, on in record.evacuated.items():
             self._evacuated(phase, zone, on)
@@ -249,22 +255,23 @@
         def known() -> bool:
             return (zone in self.system.status_report(0).get("evacuated", ())) is on
 
-        wait_until(f"{phase} {zone} is {'evacuated' if on else 'taken back'}", known, RECOVERY_TIMEOUT_S)
+        wait_until(f"{phase} {zone} is {'evacuated' if on else 'restored'}", known, RECOVERY_TIMEOUT_S)
 
     def _check_draining(self) -> None:
-        """No machine in touch sent to a server that had been draining for longer than the bound."""
+        """Check that no machine without faults sent to a server that was draining for too long."""
         for late in self.system.peer.observed.draining_arrivals:
             process = self.system.process_of(late.attempt)
             if process is None or late.after_s <= DRAIN_WITHIN_S + clients.LOAD_SLACK_S:
                 continue
             in_touch = self.record.was_undisturbed(process, late.at - late.after_s, late.at)
             self.record.check(
-                not in_touch, f"{late.ident} drains for {late.after_s:.1f} s and has a request of {process}"
+                not in_touch,
+                f"{late.ident} got a request of process {process} after draining for {late.after_s:.1f} s",
             )
 
 
 def run_soak(settings: SoakSettings) -> Record:
-    """One seed in a folder of its own."""
+    """Run one seed in a temporary folder."""
     fleet = settings.fleet
     with (
         tempfile.TemporaryDirectory() as folder,
--- a/benchmarks/soak/quotas.py
+++ b/benchmarks/soak/quotas.py
@@ -1,7 +1,7 @@
-"""Tenants with limits in a soak: clumps over all machines, hot tenants, limits that change, and the windows.
+"""Tenants with limits in a soak: bursts over all machines, hot tenants, changing limits, and their check.
 
-Clients keep a connection to each process until that process is gone. What ran is judged from what the servers
-saw, each window of `QuotaRule.window_s` by the highest limit that the tenant ever had."""
+Clients keep a connection to each process until that process is gone. The check uses the requests that the
+servers received: each window of `QuotaRule.window_s` must keep to the highest limit that its tenant had."""
 
 import random
 from typing import TYPE_CHECKING
@@ -21,19 +21,21 @@
     "changing": Limit(24.0, 24.0),
 }
 CHANGING_TENANT = "changing"
-LOWERED_LIMIT = Limit(8.0, 8.0)  # of that tenant, in every other version
-ABSENT_EVERY = 5  # in each so many versions it is not there at all
-PERMANENT_TENANTS = tuple(key for key in LIMITS if key != CHANGING_TENANT)  # in each version, same limit
+LOWERED_LIMIT = Limit(8.0, 8.0)  # of CHANGING_TENANT, in every other version
+ABSENT_EVERY = 5  # CHANGING_TENANT is absent from every so many-th version
+PERMANENT_TENANTS = tuple(
+    key for key in LIMITS if key != CHANGING_TENANT
+)  # in every version, with the same limit
 RULE = QuotaRule()
-BURST_INTERVAL_S = (0.2, 2.0)  # between clumps
-HOT_DURATION_S, HOT_PAUSE_S = (2.0, 6.0), (1.0, 5.0)  # of a hot tenant, and between two
+BURST_INTERVAL_S = (0.2, 2.0)  # between bursts
+HOT_DURATION_S, HOT_PAUSE_S = (2.0, 6.0), (1.0, 5.0)  # how long a tenant is hot, and the pause after it
 HOT_BURST_INTERVAL_S = 0.15
 
 
 def configuration(version: int, key: str) -> str:
-    """The document of that version: the usual tenant, and those with limits.
+    """The configuration document of a version: a tenant without a tight limit, and those with limits.
 
-    :param key: the usual tenant's
+    :param key: the API key of the former
     """
     limits = dict(LIMITS)
     if version % 2:
@@ -44,7 +46,7 @@
 
 
 def send_bursts(context: "SoakContext", rng: random.Random) -> None:
-    """One request, or a few, of a tenant at each process at once; now and then of all tenants together."""
+    """Send a request or two of a tenant to each process at once; sometimes of all tenants together."""
     connections = KeptConnections(context.system, context.sent)
     while not context.stopping.is_set():
         connections.open()
@@ -57,7 +59,7 @@
 
 
 def hot_tenants(context: "SoakContext", rng: random.Random) -> None:
-    """One tenant after another asks for many times its limit, through whatever befalls the processes."""
+    """Let one tenant after another send many times its limit, whatever faults the processes have."""
     connections = KeptConnections(context.system, context.sent)
     while not context.stopping.wait(rng.uniform(*HOT_PAUSE_S)):
         key, duration_s = rng.choice(list(LIMITS)), rng.uniform(*HOT_DURATION_S)
@@ -72,12 +74,13 @@
 
 
 def check_windows(record: Record, sent: SentLog, observed: ObservedRequests) -> None:
-    """Each window of each tenant."""
+    """Check every window of every tenant against its limit."""
     attempts = observed.attempts.copy()
     for key, limit in LIMITS.items():
         runs = sent.runs(key, attempts)
         highest, allowed = max_requests_in_window(runs, RULE.window_s), RULE.allowed(limit.rate, limit.burst)
         record.counts[f"{key}_most_of_{allowed:.0f}"] = highest
         record.check(
-            highest <= allowed, f"{highest} requests of {key} ran within {RULE.window_s:g} s of {allowed:g}"
+            highest <= allowed,
+            f"{highest} requests of {key} ran within {RULE.window_s:g} s, allowed {allowed:g}",
         )
