--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -68,7 +68,7 @@
         self._stopping.set()
         for thread in threads:
             thread.join()
-        self._check_recovery("after all troubles")
+        self._check_recovery("after all faults")
         self._closing_fault()
         self._check_recovery("after the closing fault")
         self._check_draining()
--- a/millfront/rehearsal/audit.py
+++ b/millfront/rehearsal/audit.py
@@ -276,8 +276,8 @@
     total = longest = run = 0.0
     last = steps[0][0] if steps else 0.0
     for at, gatekeeper, version in [*steps, (end, -1, None)]:
-        held = list(in_force.values())
-        contradicting = any(not set(one) & set(other) for one in held for other in held)
+        active = list(in_force.values())
+        contradicting = any(not set(one) & set(other) for one in active for other in active)
         if contradicting:
             total += at - last
             run += at - last
--- a/millfront/rehearsal/system.py
+++ b/millfront/rehearsal/system.py
@@ -120,8 +120,8 @@
 
 def free_ports(count: int) -> list[int]:
     """Ports free on 127.0.0.1; the system uses them at other addresses, which nothing else uses."""
-    with contextlib.ExitStack() as held:
-        socks = [held.enter_context(socket.socket()) for _ in range(count)]
+    with contextlib.ExitStack() as stack:
+        socks = [stack.enter_context(socket.socket()) for _ in range(count)]
         for sock in socks:
             sock.bind(("127.0.0.1", 0))
         return [int(sock.getsockname()[1]) for sock in socks]
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,5 +1,5 @@
-"""The rehearsal kit: scenarios checked by field, auditors that catch what they are for, and a rehearsal of
-real gatekeeper processes with faults between them."""
+"""The rehearsal kit: validation of scenarios, rules that detect violations, and rehearsals of real gatekeeper
+processes with faults between them."""
 
 import asyncio
 from pathlib import Path
@@ -25,46 +25,48 @@
         ("name = ", "can't be read"),
     ],
 )
-def test_a_wrong_scenario_is_named_by_its_field(text: str, path: str) -> None:
+def test_an_invalid_scenario_is_reported_with_its_field(text: str, path: str) -> None:
     with pytest.raises(Unusable, match=path.replace("$", r"\$").replace("[", r"\[")):
         scenario.parse(text.encode(), toml=True)
 
 
-def test_every_example_scenario_is_sound() -> None:
+def test_every_example_scenario_is_valid() -> None:
     assert [scenario.load(path).name for path in sorted(EXAMPLES.glob("*.toml"))]
 
 
 def observed(
-    *arrivals: Arrival, requests: list[SentRequest] | None = None, told: list[HealthUpdate] | None = None
+    *arrivals: Arrival, requests: list[SentRequest] | None = None, updates: list[HealthUpdate] | None = None
 ) -> audit.Observations:
     rules = settings(scenario.Scenario(name="t", duration_s=1))
     return audit.Observations(
-        rules, requests or [], list(arrivals), told or [], {0: [0.0]}, {}, plan="regular"
+        rules, requests or [], list(arrivals), updates or [], {0: [0.0]}, {}, plan="regular"
     )
 
 
-def test_the_auditors_see_what_they_are_for() -> None:
-    """Each guard against a broken rule, fed records that break it, and records that do not."""
+def test_each_rule_detects_its_violation() -> None:
+    """Each rule, given records that break it, and records that do not."""
     twice = observed(
         Arrival(1.0, 0, 0, "r1", "code-redeem", "c", 1, "error"),
         Arrival(1.2, 1, 1, "r1", "code-redeem", "c", 1),
     )
     assert not audit.check_rules(twice)["unsafe_never_twice"].held
-    unseen = observed(
+    not_started = observed(
         Arrival(1.0, 0, 0, "r1", "code-redeem", "c", 1, "not_started"),
         Arrival(1.2, 1, 1, "r1", "code-redeem", "c", 1),
     )
-    assert audit.check_rules(unseen)["unsafe_never_twice"].held
+    assert audit.check_rules(not_started)["unsafe_never_twice"].held
     keyed = observed(
         Arrival(1.0, 0, 0, "r2", "issue-buy", "c", 1, "lost"), Arrival(9.5, 0, 1, "r2", "issue-buy", "c", 1)
     )
     assert not audit.check_rules(keyed)["keyed_within_group"].held
     late = observed(
-        Arrival(3.0, 0, 2, "r3", "page-fetch", "c", 1, "ok"), told=[HealthUpdate(2.0, 0, 2, "Terminating", 2)]
+        Arrival(3.0, 0, 2, "r3", "page-fetch", "c", 1, "ok"),
+        updates=[HealthUpdate(2.0, 0, 2, "Terminating", 2)],
     )
     assert not audit.check_rules(late)["drain"].held
     in_time = observed(
-        Arrival(2.3, 0, 2, "r3", "page-fetch", "c", 1, "ok"), told=[HealthUpdate(2.0, 0, 2, "Terminating", 2)]
+        Arrival(2.3, 0, 2, "r3", "page-fetch", "c", 1, "ok"),
+        updates=[HealthUpdate(2.0, 0, 2, "Terminating", 2)],
     )
     assert audit.check_rules(in_time)["drain"].held
     burst = [Arrival(1.0 + i / 1000, 0, 0, f"b{i}", "page-fetch", "c", 1, "ok") for i in range(60)]
@@ -135,8 +137,8 @@
 
 
 def test_three_processes_keep_every_rule_through_faults(tmp_path: Path) -> None:
-    told = scenario.parse(FAULTS.encode(), toml=True)
-    verdict = asyncio.run(run_scenario(told, tmp_path))
+    parsed = scenario.parse(FAULTS.encode(), toml=True)
+    verdict = asyncio.run(run_scenario(parsed, tmp_path))
     assert verdict["passed"], verdict["rules"]
     assert verdict["figures"]["requests"] > 200
     assert (tmp_path / "verdict.json").exists()
@@ -148,7 +150,7 @@
     assert verdict["figures"]["versions_at_end"] == 1
 
 
-def test_time_on_two_rules_counts_lives_and_changes() -> None:
+def test_time_on_two_rules_counts_restarts_and_changes() -> None:
     lines = [
         {"event": "serves", "settings": "a", "timestamp": "1970-01-01T00:00:10Z", "gatekeeper": 0},
         {"event": "serves", "settings": "a", "timestamp": "1970-01-01T00:00:10Z", "gatekeeper": 1},
@@ -189,31 +191,31 @@
 
 
 def test_without_agreement_a_lost_sighup_leaves_two_versions_to_the_end(tmp_path: Path) -> None:
-    told = scenario.parse(AGREED.replace("operators = ", "# ").encode(), toml=True)
-    verdict = asyncio.run(run_scenario(told, tmp_path))
+    parsed = scenario.parse(AGREED.replace("operators = ", "# ").encode(), toml=True)
+    verdict = asyncio.run(run_scenario(parsed, tmp_path))
     assert verdict["passed"], verdict["rules"]
     assert verdict["figures"]["versions_at_end"] == 2
 
 
-def test_gatekeepers_that_missed_a_sighup_come_over_by_the_counter_or_its_silence(tmp_path: Path) -> None:
-    """Against two versions in force until somebody notices: g2 sees the others at the counter, g3 cannot
-    reach it and reads its file again."""
+def test_gatekeepers_that_missed_a_sighup_learn_of_it_by_the_counter_or_its_silence(tmp_path: Path) -> None:
+    """Guards against two versions staying in force after a lost SIGHUP: g2 sees the others' version at the
+    counter; g3 can't reach the counter and rereads its file."""
     verdict = asyncio.run(run_scenario(scenario.parse(AGREED.encode(), toml=True), tmp_path))
     assert verdict["passed"], verdict["rules"]
     figures = verdict["figures"]
     assert figures["versions_at_end"] == 1
-    # The interim holds both versions at once; what is left is the instant between a SIGHUP's settings and
-    # the view taking them, with no I/O between.
+    # The interim settings hold both versions; what is left is the moment between a SIGHUP's settings and
+    # the agreement view taking them over, without I/O in between.
     assert figures["time_on_two_rules_s"] < 0.05, figures
-    # Four calls a bucket from each of four, and a quarter more for the starts before the rehearsal's zero:
-    # a gatekeeper counted twice in one roll call would stand in for one that is missing.
+    # Four calls per bucket from each of four, and a quarter more for the starts before the rehearsal's
+    # start: a gatekeeper counted twice in one bucket would hide one that is missing.
     assert figures["counter_calls_per_s"] <= 4 * 4 / 0.3 * 1.25
     logs = (tmp_path / "logs.jsonl").read_text().splitlines()
     changed = {line.split('"gatekeeper": ')[1][0] for line in logs if '"settings change"' in line}
     assert changed == {"0", "1", "2", "3"}
 
 
-def test_an_interim_that_holds_both_versions_contradicts_neither() -> None:
+def test_interim_settings_with_both_versions_contradict_neither() -> None:
     at = "1970-01-01T00:00:1{}Z".format
     lines = [
         {"event": "serves", "settings": "a", "timestamp": at(0), "gatekeeper": 0},
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's short form: one seed with real processes on loopback, and a plan that keeps to its bounds."""
+"""A short soak: one seed with real processes on loopback; and fault schedules that keep to their bounds."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_troubles_overlap_and_no_disk_is_lost_beside_one_that_is_down(seed: int) -> None:
+def test_faults_overlap_and_no_disk_is_lost_while_another_is_down(seed: int) -> None:
     faults = plan_faults(random.Random(seed), FLEET, 4 * LONG_S)
     assert {fault.kind for fault in faults} == set(FaultKind)
     most = 0
@@ -48,12 +48,12 @@
     assert 2 <= most <= MAX_CONCURRENT <= PROCESSES
 
 
-def test_a_fleet_without_relays_is_not_cut() -> None:
+def test_without_relays_no_link_is_cut() -> None:
     faults = plan_faults(random.Random(1), Fleet(100, 6, relays=False), 2 * LONG_S)
     assert faults and not {fault.kind for fault in faults} & NEEDS_RELAY
 
 
-def test_what_does_not_hold_is_noted_and_told() -> None:
+def test_failed_checks_are_recorded_and_printed() -> None:
     record = Record()
     record.check(True, "holds")
     record.check(False, "does not")
@@ -61,7 +61,7 @@
     assert seed_line(7, record).startswith("seed=7: BROKEN (1): does not")
 
 
-def test_a_machine_is_in_touch_while_neither_it_nor_the_core_has_trouble() -> None:
+def test_a_machine_is_undisturbed_while_neither_it_nor_the_core_has_faults() -> None:
     record = Record(disks=DISKS)
     period = record.begin_fault(FaultKind.RELOADED, DISKS)  # a machine without a disk
     period.ended = period.started
