--- a/millfront/operations/store.py
+++ b/millfront/operations/store.py
@@ -35,7 +35,7 @@
 MAX_EPOCH_GAP = 2  # a core value names the members of two epochs: its own and the one before
 WINDOW_MARGIN_S = 5.0  # added to the window: a request is claimed a moment after it was sent
 PAGE_RECORDS = 300  # records per page sent to a gathering replica
-MAX_ANSWERS_BYTES = 16 * 1024 * 1024  # total size of stored answers; an answer beyond it becomes UNKNOWN
+MAX_ANSWERS_BYTES = 16 * 1024 * 1024  # total size of stored answers; beyond it operations end as UNKNOWN
 SWEEP_INTERVAL_S = 5.0
 
 
@@ -51,14 +51,14 @@
 
     def to_row(self) -> str:
         """The row as stored on disk."""
-        kept = self.answer.to_wire() if self.answer is not None else None
-        return json.dumps([self.attempt, self.state.value, kept], separators=(",", ":"))
+        answer = self.answer.to_wire() if self.answer is not None else None
+        return json.dumps([self.attempt, self.state.value, answer], separators=(",", ":"))
 
     @classmethod
     def from_row(cls, row: str, now: float) -> "Operation":
         """Parse a row; its window starts now."""
-        attempt, state, kept = json.loads(row)
-        answer = StoredAnswer.from_wire(kept) if kept is not None else None
+        attempt, state, fields = json.loads(row)
+        answer = StoredAnswer.from_wire(fields) if fields is not None else None
         return cls(attempt, now, State(state), answer, exact_age=False)
 
 
--- a/millfront/rehearsal/scenario.py
+++ b/millfront/rehearsal/scenario.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from millfront.operators.faults import Fault as DocumentFault
-from millfront.operators.faults import Unusable, faults_of
+from millfront.operators.faults import InvalidDocument, find_faults
 
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3_600)]
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
@@ -134,29 +134,29 @@
 def parse(text: bytes, toml: bool) -> Scenario:
     """Parse and validate a scenario.
 
-    :raises Unusable: with every error, each with its path
+    :raises InvalidDocument: with every error, each with its path
     """
     try:
         raw: object = tomllib.loads(text.decode()) if toml else json.loads(text)
     except (tomllib.TOMLDecodeError, ValueError, UnicodeDecodeError) as error:
-        raise Unusable("scenario", [DocumentFault("$", f"can't be read: {error}")]) from None
+        raise InvalidDocument("scenario", [DocumentFault("$", f"can't be read: {error}")]) from None
     try:
         return msgspec.convert(raw, type=Scenario)
     except msgspec.ValidationError as error:
-        found = faults_of(Scenario, raw) or [DocumentFault("$", str(error))]
-    raise Unusable("scenario", found)
+        found = find_faults(Scenario, raw) or [DocumentFault("$", str(error))]
+    raise InvalidDocument("scenario", found)
 
 
 def load(path: str | Path) -> Scenario:
     """Load a scenario file.
 
-    :raises Unusable: with every error; also if the file can't be read
+    :raises InvalidDocument: with every error; also if the file can't be read
     """
     file = Path(path)
     try:
         text = file.read_bytes()
     except OSError as error:
-        raise Unusable("scenario", [DocumentFault("$", f"{file}: {error.strerror}")]) from None
+        raise InvalidDocument("scenario", [DocumentFault("$", f"{file}: {error.strerror}")]) from None
     return parse(text, toml=file.suffix == ".toml")
 
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from millfront.operators.faults import Unusable
+from millfront.operators.faults import InvalidDocument
 from millfront.rehearsal import audit, scenario
 from millfront.rehearsal.load import SentRequest
 from millfront.rehearsal.play import run_scenario, settings
@@ -26,7 +26,7 @@
     ],
 )
 def test_an_invalid_scenario_is_reported_with_its_field(text: str, path: str) -> None:
-    with pytest.raises(Unusable, match=path.replace("$", r"\$").replace("[", r"\[")):
+    with pytest.raises(InvalidDocument, match=path.replace("$", r"\$").replace("[", r"\[")):
         scenario.parse(text.encode(), toml=True)
 
 
