--- a/benchmarks/soak/quotas.py
+++ b/benchmarks/soak/quotas.py
@@ -23,12 +23,11 @@
 CHANGING_TENANT = "changing"
 LOWERED_LIMIT = Limit(8.0, 8.0)  # of CHANGING_TENANT, in every other version
 ABSENT_EVERY = 5  # CHANGING_TENANT is absent from every so many-th version
-PERMANENT_TENANTS = tuple(
-    key for key in LIMITS if key != CHANGING_TENANT
-)  # in every version, with the same limit
+# In every version, with the same limit
+PERMANENT_TENANTS = tuple(key for key in LIMITS if key != CHANGING_TENANT)
 RULE = QuotaRule()
 BURST_INTERVAL_S = (0.2, 2.0)  # between bursts
-HOT_DURATION_S, HOT_PAUSE_S = (2.0, 6.0), (1.0, 5.0)  # how long a tenant is hot, and the pause after it
+HOT_DURATION_S, HOT_PAUSE_S = (2.0, 6.0), (1.0, 5.0)  # how long a tenant is hot, and the pause between two
 HOT_BURST_INTERVAL_S = 0.15
 
 
--- a/millfront/rehearsal/system.py
+++ b/millfront/rehearsal/system.py
@@ -29,13 +29,8 @@
 from millfront.rehearsal.servers import PeerServer
 
 ROOT = Path(__file__).parents[2]
-REGIONS = {
-    "north": "a",
-    "south": "a",
-    "east": "b",
-    "west": "b",
-    "far": "b",
-}  # by zone; a zone's first gatekeeper has the zone's name
+# By zone; a zone's first gatekeeper has the zone's name
+REGIONS = {"north": "a", "south": "a", "east": "b", "west": "b", "far": "b"}
 HOST = "shop.example"
 START_TIMEOUT_S = 20.0
 MAX_PROCESSES = 1000
