--- a/benchmarks/soak/record.py
+++ b/benchmarks/soak/record.py
@@ -29,9 +29,7 @@
 
     disks: int = 0
     broken: list[str] = field(default_factory=list)
-    seals: dict[str, set[str]] = field(
-        default_factory=dict
-    )  # by operation key, the server seals of successful answers
+    seals: dict[str, set[str]] = field(default_factory=dict)  # by operation key, of successes
     counts: dict[str, int] = field(default_factory=dict)  # by name of the event
     acknowledged: int = 0  # the highest acknowledged version
     evacuated: dict[str, bool] = field(default_factory=dict)  # by zone, as last acknowledged
--- a/millfront/rehearsal/servers.py
+++ b/millfront/rehearsal/servers.py
@@ -50,9 +50,7 @@
 class ObservedRequests:
     """The requests that the servers received."""
 
-    orders: dict[str, list[str]] = field(
-        default_factory=dict
-    )  # by operation key, the server seal of each run
+    orders: dict[str, list[str]] = field(default_factory=dict)  # by operation key, each run's seal
     attempts: dict[str, float] = field(default_factory=dict)  # by attempt id, when a request ran first
     draining_arrivals: list[LateArrival] = field(default_factory=list)
 
