--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from millfront.rehearsal.system import Answer, Late, System, document, until
+from millfront.rehearsal.system import Answer, ConditionTimeout, System, document, wait_until
 
 REVOKE_S = 5.0  # default of `revoke_within`
 LEASE_S = 0.8 * REVOKE_S
@@ -158,16 +158,16 @@
 
 
 def wait_in_force(system: System, version: int, gatekeepers: list[int]) -> float:
-    return until(
+    return wait_until(
         f"version {version} everywhere", lambda: all(system.version(n) >= version for n in gatekeepers)
     )
 
 
 def put_first_version(system: System, version: int, keys: list[str]) -> None:
     """Put a first version and wait until it is in force everywhere."""
-    system.settled(0, lambda number: system.put(number, document(version, keys)))
+    system.retry_call(0, lambda number: system.put(number, document(version, keys)))
     gatekeepers = list(range(system.count))
-    until("all ready", lambda: all(system.ready(number) == 200 for number in gatekeepers))
+    wait_until("all ready", lambda: all(system.ready(number) == 200 for number in gatekeepers))
     wait_in_force(system, version, gatekeepers)
 
 
@@ -196,7 +196,7 @@
     ):
         system.links.cut(member, direction, late_bytes)
         since = time.monotonic()
-        answer = system.settled(others[0], lambda number: system.put(number, document(2, ["kept", "new"])))
+        answer = system.retry_call(others[0], lambda number: system.put(number, document(2, ["kept", "new"])))
         acked_at = time.monotonic()
         verdict.check(
             answer.status == 200, f"put of version 2: expected 200, got {answer.status} {answer.text}"
@@ -220,28 +220,30 @@
             if time.monotonic() - since > duration_s / 2:
                 break
         lease_end = since + LEASE_S + LEASE_MARGIN_S
-        until("the lease's end", lambda: time.monotonic() > lease_end)
+        wait_until("the lease's end", lambda: time.monotonic() > lease_end)
         status = system.page(member, "kept")
         verdict.check(status == 503, f"cut off without a lease, valid key: expected 503, got {status}")
         status = system.page(member, "gone")
         verdict.check(status in (401, 503), f"cut off without a lease, removed key: got {status}")
         verdict.figures["new_key_there"] = system.page(member, "new")  # not checked
-        until("the cut's end", lambda: time.monotonic() - since > duration_s)
+        wait_until("the cut's end", lambda: time.monotonic() - since > duration_s)
         system.links.heal()
         healed = time.monotonic()
-        answer = system.settled(member, system.get)
+        answer = system.retry_call(member, system.get)
         verdict.figures["read_again_s"] = round(time.monotonic() - healed, 2)
         verdict.check(
             revision(answer) in (2, 3 if higher else 2), f"healed, a read: version {revision(answer)}"
         )
-        until("it is ready", lambda: system.ready(member) == 200)
+        wait_until("it is ready", lambda: system.ready(member) == 200)
         verdict.figures["ready_again_s"] = round(time.monotonic() - healed, 2)
         # Delayed bytes have arrived: the confirmed document of that number stays, and nothing was evacuated
-        answer = system.settled(others[1], system.get)
+        answer = system.retry_call(others[1], system.get)
         verdict.check("rival" not in answer.text, "a rival document replaced the confirmed one of its number")
-        evacuated = {zone_name for number in others for zone_name in system.statement(number)["evacuated"]}
+        evacuated = {
+            zone_name for number in others for zone_name in system.status_report(number)["evacuated"]
+        }
         verdict.check(not evacuated, f"zones evacuated by a call answered with 503: {evacuated}")
-        answer = system.settled(member, lambda number: system.put(number, document(4, ["kept", "new"])))
+        answer = system.retry_call(member, lambda number: system.put(number, document(4, ["kept", "new"])))
         verdict.check(answer.status == 200, f"healed, a put: expected 200, got {answer.status} {answer.text}")
         wait_in_force(system, 4, [member, *others])
         verdict.check(system.page(member, "kept") == 200, "healed, a valid key is refused")
@@ -278,15 +280,15 @@
             system.links.cut(stopped)
         system.freeze(stopped)
         since = time.monotonic()
-        answer = system.settled(others[0], lambda number: system.put(number, document(2, ["kept"])))
+        answer = system.retry_call(others[0], lambda number: system.put(number, document(2, ["kept"])))
         verdict.check(
             answer.status == 200, f"put of version 2: expected 200, got {answer.status} {answer.text}"
         )
         acked_at = time.monotonic()
-        until("the lease's end", lambda: time.monotonic() - acked_at > max(REVOKE_S, duration_s - 0.5))
+        wait_until("the lease's end", lambda: time.monotonic() - acked_at > max(REVOKE_S, duration_s - 0.5))
         reads = [pool.submit(system.get, stopped) for _ in range(6)]
         pages = [pool.submit(system.page, stopped, "gone") for _ in range(6)]
-        until("the calls wait", lambda: time.monotonic() - since > duration_s + 0.5)
+        wait_until("the calls wait", lambda: time.monotonic() - since > duration_s + 0.5)
         system.thaw(stopped)
         for call in reads:
             answer = call.result()
@@ -296,10 +298,10 @@
             verdict.check(page.result() != 200, "thawed, the removed key is accepted")
         system.links.heal()
         thawed = time.monotonic()
-        until("it is ready", lambda: system.ready(stopped) == 200)
+        wait_until("it is ready", lambda: system.ready(stopped) == 200)
         verdict.figures["ready_again_s"] = round(time.monotonic() - thawed, 2)
         verdict.check(
-            revision(system.settled(stopped, system.get)) == 2, "thawed, a read returns another version"
+            revision(system.retry_call(stopped, system.get)) == 2, "thawed, a read returns another version"
         )
     check_versions_only_rise(verdict, versions)
 
@@ -317,7 +319,7 @@
 
             def order(number: int, text: str) -> Answer:
                 started = time.monotonic()
-                answer = system.settled(number, lambda at: system.put(at, text))
+                answer = system.retry_call(number, lambda at: system.put(at, text))
                 durations.append(time.monotonic() - started)
                 return answer
 
@@ -344,7 +346,7 @@
                 order(third, texts[1 - winner]).status == 409,
                 f"number {version}, the repeated loser is not answered with 409",
             )
-            read = system.settled(third, system.get)
+            read = system.retry_call(third, system.get)
             is_winner = f"of-{'one' if winner == 0 else 'other'}-" in read.text
             verdict.check(is_winner, f"number {version}: another document is in force")
     verdict.figures |= {"numbers": numbers, "confirmed_to_both": both, "to_none": none}
@@ -355,8 +357,8 @@
     for version in range(2 + numbers, 2 + numbers + lost_answers):
         one, other = rng.sample(range(system.count), 2)
         text = document(version, ["kept"], note=f"lost-{version}")
-        system.lose(one, text)
-        answer = system.settled(other, lambda number, text=text: system.put(number, text))  # type: ignore[misc]
+        system.put_and_disconnect(one, text)
+        answer = system.retry_call(other, lambda number, text=text: system.put(number, text))  # type: ignore[misc]
         verdict.check(
             answer.status == 200, f"a repeated put: expected 200, got {answer.status} {answer.text}"
         )
@@ -367,7 +369,7 @@
     """A core member loses its disk; as soon as it votes again, another one loses its disk."""
     put_first_version(system, 1, ["kept"])
     version, times = 1, 1 if small else 4
-    answer = system.settled(0, lambda number: system.call(number, "POST", "/v1/evacuation/west"))
+    answer = system.retry_call(0, lambda number: system.call(number, "POST", "/v1/evacuation/west"))
     verdict.check(answer.status == 200, f"an evacuation: expected 200, got {answer.status}")
     repairs = []
     for _ in range(times):
@@ -376,7 +378,7 @@
 
         def order(number: int, version: int) -> None:
             text = document(version, ["kept"], routes=20)
-            answer = system.settled(number, lambda at: system.put(at, text))
+            answer = system.retry_call(number, lambda at: system.put(at, text))
             verdict.check(
                 answer.status == 200,
                 f"put of version {version}: expected 200, got {answer.status} {answer.text}",
@@ -386,13 +388,13 @@
         system.kill(one, wipe=True)
         order(left[0], version + 2)
         system.start(one)
-        repairs.append(until("it votes", lambda one=one: system.votes(one)))  # type: ignore[misc]
+        repairs.append(wait_until("it votes", lambda one=one: system.is_voting(one)))  # type: ignore[misc]
         verdict.check(
-            system.held(one) == version + 2, f"votes with version {system.held(one)} of {version + 2}"
+            system.synced(one) == version + 2, f"votes with version {system.synced(one)} of {version + 2}"
         )
         system.kill(other, wipe=True)
         for number in (one, *left):
-            answered_version = revision(system.settled(number, system.get))
+            answered_version = revision(system.retry_call(number, system.get))
             verdict.check(
                 answered_version == version + 2,
                 f"gatekeeper {number}: version {answered_version}, {version + 2} was confirmed",
@@ -401,15 +403,15 @@
         order(one, version + 3)
         verdict.figures["confirmed_in_s"] = round(time.monotonic() - started, 2)
         system.start(other)
-        repairs.append(until("the second votes", lambda other=other: system.votes(other)))  # type: ignore[misc]
+        repairs.append(wait_until("the second votes", lambda other=other: system.is_voting(other)))  # type: ignore[misc]
         version += 3
         for number in range(system.count):
-            answered_version = revision(system.settled(number, system.get))
+            answered_version = revision(system.retry_call(number, system.get))
             verdict.check(
                 answered_version == version,
                 f"gatekeeper {number}: version {answered_version}, {version} was confirmed",
             )
-            evacuated = system.statement(number)["evacuated"]
+            evacuated = system.status_report(number)["evacuated"]
             verdict.check(evacuated == ["west"], f"gatekeeper {number}: evacuated {evacuated}")
     verdict.figures["repaired_s"] = [round(duration, 1) for duration in repairs]
 
@@ -424,7 +426,7 @@
     started, slowest = time.monotonic(), (0.0, 0)
     for version in range(2, count + 2):
         text, sent = document(version, ["kept", f"key-{version}"], routes=routes), time.monotonic()
-        answer = system.settled(rng.choice(others), lambda number, text=text: system.put(number, text))  # type: ignore[misc]
+        answer = system.retry_call(rng.choice(others), lambda number, text=text: system.put(number, text))  # type: ignore[misc]
         slowest = max(slowest, (round(time.monotonic() - sent, 2), version))
         verdict.check(
             answer.status == 200, f"put of version {version}: expected 200, got {answer.status} {answer.text}"
@@ -443,14 +445,16 @@
     for what, number in members.items():  # without reads, which would repair a replica
 
         def holds(number: int = number) -> bool:
-            return system.held(number) == newest and system.version(number) == newest
+            return system.synced(number) == newest and system.version(number) == newest
 
-        with contextlib.suppress(Late):
-            caught_up[what] = round(until(f"the {what} one has all changes", holds, CATCH_UP_TIMEOUT_S), 1)
-        progress = f"the {what} one stores {system.held(number)}, uses {system.version(number)} of {newest}"
+        with contextlib.suppress(ConditionTimeout):
+            caught_up[what] = round(
+                wait_until(f"the {what} one has all changes", holds, CATCH_UP_TIMEOUT_S), 1
+            )
+        progress = f"the {what} one stores {system.synced(number)}, uses {system.version(number)} of {newest}"
         verdict.check(what in caught_up, f"{progress} after {CATCH_UP_TIMEOUT_S:g} s")
     for what, number in members.items():
-        answered_version = revision(system.settled(number, system.get))
+        answered_version = revision(system.retry_call(number, system.get))
         verdict.check(
             answered_version == newest, f"the {what} one: version {answered_version}, {newest} was confirmed"
         )
@@ -475,9 +479,9 @@
     try:
         with System(folder, seed=seed) as system:
             if seed % 2 == 0:
-                system.links.lengthen([0, 1], [2, 3], 20.0, 20.0)  # between the regions
+                system.links.set_base_delay([0, 1], [2, 3], 20.0, 20.0)  # between the regions
             SCENARIOS[name](verdict, system, random.Random(f"{name} {seed}"), small)
-    except Late as error:
+    except ConditionTimeout as error:
         verdict.broken.append(str(error))
     verdict.figures["took_s"] = round(time.monotonic() - started, 1)
     return verdict
--- a/benchmarks/quota_cost.py
+++ b/benchmarks/quota_cost.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 from millfront.quotas.messages import TokenReply, TokenRequest
-from millfront.rehearsal.system import Limit, System, document, until
+from millfront.rehearsal.system import Limit, System, document, wait_until
 from millfront.transport.connections import encode_message
 
 LIMITED, UNLIMITED = "limited", "free"
@@ -47,8 +47,8 @@
             self._ask(self.random.randrange(self.system.count))
 
     def _ask(self, process: int) -> None:
-        attempt = self.system.attempt(process)
-        address = self.system.links.front(process)
+        attempt = self.system.new_attempt_id(process)
+        address = self.system.links.advertised_ip(process)
         connection = http.client.HTTPConnection(address, self.system.plain, timeout=5.0)
         connection.connect()
         self.sent[attempt] = time.monotonic()
@@ -65,7 +65,7 @@
         thread.start()
     for thread in threads:
         thread.join()
-    arrived = system.peer.seen.attempts
+    arrived = system.peer.observed.attempts
     delays_ms = [
         1e3 * (arrived[a] - sent_at)
         for client in clients
@@ -100,9 +100,9 @@
         System(Path(folder), args.processes, disks=args.disks, relays=False, servers=6) as system,
     ):
         text = document(1, limits, limits=limits)
-        system.settled(0, lambda number: system.put(number, text), 60.0)
+        system.retry_call(0, lambda number: system.put(number, text), 60.0)
         numbers = range(args.processes)
-        until("all are ready", lambda: all(system.ready(number) == 200 for number in numbers), 60.0)
+        wait_until("all are ready", lambda: all(system.ready(number) == 200 for number in numbers), 60.0)
         threading.Event().wait(WARM_S)
         print_line("without a limit", *run_clients(system, UNLIMITED, LOAD * RATE))
         before = count_token_requests(system)
--- a/millfront/cli/rehearse.py
+++ b/millfront/cli/rehearse.py
@@ -52,7 +52,7 @@
     import msgspec
 
     from millfront.rehearsal.fleet import StartFailed
-    from millfront.rehearsal.play import play
+    from millfront.rehearsal.play import run_scenario
     from millfront.rehearsal.scenario import Scenario
 
     scenario = _load(file)
@@ -60,7 +60,7 @@
     if seed is not None:
         scenario = msgspec.structs.replace(scenario, seed=seed)
     try:
-        verdict = asyncio.run(play(scenario, Path(out), lambda line: click.echo(line, err=True)))
+        verdict = asyncio.run(run_scenario(scenario, Path(out), lambda line: click.echo(line, err=True)))
     except StartFailed as error:
         fail(UNREACHABLE, error)
     broken = [name for name, rule in verdict["rules"].items() if not rule["held"]]
--- a/millfront/rehearsal/doors.py
+++ b/millfront/rehearsal/listeners.py
@@ -1,14 +1,14 @@
-"""The faults between processes: every link that a rehearsal names is a door of its own on loopback.
+"""Faults on the links between gatekeepers and stand-ins: each link has a listener of its own on loopback.
 
-A stand-in listens at one door for each gatekeeper, so that a fault can cut one gatekeeper from one peer and
-leave the others be. The door does to the bytes what the link's fault says; the stand-in behind it never
-knows.
+A stand-in has one listener for each gatekeeper, so that a fault can cut one gatekeeper off from one peer and
+leave the other links alone. The listener applies the link's fault to the bytes; the stand-in's handler does
+not notice.
 
 | effect | out (gatekeeper to peer) | in (peer to gatekeeper) |
 | --- | --- | --- |
-| delay | what arrives waits `delay_ms` plus up to `jitter_ms` | what is answered waits as long |
+| delay | requests are delayed by `delay_ms` plus up to `jitter_ms` | answers likewise |
 | blackhole | nothing arrives; connections stay open and silent | nothing is answered |
-| reset | connections are cut at once, new ones on their first byte | the same |
+| reset | connections are reset at once, new ones on their first byte | the same |
 | lose_answers | | a share of the answers is dropped and its connection closed, after the peer did its work |
 """
 
@@ -23,12 +23,12 @@
 from millfront.rehearsal.scenario import Effect
 
 Handler = Callable[["Conn"], Awaitable[None]]
-LINGER_RESET = struct.pack("ii", 1, 0)  # close with RST, as a process that dies does
+LINGER_RESET = struct.pack("ii", 1, 0)  # close with RST, as a killed process does
 
 
 @dataclass(slots=True)
 class Link:
-    """What a link does now; a heal puts it back to `heal`."""
+    """The fault on a link; `heal` is none."""
 
     effect: Effect = "heal"
     way: str = "both"
@@ -36,41 +36,41 @@
     jitter_ms: float = 0.0
     share: float = 1.0
 
-    def holds(self, way: str) -> bool:
+    def affects(self, way: str) -> bool:
         return self.effect != "heal" and self.way in ("both", way)
 
 
-class Cut(Exception):
-    """The link was cut under a connection: the stand-in stops serving it."""
+class LinkCut(Exception):
+    """The link was cut: the stand-in stops serving the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class Conn:
-    """One connection through a door, as its stand-in sees it."""
+    """One accepted connection, as the stand-in's handler uses it."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    door: "Door"
+    listener: "FaultListener"
     ran: bool = field(default=False)
 
     async def read(self, until: bytes = b"\r\n") -> bytes:
-        """:raises asyncio.IncompleteReadError: the gatekeeper closed"""
+        """:raises asyncio.IncompleteReadError: the gatekeeper closed the connection"""
         data = await self.reader.readuntil(until)
-        await self.door.passing("out", self)
+        await self.listener.apply_fault("out", self)
         return data
 
     async def read_exactly(self, size: int) -> bytes:
         data = await self.reader.readexactly(size)
-        await self.door.passing("out", self)
+        await self.listener.apply_fault("out", self)
         return data
 
     async def write(self, data: bytes) -> None:
-        """:raises Cut: the answer is not to arrive"""
-        await self.door.passing("in", self)
-        link = self.door.link
-        if link.holds("in") and link.effect == "lose_answers" and self.door.rng.random() < link.share:
+        """:raises LinkCut: the link is reset, or loses this answer"""
+        await self.listener.apply_fault("in", self)
+        link = self.listener.link
+        if link.affects("in") and link.effect == "lose_answers" and self.listener.rng.random() < link.share:
             self.reset()
-            raise Cut
+            raise LinkCut
         self.writer.write(data)
         await self.writer.drain()
 
@@ -80,18 +80,18 @@
         self.writer.close()
 
 
-class Door:
-    """A listener of one stand-in for one gatekeeper."""
+class FaultListener:
+    """Accepts one gatekeeper's connections to one stand-in and applies the link's fault to them."""
 
-    def __init__(self, handler: Handler, rng: random.Random, who: int) -> None:
+    def __init__(self, handler: Handler, rng: random.Random, gatekeeper: int) -> None:
         self.handler = handler
         self.rng = rng
-        self.who = who  # the gatekeeper's place
+        self.gatekeeper = gatekeeper  # its number, from 0
         self.link = Link()
         self.port = 0
         self._server: asyncio.Server | None = None
-        self._open: set[Conn] = set()
-        self._serving: set[asyncio.Task[None]] = set()
+        self._connections: set[Conn] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._healed = asyncio.Event()
 
     async def open(self) -> int:
@@ -106,17 +106,17 @@
             return
         self._healed = asyncio.Event()
         if link.effect == "reset":
-            for conn in list(self._open):
+            for conn in list(self._connections):
                 conn.reset()
 
-    async def passing(self, way: str, conn: Conn) -> None:
-        """Bytes cross the door one way: held, cut or delayed by the link."""
+    async def apply_fault(self, way: str, conn: Conn) -> None:
+        """Hold, cut or delay bytes that pass in one direction, as the link's fault says."""
         link = self.link
-        if not link.holds(way):
+        if not link.affects(way):
             return
         if link.effect == "reset":
             conn.reset()
-            raise Cut
+            raise LinkCut
         if link.effect == "blackhole":
             await self._healed.wait()
         elif link.effect == "delay":
@@ -126,26 +126,26 @@
         conn = Conn(reader, writer, self)
         task = asyncio.current_task()
         assert task is not None
-        self._open.add(conn)
-        self._serving.add(task)
+        self._connections.add(conn)
+        self._tasks.add(task)
         try:
             await self.handler(conn)
-        except (Cut, ConnectionError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError):
-            pass  # the gatekeeper went, the link was cut, or it sent what a stand-in can't read
+        except (LinkCut, ConnectionError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError):
+            pass  # the gatekeeper disconnected, the link was cut, or the input was malformed
         except asyncio.CancelledError:
-            pass  # close(): asyncio's stream server would log a cancelled handler as a failure
+            pass  # from close(): asyncio's stream server would log a cancelled handler as an error
         finally:
-            self._open.discard(conn)
-            self._serving.discard(task)
+            self._connections.discard(conn)
+            self._tasks.discard(task)
             writer.close()
 
     async def close(self) -> None:
         if self._server is not None:
             self._server.close()
-        for conn in list(self._open):
+        for conn in list(self._connections):
             conn.reset()
         self._healed.set()
-        for task in list(self._serving):
+        for task in list(self._tasks):
             task.cancel()
-        if self._serving:
-            await asyncio.wait(list(self._serving))
+        if self._tasks:
+            await asyncio.wait(list(self._tasks))
