--- a/benchmarks/soak/record.py
+++ b/benchmarks/soak/record.py
@@ -1,72 +1,74 @@
-"""What a soak saw, by several threads, and which machines were in touch when."""
+"""Records what a soak observed, from several threads, and which machines had faults when."""
 
 import threading
 import time
 from dataclasses import dataclass, field
 
-from benchmarks.soak.troubles import CONTACT_S, EVERYWHERE, PLANNED, Trouble
+from benchmarks.soak.faults import ALL_PROCESSES, CONTACT_TIMEOUT_S, PLANNED, FaultKind
 
 FOREVER = float("inf")
 
 
 @dataclass(slots=True)
-class Spell:
-    """A trouble as it was played: from when to when, on the steady clock."""
+class FaultPeriod:
+    """A fault as it happened: its start and end on the monotonic clock."""
 
-    trouble: Trouble
+    kind: FaultKind
     process: int
-    begun: float
-    over: float = FOREVER
+    started: float
+    ended: float = FOREVER
 
-    def touches(self, since: float, until: float) -> bool:
-        """Whether any of it lies between the two."""
-        return self.begun <= until and self.over >= since
+    def overlaps(self, since: float, until: float) -> bool:
+        """Whether any part of it lies between the two times."""
+        return self.started <= until and self.ended >= since
 
 
 @dataclass
 class Record:
-    """What was seen during one seed."""
+    """The observations during one seed."""
 
     disks: int = 0
     broken: list[str] = field(default_factory=list)
-    seals: dict[str, set[str]] = field(default_factory=dict)  # by operation key, of the successes
-    counts: dict[str, int] = field(default_factory=dict)  # by what was done
-    acknowledged: int = 0  # the highest version
-    evacuated: dict[str, bool] = field(default_factory=dict)  # by zone, as acknowledged last
+    seals: dict[str, set[str]] = field(default_factory=dict)  # by operation key, of successes
+    counts: dict[str, int] = field(default_factory=dict)  # by name of the event
+    acknowledged: int = 0  # the highest acknowledged version
+    evacuated: dict[str, bool] = field(default_factory=dict)  # by zone, as last acknowledged
     off_since: dict[int, float] = field(default_factory=dict)
-    spells: list[Spell] = field(default_factory=list)
+    faults: list[FaultPeriod] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def check(self, holds: bool, text: str) -> None:
-        """Note what does not hold."""
+        """Record a check that failed."""
         if not holds:
             with self.lock:
                 self.broken.append(text)
 
     def count(self, what: str) -> None:
-        """One more of that."""
+        """Count an event."""
         with self.lock:
             self.counts[what] = self.counts.get(what, 0) + 1
 
-    def begins(self, trouble: Trouble, process: int) -> Spell:
-        """A trouble begins now."""
-        spell = Spell(trouble, process, time.monotonic())
+    def begin_fault(self, kind: FaultKind, process: int) -> FaultPeriod:
+        """Record a fault that begins now."""
+        period = FaultPeriod(kind, process, time.monotonic())
         with self.lock:
-            self.spells.append(spell)
-        return spell
+            self.faults.append(period)
+        return period
 
-    def in_touch(self, process: int, since: float, until: float) -> bool:
-        """Whether neither that machine nor the core had trouble, since the contact time before."""
+    def was_undisturbed(self, process: int, since: float, until: float) -> bool:
+        """Whether that machine and the core had no fault from CONTACT_TIMEOUT_S before `since` to `until`."""
         with self.lock:
-            near = [spell for spell in self.spells if spell.touches(since - CONTACT_S, until)]
-        return not any(spell.process in (process, EVERYWHERE) or spell.process < self.disks for spell in near)
+            near = [period for period in self.faults if period.overlaps(since - CONTACT_TIMEOUT_S, until)]
+        return not any(
+            period.process in (process, ALL_PROCESSES) or period.process < self.disks for period in near
+        )
 
-    def only_ends_in_order(self, process: int, since: float, until: float) -> bool:
-        """Whether planned work alone befell that machine, and nothing the core."""
+    def only_planned_faults(self, process: int, since: float, until: float) -> bool:
+        """Whether that machine and the core had only planned faults then, and no loss of all power."""
         with self.lock:
-            near = [spell for spell in self.spells if spell.touches(since - CONTACT_S, until)]
+            near = [period for period in self.faults if period.overlaps(since - CONTACT_TIMEOUT_S, until)]
         return all(
-            spell.trouble in PLANNED and spell.process != EVERYWHERE
-            for spell in near
-            if spell.process == process or spell.process < self.disks
+            period.kind in PLANNED and period.process != ALL_PROCESSES
+            for period in near
+            if period.process == process or period.process < self.disks
         )
--- a/examples/page_server.py
+++ b/examples/page_server.py
@@ -1,4 +1,4 @@
-"""A toy page server to try a gatekeeper with: answers every request after a moment, and bills a unit.
+"""A toy page server to try a gatekeeper with: answers each request after 50 ms, and bills one unit.
 
 python examples/page_server.py 127.0.0.1:9081
 """
@@ -7,7 +7,7 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-WORK_S = 0.05
+SERVICE_TIME_S = 0.05
 
 
 class PageServer(BaseHTTPRequestHandler):
@@ -15,7 +15,7 @@
 
     def do_GET(self) -> None:
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
-        time.sleep(WORK_S)
+        time.sleep(SERVICE_TIME_S)
         body = f"{self.command} {self.path}, request {self.headers.get('Request-Id')}\n".encode()
         self.send_response(200)
         self.send_header("Content-Type", "text/plain")
--- a/millfront/rehearsal/fleet.py
+++ b/millfront/rehearsal/fleet.py
@@ -1,5 +1,5 @@
-"""Real gatekeeper processes: started as the deploy file's `run` starts one, signalled, killed and started
-again, each with its own configuration, name, zone and state directory. Every process is ended by its own id.
+"""Real gatekeeper processes: started as the deploy file's `run` starts one, signalled, killed and restarted.
+Each has its own configuration, name, zone and state directory, and is signalled only by its own process id.
 """
 
 import asyncio
@@ -12,17 +12,17 @@
 from pathlib import Path
 from typing import Any
 
-START_S = 20.0  # a gatekeeper that does not serve by then has failed to start
-END_S = 10.0  # after SIGTERM, before SIGKILL
+START_TIMEOUT_S = 20.0  # a gatekeeper that does not serve within it has failed to start
+STOP_TIMEOUT_S = 10.0  # from SIGTERM to SIGKILL
 
 
 class StartFailed(Exception):
-    """A gatekeeper did not come to serve; the text has the end of its log."""
+    """A gatekeeper did not start to serve; the message holds the end of its log."""
 
 
 @dataclass(slots=True)
 class Gatekeeper:
-    place: int
+    index: int
     folder: Path
     config: dict[str, Any]
     operators: dict[str, Any]
@@ -30,11 +30,11 @@
     address: str = ""
     admin: str = ""
     starts: int = 0
-    offset: int = 0  # of the log, where the present life's lines begin
+    log_offset: int = 0  # in bytes, where the log of the running process begins
 
     @property
     def name(self) -> str:
-        return f"g{self.place}"
+        return f"g{self.index}"
 
     @property
     def config_path(self) -> Path:
@@ -42,7 +42,7 @@
 
     @property
     def state(self) -> Path:
-        """$TMPDIR of the gatekeeper: kept over its restarts, as the platform keeps it over an upgrade."""
+        """$TMPDIR of the gatekeeper: kept across restarts, as the platform keeps it across an upgrade."""
         return self.folder / "state"
 
     @property
@@ -50,15 +50,15 @@
         return self.folder / "log.jsonl"
 
     def write_config(self, config: dict[str, Any] | None = None) -> None:
-        """Whole, by a rename: a reader sees the old file or the new one."""
+        """Write atomically, by a rename: a reader sees either the old file or the new one."""
         if config is not None:
             self.config = config
-        spare = self.config_path.with_suffix(".new")
-        spare.write_text(json.dumps(self.config, indent=1))
-        spare.replace(self.config_path)
+        temporary = self.config_path.with_suffix(".new")
+        temporary.write_text(json.dumps(self.config, indent=1))
+        temporary.replace(self.config_path)
 
     async def start(self) -> None:
-        """:raises StartFailed: it exited, or did not serve within START_S"""
+        """:raises StartFailed: it exited, or did not serve within START_TIMEOUT_S"""
         self.state.mkdir(parents=True, exist_ok=True)
         (self.folder / "operators.json").write_text(json.dumps(self.operators))
         if not self.config_path.exists():
@@ -78,13 +78,13 @@
         log.close()
         self.starts += 1
         self.address = self.admin = ""
-        await self._until_serving()
+        await self._wait_until_serving()
 
-    async def _until_serving(self) -> None:
+    async def _wait_until_serving(self) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + START_S
-        while loop.time() < until:
-            for line in self._lines(self.offset):
+        deadline = loop.time() + START_TIMEOUT_S
+        while loop.time() < deadline:
+            for line in self._lines(self.log_offset):
                 if line.get("event") == "serves":
                     self.address = str(line["address"])
                 elif line.get("event") == "operators are answered":
@@ -98,7 +98,7 @@
                 break
             await asyncio.sleep(0.05)
         tail = self.log_path.read_text(errors="replace")[-2000:]
-        raise StartFailed(f"{self.name} did not serve within {START_S} s:\n{tail}")
+        raise StartFailed(f"{self.name} did not serve within {START_TIMEOUT_S} s:\n{tail}")
 
     def _lines(self, offset: int) -> list[dict[str, Any]]:
         with self.log_path.open("rb") as file:
@@ -112,11 +112,11 @@
             return lines
 
     async def restart(self) -> None:
-        self.offset = self.log_path.stat().st_size
+        self.log_offset = self.log_path.stat().st_size
         await self.start()
 
     def signal(self, number: signal.Signals) -> bool:
-        """By the process's own id; False where it has ended."""
+        """Send a signal to the process's own id; False if it has exited."""
         process = self.process
         if process is None or process.returncode is not None:
             return False
@@ -129,8 +129,8 @@
     def alive(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
-    async def end(self) -> int | None:
-        """SIGTERM, then SIGKILL after END_S; the exit code, None where it was not running."""
+    async def stop(self) -> int | None:
+        """SIGTERM, then SIGKILL after STOP_TIMEOUT_S; the exit code, or None if it was never started."""
         process = self.process
         if process is None:
             return None
@@ -138,7 +138,7 @@
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGTERM)
             try:
-                await asyncio.wait_for(process.wait(), END_S)
+                await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
             except TimeoutError:
                 self.signal(signal.SIGKILL)
                 await process.wait()
@@ -147,23 +147,23 @@
     def log(self) -> list[dict[str, Any]]:
         lines = self._lines(0) if self.log_path.exists() else []
         for line in lines:
-            line["gatekeeper"] = self.place
+            line["gatekeeper"] = self.index
         return lines
 
 
 def configuration(
-    place: int, listen_settings: dict[str, Any], discovery: str, counter: str | None, known: dict[str, Any]
+    index: int, listen_settings: dict[str, Any], discovery: str, counter: str | None, known: dict[str, Any]
 ) -> dict[str, Any]:
-    """What the platform tells a gatekeeper (DEPLOY: NODE_CONFIG), on loopback, port 0."""
-    told: dict[str, Any] = {
-        "name": f"g{place}",
+    """The platform's configuration file for a gatekeeper (DEPLOY: NODE_CONFIG), on loopback, port 0."""
+    config: dict[str, Any] = {
+        "name": f"g{index}",
         "listen": "127.0.0.1:0",
         "discovery": discovery,
-        "seed": f"{place + 1:016x}",
+        "seed": f"{index + 1:016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": known,
-        "settings": listen_settings | {"Me": place},
+        "settings": listen_settings | {"Me": index},
     }
     if counter is not None:
-        told["counter"] = counter
-    return told
+        config["counter"] = counter
+    return config
--- a/tests/test_system_links.py
+++ b/tests/test_system_links.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from benchmarks.control_faults import told_of
+from benchmarks.control_faults import run_scenario
 from millfront.rehearsal.links import Links
 from millfront.rehearsal.system import free_ports
 
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("scenario", ["cut_off", "rivals", "second_loss", "many_changes"])
 def test_the_rules_hold_in_a_shortened_fault_scenario(scenario: str, tmp_path: Path) -> None:
-    verdict = told_of(scenario, 1, True, tmp_path)
+    verdict = run_scenario(scenario, 1, True, tmp_path)
     assert not verdict.broken, verdict.line()
 
 
@@ -48,19 +48,19 @@
 
 
 def test_a_link_cuts_resets_and_delays_one_pair_of_processes(links: Links) -> None:
-    at, front = (links.behind(1), links.port), (links.front(1), links.port)
+    at, front = (links.listen_ip(1), links.port), (links.advertised_ip(1), links.port)
     with ExitStack() as held:
         server = held.enter_context(socket.create_server(at))
         held.callback(server.shutdown, socket.SHUT_RDWR)
         threading.Thread(target=echoing, args=[server], daemon=True).start()
         sockets = [held.enter_context(socket.socket(type=socket.SOCK_DGRAM)) for _ in range(2)]
         for number, sock in enumerate(sockets):
-            sock.bind((links.behind(number), links.port))
+            sock.bind((links.listen_ip(number), links.port))
             sock.settimeout(SOON)
 
         def connect() -> socket.socket:
             sock = held.enter_context(
-                socket.create_connection(front, 5.0, source_address=(links.behind(0), 0))
+                socket.create_connection(front, 5.0, source_address=(links.listen_ip(0), 0))
             )
             sock.settimeout(SOON)
             return sock
@@ -82,11 +82,11 @@
             return data, back[0]
 
         line = connect()
-        assert answered(line) and datagram_received() == (b"letter", links.front(0))
-        sockets[1].sendto(b"back", (links.front(0), links.port))
+        assert answered(line) and datagram_received() == (b"letter", links.advertised_ip(0))
+        sockets[1].sendto(b"back", (links.advertised_ip(0), links.port))
         assert sockets[0].recv(100) == b"back"
 
-        links.cut(0, keeps=True)
+        links.cut(0, keep_open=True)
         assert not answered(line) and datagram_received() is None
         links.heal()
         assert line.recv(1) == b"a" and answered(line)  # held during the cut and delivered late
